--- /dev/null
+++ b/tests/encoding_samples_peer_test.cpp
@@ -0,0 +1,252 @@
+// Samples of the messages between controllers, written down byte by byte, and of those of the version in
+// production (commit 60b8ce84) that have fewer fields. A change of an encoding fails here.
+#include <gtest/gtest.h>
+
+#include "wire/peer.h"
+
+namespace beaconsill::wire {
+namespace {
+
+// A message body beside the bytes of the message, in hexadecimal, a Cap'n Proto word a group.
+struct Sample {
+  const char* name;
+  PeerBody body;
+  const char* words;
+};
+
+std::string to_words(std::string_view bytes) {
+  constexpr std::size_t kWordBytes = 8;
+  constexpr const char* kDigits = "0123456789abcdef";
+  std::string words;
+  for (std::size_t i = 0; i < bytes.size(); ++i) {
+    if (i > 0 && i % kWordBytes == 0) words += ' ';
+    const auto byte = static_cast<unsigned char>(bytes[i]);
+    words += kDigits[byte / 16];
+    words += kDigits[byte % 16];
+  }
+  return words;
+}
+
+std::string from_words(std::string_view words) {
+  std::string bytes;
+  for (std::size_t i = 0; i < words.size(); i += words[i] == ' ' ? 1 : 2)
+    if (words[i] != ' ') bytes += static_cast<char>(std::stoi(std::string(words.substr(i, 2)), nullptr, 16));
+  return bytes;
+}
+
+std::string encode(const PeerBody& body) {
+  return to_words(encode_peer({NodeName("n1"), body}));
+}
+
+// What decoding and encoding the sample again gives; empty if it isn't understood.
+std::string encode_decoded(const char* words) {
+  const auto message = decode_peer(from_words(words));
+  return message ? to_words(encode_peer(*message)) : std::string();
+}
+
+void expect_samples(const std::vector<Sample>& samples) {
+  for (const auto& sample : samples) {
+    EXPECT_EQ(encode(sample.body), sample.words) << sample.name;
+    EXPECT_EQ(encode_decoded(sample.words), sample.words) << sample.name;
+  }
+}
+
+Ranges tasks(const char* text) {
+  return Ranges::parse(text).value();
+}
+
+Heartbeat heartbeat_with_disclosure() {
+  const Disclosure disclosure{true,
+                              Revision(30),
+                              std::chrono::milliseconds(7500),
+                              true,
+                              {{Revision(31), JobId("run-1"), 4}, {Revision(40), JobId("run-000412"), 0}}};
+  return {Revision(5), {{PartId(1), Term(9)}, {PartId(2), Term(41)}}, 11, 12, true, disclosure};
+}
+
+Heartbeat heartbeat_without_disclosure() {
+  return {Revision(UINT64_MAX), {{PartId(1), Term(9)}}, 11, 12, true, std::nullopt};
+}
+
+Shape shape_of(Priority priority) {
+  return {{1, 0.5, 2},
+          std::vector<MachineType>{MachineType("g8"), MachineType("g16")},
+          Zone("a"),
+          true,
+          ImageName("img-07"),
+          priority,
+          7};
+}
+
+Answer answer() {
+  return {4, PartId(2), Term(3), Revision(6), {{{Zone("a"), 1, 2, 3, 4}, {Zone("b"), 5, 6, 7, 8}}, {}}};
+}
+
+Summary summary() {
+  return {PartId(1),
+          Term(2),
+          Revision(3),
+          {{MachineName("host-1"), MachineType("g8"), Zone("a"), true, {1, 2, 3.5}, 4.5, false}},
+          {{JobId("run-1"), 6}},
+          8,
+          true};
+}
+
+Outcomes outcomes(Verdict verdict) {
+  return {PartId(1), Term(4), {{JobId("run-1"), tasks("0-6,9"), {{Generation(3), tasks("10-12")}}, verdict}}};
+}
+
+TEST(HeartbeatEncoding, Samples) {
+  expect_samples({
+      {"all fields", heartbeat_with_disclosure(),
+       "000000001d000000 0000000001000200 0000000000000000 050000001a000000 0400000004000200 "
+       "6e31000000000000 0500000000000000 0b00000000000000 0c00000000000000 0100000000000000 "
+       "3900000027000000 0000000002000100 030000004c1d0000 1e00000000000000 0100000037000000 "
+       "0800000002000100 1f00000000000000 0400000000000000 0d00000032000000 2800000000000000 "
+       "0000000000000000 050000005a000000 72756e2d31000000 72756e2d30303034 3132000000000000 "
+       "0800000002000000 0100000000000000 0900000000000000 0200000000000000 2900000000000000"},
+      {"no disclosure, no revision known", heartbeat_without_disclosure(),
+       "000000000e000000 0000000001000200 0000000000000000 050000001a000000 0400000004000200 "
+       "6e31000000000000 ffffffffffffffff 0b00000000000000 0c00000000000000 0100000000000000 "
+       "0500000017000000 0000000000000000 0400000002000000 0100000000000000 0900000000000000"},
+  });
+}
+
+TEST(NudgeEncoding, Samples) {
+  expect_samples({{"all fields", Nudge{Revision(8)},
+                   "0000000006000000 0000000001000200 0100000000000000 050000001a000000 0400000001000000 "
+                   "6e31000000000000 0800000000000000"}});
+}
+
+TEST(AskEncoding, Samples) {
+  expect_samples({
+      {"all fields", Ask{4, {shape_of(Priority::kHigh)}},
+       "0000000015000000 0000000001000200 0200000000000000 050000001a000000 0400000001000100 "
+       "6e31000000000000 0400000000000000 010000003f000000 0400000004000300 000000000000f03f "
+       "000000000000e03f 0000000000000040 0202000007000000 0900000016000000 1500000012000000 "
+       "150000003a000000 050000001a000000 0500000022000000 6738000000000000 6731360000000000 "
+       "6100000000000000 696d672d30370000"},
+      {"any type, no zone", Ask{4, {Shape{}}},
+       "0000000010000000 0000000001000200 0200000000000000 050000001a000000 0400000001000100 "
+       "6e31000000000000 0400000000000000 010000003f000000 0400000004000300 0000000000000000 "
+       "0000000000000000 0000000000000000 0101000000000000 0000000000000000 0000000000000000 "
+       "010000000a000000 0000000000000000"},
+      {"lowest priority", Ask{4, {shape_of(Priority::kLow)}},
+       "0000000015000000 0000000001000200 0200000000000000 050000001a000000 0400000001000100 "
+       "6e31000000000000 0400000000000000 010000003f000000 0400000004000300 000000000000f03f "
+       "000000000000e03f 0000000000000040 0200000007000000 0900000016000000 1500000012000000 "
+       "150000003a000000 050000001a000000 0500000022000000 6738000000000000 6731360000000000 "
+       "6100000000000000 696d672d30370000"},
+      {"highest priority", Ask{4, {shape_of(Priority::kProduction)}},
+       "0000000015000000 0000000001000200 0200000000000000 050000001a000000 0400000001000100 "
+       "6e31000000000000 0400000000000000 010000003f000000 0400000004000300 000000000000f03f "
+       "000000000000e03f 0000000000000040 0203000007000000 0900000016000000 1500000012000000 "
+       "150000003a000000 050000001a000000 0500000022000000 6738000000000000 6731360000000000 "
+       "6100000000000000 696d672d30370000"},
+  });
+}
+
+TEST(AnswerEncoding, Samples) {
+  expect_samples({{"all fields", answer(),
+                   "0000000017000000 0000000001000200 0300000000000000 050000001a000000 0400000004000100 "
+                   "6e31000000000000 0400000000000000 0200000000000000 0300000000000000 0600000000000000 "
+                   "0100000017000000 0800000000000100 0500000037000000 2500000007000000 0800000002000100 "
+                   "0100000002000000 0300000004000000 0d00000012000000 0500000006000000 0700000008000000 "
+                   "0500000012000000 6100000000000000 6200000000000000 0000000002000100"}});
+}
+
+TEST(SummaryEncoding, Samples) {
+  expect_samples({{"all fields", summary(),
+                   "000000001b000000 0000000001000200 0400000000000000 050000001a000000 0400000004000200 "
+                   "6e31000000000000 0100000008000000 0200000000000000 0300000000000000 0100000000000000 "
+                   "0500000047000000 3100000017000000 0400000005000300 0100000000000000 000000000000f03f "
+                   "0000000000000040 0000000000000c40 0000000000001240 090000003a000000 090000001a000000 "
+                   "0900000012000000 686f73742d310000 6738000000000000 6100000000000000 0400000001000100 "
+                   "0600000000000000 0100000032000000 72756e2d31000000"}});
+}
+
+TEST(ReleaseEncoding, Samples) {
+  expect_samples({{"two machines", Release{{MachineName("host-1"), MachineName("host-2")}},
+                   "000000000a000000 0000000001000200 0500000000000000 050000001a000000 0400000000000100 "
+                   "6e31000000000000 0100000016000000 050000003a000000 050000003a000000 686f73742d310000 "
+                   "686f73742d320000"}});
+}
+
+TEST(GoneEncoding, Samples) {
+  expect_samples({{"two machines", Gone{{MachineName("host-1"), MachineName("host-2")}},
+                   "000000000a000000 0000000001000200 0600000000000000 050000001a000000 0400000000000100 "
+                   "6e31000000000000 0100000016000000 050000003a000000 050000003a000000 686f73742d310000 "
+                   "686f73742d320000"}});
+}
+
+TEST(RelayEncoding, Samples) {
+  expect_samples({{"all fields", Relay{5, R"({"beacon":"host-1"})"},
+                   "000000000a000000 0000000001000200 0700000000000000 050000001a000000 0400000001000100 "
+                   "6e31000000000000 0500000000000000 01000000a2000000 7b22626561636f6e 223a22686f73742d "
+                   "31227d0000000000"}});
+}
+
+TEST(RelayedEncoding, Samples) {
+  expect_samples({{"all fields", Relayed{5, 421, R"({"keeper":"n2"})"},
+                   "000000000a000000 0000000001000200 0800000000000000 050000001a000000 0400000002000100 "
+                   "6e31000000000000 0500000000000000 a501000000000000 0100000082000000 7b226b6565706572 "
+                   "223a226e32227d00"}});
+}
+
+TEST(OutcomesEncoding, Samples) {
+  expect_samples({
+      {"no verdict", outcomes(Verdict::kNone),
+       "0000000013000000 0000000001000200 0900000000000000 050000001a000000 0400000002000100 "
+       "6e31000000000000 0100000000000000 0400000000000000 0100000027000000 0400000001000300 "
+       "0000000000000000 0900000032000000 0900000032000000 0900000017000000 72756e2d31000000 "
+       "302d362c39000000 0400000001000100 0300000000000000 0100000032000000 31302d3132000000"},
+      {"the job fails", outcomes(Verdict::kFails),
+       "0000000013000000 0000000001000200 0900000000000000 050000001a000000 0400000002000100 "
+       "6e31000000000000 0100000000000000 0400000000000000 0100000027000000 0400000001000300 "
+       "0100000000000000 0900000032000000 0900000032000000 0900000017000000 72756e2d31000000 "
+       "302d362c39000000 0400000001000100 0300000000000000 0100000032000000 31302d3132000000"},
+      {"the job works", outcomes(Verdict::kWorks),
+       "0000000013000000 0000000001000200 0900000000000000 050000001a000000 0400000002000100 "
+       "6e31000000000000 0100000000000000 0400000000000000 0100000027000000 0400000001000300 "
+       "0200000000000000 0900000032000000 0900000032000000 0900000017000000 72756e2d31000000 "
+       "302d362c39000000 0400000001000100 0300000000000000 0100000032000000 31302d3132000000"},
+  });
+}
+
+// That version sends a summary in one message, which has no fields for pages.
+TEST(SummaryEncoding, OfTheVersionInProductionIsASinglePage) {
+  const char* const words =
+      "000000001a000000 0000000001000200 0400000000000000 050000001a000000 0400000003000200 "
+      "6e31000000000000 0100000000000000 0200000000000000 0300000000000000 0500000047000000 "
+      "3100000017000000 0400000005000300 0100000000000000 000000000000f03f 0000000000000040 "
+      "0000000000000c40 0000000000001240 090000003a000000 090000001a000000 0900000012000000 "
+      "686f73742d310000 6738000000000000 6100000000000000 0400000001000100 0600000000000000 "
+      "0100000032000000 72756e2d31000000";
+  const auto message = decode_peer(from_words(words));
+  ASSERT_TRUE(message);
+  const auto& decoded = std::get<Summary>(message->body);
+  EXPECT_EQ(decoded.page, 0u);
+  EXPECT_FALSE(decoded.more);
+  auto expected = summary();
+  expected.page = 0;
+  expected.more = false;
+  EXPECT_EQ(encode(decoded), encode(expected));
+}
+
+// That version knows no verdicts.
+TEST(OutcomesEncoding, OfTheVersionInProductionTellNoVerdict) {
+  const char* const words =
+      "0000000012000000 0000000001000200 0900000000000000 050000001a000000 0400000002000100 "
+      "6e31000000000000 0100000000000000 0400000000000000 010000001f000000 0400000000000300 "
+      "0900000032000000 0900000032000000 0900000017000000 72756e2d31000000 302d362c39000000 "
+      "0400000001000100 0300000000000000 0100000032000000 31302d3132000000";
+  const auto message = decode_peer(from_words(words));
+  ASSERT_TRUE(message);
+  const auto& decoded = std::get<Outcomes>(message->body);
+  ASSERT_EQ(decoded.jobs.size(), 1u);
+  EXPECT_EQ(decoded.jobs.front().verdict, Verdict::kNone);
+  EXPECT_EQ(encode(decoded), encode(outcomes(Verdict::kNone)));
+}
+
+}  // namespace
+}  // namespace beaconsill::wire
