--- a/src/lead/capacity.cpp
+++ b/src/lead/capacity.cpp
@@ -37,24 +37,34 @@
 }
 
 double Capacity::usual_boot_s(const MachineType& type) const {
-  auto t = catalogue_ ? catalogue_->find(type) : wire::Catalogue::const_iterator{};
-  return !catalogue_ || t == catalogue_->end() ? kUnknownBootSeconds : t->second.boot_s;
+  if (!catalogue_) return kUnknownBootSeconds;
+  auto t = catalogue_->find(type);
+  return t == catalogue_->end() ? kUnknownBootSeconds : t->second.boot_s;
 }
 
 bool Capacity::is_late(const Coming& c, Instant now) const {
   return to_seconds(now - c.rented) > usual_boot_s(c.kind.type) * kSlowBoot;
 }
 
-bool Capacity::is_given_up(const wire::ListedMachine& m) const {
-  auto patience = patience_.find(m.type);
-  double times = patience == patience_.end() ? kLeastPatience : patience->second;
-  return m.state == wire::MachineState::kBooting && m.age_s > usual_boot_s(m.type) * times;
+double& Capacity::patience(const MachineType& type) {
+  return patience_.try_emplace(type, kLeastPatience).first->second;
+}
+
+bool Capacity::is_given_up(const wire::ListedMachine& m) {
+  return m.state == wire::MachineState::kBooting && m.age_s > usual_boot_s(m.type) * patience(m.type);
 }
 
 void Capacity::on_up(const wire::ListedMachine& m) {
-  auto& patience = patience_.try_emplace(m.type, kLeastPatience).first->second;
   double seen = m.age_s / usual_boot_s(m.type) * kLongerThanSeen;
-  patience = std::clamp(std::max(seen, patience * kLessPatience), kLeastPatience, kMostPatience);
+  auto& times = patience(m.type);
+  times = std::clamp(std::max(seen, times * kLessPatience), kLeastPatience, kMostPatience);
+}
+
+void Capacity::on_given_up(const wire::ListedMachine& m, Instant now) {
+  auto& times = patience(m.type);
+  times = std::min(times * kMorePatience, kMostPatience);
+  // Rather another type or zone first.
+  refused_[{m.type, m.zone, m.spot}] = now;
 }
 
 void Capacity::on_list(std::vector<wire::ListedMachine> machines, Instant now) {
@@ -182,12 +192,7 @@
     if (deleted_.contains(name) || out.size() >= wire::kMaxDelete) continue;
     bool never = is_given_up(m);
     if (m.state != wire::MachineState::kFailed && !never) continue;
-    if (never) {
-      auto& patience = patience_.try_emplace(m.type, kLeastPatience).first->second;
-      patience = std::min(patience * kMorePatience, kMostPatience);
-      // Rather another type or zone first.
-      refused_[{m.type, m.zone, m.spot}] = now;
-    }
+    if (never) on_given_up(m, now);
     spdlog::info("{}: {}, to be deleted", name.value(), never ? "never came up" : "failed");
     deleted_[name] = now;
     coming_.erase(name);
--- a/src/lead/capacity.h
+++ b/src/lead/capacity.h
@@ -67,15 +67,17 @@
   double usual_boot_s(const MachineType& type) const;
   bool is_late(const Coming& c, Instant now) const;
   // It has been starting for longer than any machine of its type lately; it's taken never to come up.
-  bool is_given_up(const wire::ListedMachine& m) const;
+  bool is_given_up(const wire::ListedMachine& m);
   void on_up(const wire::ListedMachine& m);
+  void on_given_up(const wire::ListedMachine& m, Instant now);
+  // For how many usual times a machine of the type is waited for, by what was seen lately.
+  double& patience(const MachineType& type);
 
   CapacityParams params_;
   std::string prefix_;
   std::shared_ptr<const wire::Catalogue> catalogue_;
   std::map<MachineName, wire::ListedMachine> listed_;
   std::map<MachineName, Coming> coming_;  // rented, not yet up
-  // For how many usual times a machine of the type is waited for, by what was seen lately; see is_given_up.
   std::map<MachineType, double> patience_;
   // Until then, and until there was a list since, machines of an earlier leader may be missing in it.
   Instant list_complete_at_{};
--- a/src/lead/lead.cpp
+++ b/src/lead/lead.cpp
@@ -195,10 +195,11 @@
   return stricter({e.record.spec->priority, due(e.record, e.counts_from)}, needs_.of(id));
 }
 
-void Lead::on_outcomes(const wire::Outcomes& o) {
+void Lead::on_outcomes(const wire::Outcomes& o, Instant now) {
   auto known = terms_.find(o.part);
   bool present = known != terms_.end() && known->second == o.term;
   for (const auto& j : o.jobs) {
+    on_verdict(j.job, j.verdict, now);
     auto& t = told_[j.job][o.part];
     t.progress.done.add(j.done);
     if (!present) continue;
--- a/src/lead/lead.h
+++ b/src/lead/lead.h
@@ -43,9 +43,7 @@
               std::optional<WallMs> ready_since = std::nullopt);
   // What an owner told of tasks that it was granted. Each of its jobs is then to be gone through again by
   // on_job, and those returned by on_terms as well.
-  void on_outcomes(const wire::Outcomes& o);
-  // What an owner found out about a job of which tasks failed.
-  void on_verdict(const JobId& id, wire::Verdict verdict, Instant now);
+  void on_outcomes(const wire::Outcomes& o, Instant now);
   // The parts' terms. What was told as returned under another term counts no more.
   std::vector<JobId> on_terms(const std::map<PartId, Term>& terms);
   void on_summary(const wire::Summary& s, Instant now);
@@ -171,6 +169,8 @@
   void wait_for_others(const JobId& id, const store::JobRecord& record);
   // Jobs that wait for these need more of them.
   void refresh_needs();
+  // What an owner found out about a job of which tasks failed.
+  void on_verdict(const JobId& id, wire::Verdict verdict, Instant now);
   Need need_of(const JobId& id, const Entry& e) const;
 
   LeadParams params_;
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -40,7 +40,10 @@
 
   // The view shows the roles as they were after this process last stood still. What isn't conditional on a
   // role's version, as transactions are, needs that: rentals, deletions.
-  bool roles_read_since_waking() const { return mirror->as_of() > stand_still.over(); }
+  bool roles_read_since_waking() {
+    stand_still.observe(now());
+    return mirror->as_of() > stand_still.over();
+  }
   const store::View& view() const { return mirror->view(); }
   Instant now() const { return clock.now(); }
 };
--- a/src/node/leader_duty.cpp
+++ b/src/node/leader_duty.cpp
@@ -125,8 +125,7 @@
       known.jobs.push_back(j);
       jobs.insert(j.job);
     }
-  lead_->on_outcomes(known);
-  for (const auto& j : known.jobs) lead_->on_verdict(j.job, j.verdict, ctx_.now());
+  lead_->on_outcomes(known, ctx_.now());
   go_through(jobs);
 }
 
@@ -163,7 +162,6 @@
 }
 
 void LeaderDuty::pump() {
-  ctx_.stand_still.observe(ctx_.now());
   if (!lead_) return;
   read_all();
   rounds();
@@ -302,7 +300,6 @@
 }
 
 void LeaderDuty::capacity() {
-  ctx_.stand_still.observe(ctx_.now());
   if (!lead_ || !still_leader() || !ctx_.roles_read_since_waking()) return;
   rent();
   auto now = ctx_.now();
--- a/src/node/roles.cpp
+++ b/src/node/roles.cpp
@@ -97,7 +97,6 @@
 }
 
 void RolesDuty::on_view() {
-  ctx_.stand_still.observe(ctx_.now());
   if (!ctx_.mirror->ready()) return;
   // What was seen before it stood still, a role vacant or a home node well, may be over.
   if (!ctx_.roles_read_since_waking()) return forget_waits();
--- a/src/node/stand_still.h
+++ b/src/node/stand_still.h
@@ -5,9 +5,9 @@
 
 namespace beaconsill::node {
 
-// Duties that wake up every few hundred milliseconds call `observe` first of all. What a controller knew
-// before it stood still gives it no right afterwards: another may have taken its roles meanwhile. And that it
-// heard nobody says nothing of others.
+// The duty that wakes up most often calls `observe`, and so does whoever is to act on a right. What a
+// controller knew before it stood still gives it no right afterwards: another may have taken its roles
+// meanwhile. And that it heard nobody says nothing of others.
 class StandStill {
  public:
   void observe(Instant now) {
--- a/src/part/failure_evidence.cpp
+++ b/src/part/failure_evidence.cpp
@@ -97,7 +97,8 @@
 
 // Entries of a job go together, so that each failure noted for a machine has its job.
 void FailureEvidence::forget_old(Instant now) {
-  std::erase_if(jobs_, [&](const auto& job) { return now - job.second.last >= kMemory; });
+  // Hundreds of tasks of an array fail within moments, and hardly ever has anything become old.
+  if (std::erase_if(jobs_, [&](const auto& job) { return now - job.second.last >= kMemory; }) == 0) return;
   for (auto machine = machines_.begin(); machine != machines_.end();) {
     std::erase_if(machine->second, [&](const auto& failure) { return !jobs_.contains(failure.first); });
     machine = machine->second.empty() ? machines_.erase(machine) : std::next(machine);
--- a/src/part/part.cpp
+++ b/src/part/part.cpp
@@ -80,6 +80,10 @@
   waiting_.erase(id);
   gangs_.erase(id);
   jobs_.erase(id);
+  mark_strays(id);
+}
+
+void Part::mark_strays(const JobId& id) {
   each_listed(id, [](Machine& m, const TaskKey&, TaskOn&) { m.strays = true; });
 }
 
@@ -93,12 +97,12 @@
 // ---------------------------------------------------------------- jobs
 
 void Part::on_job(const JobId& id, const store::Job* job, std::optional<store::End> end, Instant now) {
-  if (!job || !job->record.spec) {
+  if (!job) return erase_job(id);
+  if (!job->record.spec) {
     if (auto* known = find_job(id); known && end) {
       known->end = end;
-      each_listed(id, [](Machine& m, const TaskKey&, TaskOn&) { m.strays = true; });
+      mark_strays(id);
     }
-    if (!job) erase_job(id);
     return;
   }
   bool ours = std::any_of(job->grants.value.chunks.begin(), job->grants.value.chunks.end(),
--- a/src/part/part.h
+++ b/src/part/part.h
@@ -170,6 +170,8 @@
   void touch(Machine& m);
   void wait(const JobId& id) { waiting_.insert(id); }
   void erase_job(const JobId& id);
+  // What is known of the job has changed: where its tasks are, some may be strays.
+  void mark_strays(const JobId& id);
   void set_record(PartJob& pj, const store::Job& job) const;
   // The attempt is off its machine: its task may be started anew.
   void requeue(const TaskKey& key, Instant now);
--- a/src/store/txn_draft.h
+++ b/src/store/txn_draft.h
@@ -26,7 +26,6 @@
   // Conditions that hold for the transaction as a whole.
   bool require(const wire::Condition& condition) { return add({condition}, {}); }
   bool empty() const { return txn_.writes.empty(); }
-  std::size_t changes() const { return txn_.writes.size(); }
   const wire::Txn& txn() const { return txn_; }
 
  private:
--- a/tests/controller_meetings_lead_test.cpp
+++ b/tests/controller_meetings_lead_test.cpp
@@ -91,7 +91,8 @@
     l.show("run-2", 1);
     if (c.told_under) {
       l.lead.on_outcomes(
-          {PartId(0), Term(*c.told_under), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}});
+          {PartId(0), Term(*c.told_under), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}},
+          at(2));
       l.show("run-1", 2, End::kCancelled);
     }
     EXPECT_EQ(l.wanted(2), c.left) << c.what;
@@ -112,7 +113,8 @@
     EXPECT_EQ(l.wanted(n), 0u) << "an earlier owner's return still counts under term " << term;
     l.lead.on_outcomes({PartId(0),
                         Term(term),
-                        {{JobId("run-1"), Ranges::span(n, n + 1), {{Generation(1), Ranges::span(9, 10)}}}}});
+                        {{JobId("run-1"), Ranges::span(n, n + 1), {{Generation(1), Ranges::span(9, 10)}}}}},
+                       at(n));
     l.show("run-1", n);
     EXPECT_EQ(l.wanted(n), n < 9 ? 1u : 0u) << n;
     EXPECT_EQ(l.lead.finished().size(), n == 9 ? 1u : 0u) << n;
@@ -126,7 +128,8 @@
   auto& j = l.job("run-1", 4);
   j.grants = {{{chunk(2, 0, 4)}, Generation(2)}, Revision(2)};
   l.show("run-1", 0);
-  l.lead.on_outcomes({PartId(0), Term(1), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}});
+  l.lead.on_outcomes({PartId(0), Term(1), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}},
+                     at(1));
   l.show("run-1", 1);
   EXPECT_EQ(l.wanted(1), 0u);
   EXPECT_TRUE(l.lead.drained().empty());
--- a/tests/lead_capacity_test.cpp
+++ b/tests/lead_capacity_test.cpp
@@ -21,9 +21,21 @@
   return {{s, std::chrono::seconds(5)}};
 }
 
-TEST(Capacity, RentsWhatIsMissingOnceAndUnderAnEverNewName) {
+Capacity capacity() {
   Capacity c({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64}, "t7-");
   c.set_catalogue(catalogue());
+  return c;
+}
+
+using S = wire::MachineState;
+
+wire::ListedMachine listed(const std::string& name, S state, double age_s, const char* type = "small",
+                           const char* zone = "a") {
+  return {MachineName(name), "", MachineType(type), Zone(zone), false, state, age_s};
+}
+
+TEST(Capacity, RentsWhatIsMissingOnceAndUnderAnEverNewName) {
+  auto c = capacity();
   auto r = c.rent(demand(10), at(0));
   ASSERT_TRUE(r);
   EXPECT_EQ(r->type, MachineType("small"));
@@ -43,8 +55,7 @@
 
 // Found on a grown day: at a request for each job, it took 60 s until all machines were rented.
 TEST(Capacity, RentsForAllThatWaitsAtOnce) {
-  Capacity c({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64}, "t7-");
-  c.set_catalogue(catalogue());
+  auto c = capacity();
   auto waiting = demand(10);
   for (int i = 0; i < 4; ++i) waiting.push_back(waiting[0]);
   waiting.back().waited = Duration(0);  // may yet fit where it was sent
@@ -54,8 +65,7 @@
 }
 
 TEST(Capacity, RefusedKindsAreLeftAloneForAWhile) {
-  Capacity c({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64}, "t7-");
-  c.set_catalogue(catalogue());
+  auto c = capacity();
   auto r = c.rent(demand(4), at(0));
   c.on_refused(*r, at(0));
   auto second = c.rent(demand(4), at(1));
@@ -79,12 +89,7 @@
 }
 
 TEST(Capacity, MachinesThatNeverBootOrFailedAreDeletedOnce) {
-  Capacity c({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64}, "t7-");
-  c.set_catalogue(catalogue());
-  using S = wire::MachineState;
-  auto listed = [](const char* n, S s, double age) {
-    return wire::ListedMachine{MachineName(n), "", MachineType("small"), Zone("a"), false, s, age};
-  };
+  auto c = capacity();
   c.on_list({listed("slow", S::kBooting, 60), listed("never", S::kBooting, 500),
              listed("failed", S::kFailed, 9), listed("up", S::kRunning, 900)},
             at(0));
@@ -92,13 +97,6 @@
   EXPECT_TRUE(c.dead(at(1)).empty());
 }
 
-using S = wire::MachineState;
-
-wire::ListedMachine listed(const std::string& name, S state, double age_s, const char* type = "small",
-                           const char* zone = "a") {
-  return {MachineName(name), "", MachineType(type), Zone(zone), false, state, age_s};
-}
-
 // Orders what is asked for, and says how many machines were ordered.
 std::uint32_t order(Capacity& c, std::uint32_t tasks, double t) {
   static int names = 0;
@@ -112,12 +110,6 @@
   return ordered;
 }
 
-Capacity capacity() {
-  Capacity c({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64}, "t7-");
-  c.set_catalogue(catalogue());
-  return c;
-}
-
 // A new leader knows what is on order from a list alone, and the list lags.
 TEST(Capacity, ANewLeaderOrdersNothingAnewThatIsOnOrder) {
   auto c = capacity();
--- a/tests/lead_test.cpp
+++ b/tests/lead_test.cpp
@@ -37,10 +37,10 @@
   auto pending = [&](double t) { return b.lead.demand(at(t)); };
   EXPECT_TRUE(pending(1).empty());
   // A term that isn't the part's: the owner may have been replaced, and its successor start the tasks.
-  b.lead.on_outcomes(told(2, {}, Ranges::span(5, 10)));
+  b.lead.on_outcomes(told(2, {}, Ranges::span(5, 10)), at(2));
   b.show("run-1", 2);
   EXPECT_TRUE(pending(2).empty());
-  b.lead.on_outcomes(told(1, Ranges::span(0, 2), Ranges::span(5, 10)));
+  b.lead.on_outcomes(told(1, Ranges::span(0, 2), Ranges::span(5, 10)), at(2));
   b.show("run-1", 3);
   ASSERT_EQ(pending(3).size(), 1u);
   EXPECT_EQ(pending(3)[0].shape.wanted, 5u);
@@ -61,7 +61,7 @@
   b.show("run-1", 9);
   ASSERT_EQ(pending(9).size(), 1u);
   EXPECT_EQ(pending(9)[0].shape.wanted, 2u);
-  b.lead.on_outcomes(told(2, Ranges::span(2, 10), {}));
+  b.lead.on_outcomes(told(2, Ranges::span(2, 10), {}), at(2));
   b.show("run-1", 10);
   EXPECT_EQ(b.lead.finished(), std::vector<JobId>{JobId("run-1")});
   // Over: nobody starts any of its tasks again, so its place in the ledger is free.
@@ -78,9 +78,10 @@
   b.lead.on_terms({{PartId(0), Term(1)}, {PartId(1), Term(1)}});
   b.job("run-1", 6);
   b.record(b.round(1, {{0, room(10)}, {1, {}}}), 1);
-  b.lead.on_outcomes({PartId(0), Term(1), {{JobId("run-1"), Ranges::span(0, 3), {}}}});
+  b.lead.on_outcomes({PartId(0), Term(1), {{JobId("run-1"), Ranges::span(0, 3), {}}}}, at(2));
   b.lead.on_terms({{PartId(0), Term(2)}, {PartId(1), Term(1)}});
-  b.lead.on_outcomes({PartId(0), Term(2), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 3)}}}}});
+  b.lead.on_outcomes({PartId(0), Term(2), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 3)}}}}},
+                     at(2));
   b.show("run-1", 2);
   b.job("run-2", 10);
   ASSERT_EQ(b.lead.demand(at(3)).size(), 1u);
@@ -96,7 +97,8 @@
                  Generation(1),
                  false},
                 Revision(5)};
-  b.lead.on_outcomes({PartId(0), Term(1), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 3)}}}}});
+  b.lead.on_outcomes({PartId(0), Term(1), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 3)}}}}},
+                     at(2));
   b.show("run-1", 2);
   ASSERT_EQ(b.lead.demand(at(3)).size(), 1u);
   EXPECT_EQ(b.lead.demand(at(3))[0].shape.wanted, 1u);
@@ -348,9 +350,13 @@
     Ranges all;
     for (auto& c : j.grants.value.chunks) all.add(c.tasks);
     j.progress[PartId(0)].value.returned = {{j.grants.value.last, all}};
-    b.lead.on_verdict(JobId("run-1"), wire::Verdict::kFails, at(t));
+    say(wire::Verdict::kFails, t);
     b.show("run-1", t);
   }
+  // The owner of part 0 says so.
+  void say(wire::Verdict verdict, double t) {
+    b.lead.on_outcomes({PartId(0), Term(1), {{JobId("run-1"), {}, {}, verdict}}}, at(t));
+  }
   // How many of its tasks are granted.
   std::uint32_t round(double t) {
     auto grants = b.round(t, {{0, room(200)}, {1, {}}}, false, t);
@@ -396,7 +402,7 @@
     FailingJob f;
     ASSERT_EQ(f.round(10), 1u);
     if (by_word) {
-      f.b.lead.on_verdict(JobId("run-1"), wire::Verdict::kWorks, at(20));
+      f.say(wire::Verdict::kWorks, 20);
     } else {
       f.b.jobs["run-1"].progress[PartId(0)].value.done = Ranges::span(0, 1);
     }
@@ -414,7 +420,7 @@
 // All parts say so of the same grant, and copies of what they said come late.
 TEST(FailingJob, AGrantCountsOnce) {
   FailingJob f;
-  for (int i = 0; i < 10; ++i) f.b.lead.on_verdict(JobId("run-1"), wire::Verdict::kFails, at(2.1));
+  for (int i = 0; i < 10; ++i) f.say(wire::Verdict::kFails, 2.1);
   EXPECT_EQ(f.round(4.5), 1u);
 }
 
--- a/tests/meetings_lead_test.cpp
+++ b/tests/meetings_lead_test.cpp
@@ -49,7 +49,7 @@
   void returned(const char* id, std::uint32_t part, std::uint64_t term, Ranges tasks) {
     for (const auto& c : jobs[id].grants.value.chunks)
       if (c.part == PartId(part))
-        lead.on_outcomes({PartId(part), Term(term), {{JobId(id), {}, {{c.generation, tasks}}}}});
+        lead.on_outcomes({PartId(part), Term(term), {{JobId(id), {}, {{c.generation, tasks}}}}}, at(t));
     show(id);
   }
   // A round in which each part has so much room in these zones.
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -194,13 +194,13 @@
   EXPECT_FALSE(few.add({}, {write(10), write(10)}));  // all or none
   EXPECT_TRUE(few.add({}, {write(10)}));
   EXPECT_FALSE(few.add({}, {write(10)}));
-  EXPECT_EQ(few.changes(), 2u);
+  EXPECT_EQ(few.txn().writes.size(), 2u);
   TxnDraft conditions(1);
   for (std::size_t i = 0; i < kConditionsPerChange; ++i) EXPECT_TRUE(conditions.require({"k", Revision(1)}));
   EXPECT_FALSE(conditions.require({"k", Revision(1)}));
   TxnDraft large(20);
   while (large.add({}, {write(9000)})) continue;
-  EXPECT_EQ(large.changes(), 6u);
+  EXPECT_EQ(large.txn().writes.size(), 6u);
   EXPECT_LE(wire::render_txn(large.txn()).size(), std::size_t{64} * 1024);
   EXPECT_TRUE(TxnDraft(1).add({{"k", Revision(1)}}, {write(kMaxValueBytes)}));
 }
--- a/tests/sim/controller_lead.cpp
+++ b/tests/sim/controller_lead.cpp
@@ -144,8 +144,7 @@
     known.jobs.push_back(j);
     jobs.insert(j.job);
   }
-  p_.lead->on_outcomes(known);
-  for (const auto& j : known.jobs) p_.lead->on_verdict(j.job, j.verdict, instant());
+  p_.lead->on_outcomes(known, instant());
   show_leader(jobs);
 }
 
