--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -5,7 +5,7 @@
 #include <iostream>
 
 #include "base/log.h"
-#include "node/node.h"
+#include "controller/controller.h"
 
 namespace {
 
@@ -16,12 +16,12 @@
   auto policy = config::load_policy(policy_path, settings);
   asio::io_context io(1);
   SystemClock clock;
-  node::Node node(io, clock, std::move(settings), policy);
+  controller::Controller controller(io, clock, std::move(settings), policy);
   asio::signal_set signals(io, SIGINT, SIGTERM);
   signals.async_wait([&](std::error_code ec, int) {
-    if (!ec) node.stop();
+    if (!ec) controller.stop();
   });
-  node.start();
+  controller.start();
   io.run();
   return 0;
 }
@@ -32,7 +32,7 @@
   std::cout << settings_path << ": good\n";
   if (!policy_path.empty()) std::cout << policy_path << ": good\n";
   std::cout << "\npolicy settings (type, default, meaning):\n";
-  for (const auto& k : config::default_knobs())
+  for (const auto& k : config::default_variables())
     std::cout << "  " << k.name << " (" << k.type << ") = " << k.expression << "   # " << k.meaning << '\n';
   std::cout << "\nnames for expressions, with their values here:\n" << config::describe_names(settings);
   return 0;
--- a/src/base/ranges.h
+++ b/src/base/ranges.h
@@ -1,4 +1,4 @@
-// A set of task numbers, kept as ranges: "0-47,50" in the state service.
+// A set of task numbers, kept as ranges: "0-47,50" in the state store.
 #pragma once
 
 #include <cstdint>
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -26,22 +26,22 @@
 };
 
 using JobId = Strong<struct JobIdTag, std::string>;
-using NodeName = Strong<struct NodeNameTag, std::string>;
+using ControllerName = Strong<struct ControllerNameTag, std::string>;
 using MachineName = Strong<struct MachineNameTag, std::string>;
 using Zone = Strong<struct ZoneTag, std::string>;
 using Team = Strong<struct TeamTag, std::string>;
 using ImageName = Strong<struct ImageTag, std::string>;
 using MachineType = Strong<struct MachineTypeTag, std::string>;
-using PartId = Strong<struct PartTag, std::uint32_t>;
+using ShardId = Strong<struct ShardTag, std::uint32_t>;
 using Attempt = Strong<struct AttemptTag, std::uint64_t>;
-using Session = Strong<struct SessionTag, std::uint64_t>;
+using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
 using Sequence = Strong<struct SequenceTag, std::uint64_t>;
 using Term = Strong<struct TermTag, std::uint64_t>;
 using Revision = Strong<struct RevisionTag, std::uint64_t>;
 using Generation = Strong<struct GenerationTag, std::uint64_t>;
-using HoldId = Strong<struct HoldTag, std::uint64_t>;
+using LeaseId = Strong<struct LeaseTag, std::uint64_t>;
 
-// What entitles a controller to command a worker: the part's term, and below it a fence that the owner can
+// What entitles a controller to command a worker: the shard's term, and below it a fence that the owner can
 // raise for one worker without a state write.
 class Token {
  public:
@@ -118,7 +118,7 @@
   return {a.cpus * n, a.gpus * n, a.memory_gb * n};
 }
 
-// A stable 64-bit hash (FNV-1a): the same at every node and in every build, unlike std::hash.
+// A stable 64-bit hash (FNV-1a): the same at every controller and in every build, unlike std::hash.
 std::uint64_t stable_hash(std::string_view s);
 
 enum class JobKind { kArray, kGang, kService };
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -10,11 +10,11 @@
 
 template <class Parse>
 auto parsed(const net::Result& r, const char* what, Parse parse)
-    -> std::optional<decltype(parse(wire::Json()))> {
+    -> std::optional<decltype(parse(protocol::Json()))> {
   if (r.status != 200) return std::nullopt;
   try {
-    return parse(wire::parse_object(r.body));
-  } catch (const wire::WireError& e) {
+    return parse(protocol::parse_object(r.body));
+  } catch (const protocol::ProtocolError& e) {
     spdlog::error("cloud: {} dropped: {}", what, e.what());
     return std::nullopt;
   }
@@ -40,10 +40,10 @@
   } else {
     queue_.push_back(std::move(j));
   }
-  pump();
+  send_queued();
 }
 
-void CloudClient::pump() {
+void CloudClient::send_queued() {
   if (stopped_) return;
   auto now = clock_.now();
   std::vector<Job> late;
@@ -56,7 +56,7 @@
     if (!budget_.take(1, false, now)) {
       timer_.expires_at(budget_.ready_at(1, false, now));
       timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-        if (auto me = weak.lock(); me && !ec) me->pump();
+        if (auto me = weak.lock(); me && !ec) me->send_queued();
       });
       break;
     }
@@ -71,23 +71,23 @@
   for (auto& j : late) j.done({});
 }
 
-void CloudClient::catalogue(std::function<void(std::optional<wire::Catalogue>)> done) {
+void CloudClient::catalogue(std::function<void(std::optional<protocol::Catalogue>)> done) {
   enqueue(false, "GET", "/catalog", "", [done = std::move(done)](const net::Result& r) {
-    done(parsed(r, "catalogue", wire::parse_catalogue));
+    done(parsed(r, "catalogue", protocol::parse_catalogue));
   });
 }
 
-void CloudClient::list(std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done) {
-  next_page(std::make_shared<std::vector<wire::ListedMachine>>(), std::nullopt, std::move(done));
+void CloudClient::list(std::function<void(std::optional<std::vector<protocol::ListedMachine>>)> done) {
+  next_page(std::make_shared<std::vector<protocol::ListedMachine>>(), std::nullopt, std::move(done));
 }
 
-void CloudClient::next_page(const std::shared_ptr<std::vector<wire::ListedMachine>>& so_far,
+void CloudClient::next_page(const std::shared_ptr<std::vector<protocol::ListedMachine>>& so_far,
                             const std::optional<MachineName>& after,
-                            std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done) {
-  enqueue(false, "GET", wire::machine_page_target(after), "",
+                            std::function<void(std::optional<std::vector<protocol::ListedMachine>>)> done) {
+  enqueue(false, "GET", protocol::machine_page_target(after), "",
           [weak = weak_from_this(), so_far, done = std::move(done)](const net::Result& r) mutable {
             auto me = weak.lock();
-            auto page = parsed(r, "list of machines", wire::parse_machine_page);
+            auto page = parsed(r, "list of machines", protocol::parse_machine_page);
             if (!me || !page) return done(std::nullopt);
             for (auto& m : page->machines) so_far->push_back(std::move(m));
             if (page->more && !so_far->empty())
@@ -97,27 +97,29 @@
 }
 
 void CloudClient::remove(const std::vector<MachineName>& names, std::function<void(bool)> done) {
-  enqueue(true, "POST", "/machines/delete", wire::render_delete(names),
+  enqueue(true, "POST", "/machines/delete", protocol::render_delete(names),
           [done = std::move(done)](const net::Result& r) { done(r.status == 200); });
 }
 
-void CloudClient::rent(const wire::RentRequest& req,
+void CloudClient::rent(const protocol::RentRequest& req,
                        std::function<void(RentOutcome, std::vector<MachineName>)> done) {
-  enqueue(false, "POST", "/machines", wire::render_rent(req), [done = std::move(done)](const net::Result& r) {
-    if (auto names = parsed(r, "answer to a rental request", wire::parse_rented)) {
-      return done(RentOutcome::kRented, std::move(*names));
-    }
-    bool none = false;
-    if (r.status == 503) {
-      try {
-        none = wire::get_string(wire::parse_object(r.body), "error") == "no capacity";
-      } catch (const wire::WireError&) {
-        none = false;
-      }
-    }
-    if (r.status == 400) spdlog::error("cloud: a rental request was malformed: {}", r.body.substr(0, 200));
-    done(none || r.status == 400 ? RentOutcome::kNoCapacity : RentOutcome::kUnanswered, {});
-  });
+  enqueue(false, "POST", "/machines", protocol::render_rent(req),
+          [done = std::move(done)](const net::Result& r) {
+            if (auto names = parsed(r, "answer to a rental request", protocol::parse_rented)) {
+              return done(RentOutcome::kRented, std::move(*names));
+            }
+            bool none = false;
+            if (r.status == 503) {
+              try {
+                none = protocol::get_string(protocol::parse_object(r.body), "error") == "no capacity";
+              } catch (const protocol::ProtocolError&) {
+                none = false;
+              }
+            }
+            if (r.status == 400)
+              spdlog::error("cloud: a rental request was malformed: {}", r.body.substr(0, 200));
+            done(none || r.status == 400 ? RentOutcome::kNoCapacity : RentOutcome::kUnanswered, {});
+          });
 }
 
 void CloudClient::stop() {
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -8,8 +8,8 @@
 #include <memory>
 
 #include "net/http_client.h"
-#include "store/budget.h"
-#include "wire/cloud.h"
+#include "protocol/cloud.h"
+#include "state_store/rate_limiter.h"
 
 namespace beaconsill::cloud {
 
@@ -20,13 +20,13 @@
  public:
   CloudClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& at, double rps);
 
-  void catalogue(std::function<void(std::optional<wire::Catalogue>)> done);
+  void catalogue(std::function<void(std::optional<protocol::Catalogue>)> done);
   // All pages.
-  void list(std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done);
+  void list(std::function<void(std::optional<std::vector<protocol::ListedMachine>>)> done);
   // 200: true. Deletions go before everything else: tasks wait for them.
   void remove(const std::vector<MachineName>& names, std::function<void(bool)> done);
   enum class RentOutcome { kRented, kNoCapacity, kUnanswered };
-  void rent(const wire::RentRequest& r, std::function<void(RentOutcome, std::vector<MachineName>)> done);
+  void rent(const protocol::RentRequest& r, std::function<void(RentOutcome, std::vector<MachineName>)> done);
   void set_rate(double rps);
   void stop();
 
@@ -38,14 +38,14 @@
   };
   void enqueue(bool first, std::string method, std::string target, std::string body,
                std::function<void(net::Result)> done);
-  void pump();
-  void next_page(const std::shared_ptr<std::vector<wire::ListedMachine>>& so_far,
+  void send_queued();
+  void next_page(const std::shared_ptr<std::vector<protocol::ListedMachine>>& so_far,
                  const std::optional<MachineName>& after,
-                 std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done);
+                 std::function<void(std::optional<std::vector<protocol::ListedMachine>>)> done);
 
   const Clock& clock_;
   std::shared_ptr<net::HttpClient> http_;
-  store::Budget budget_;
+  state_store::RateLimiter budget_;
   std::deque<Job> queue_;
   asio::steady_timer timer_;
   bool stopped_ = false;
--- a/src/config/expr.cpp
+++ b/src/config/expr.cpp
@@ -9,7 +9,7 @@
 namespace beaconsill::config {
 namespace {
 
-struct Node {
+struct Controller {
   ExprType type;
   std::function<double()> eval;  // no errors but division by zero are left for it to find
 };
@@ -20,8 +20,8 @@
  public:
   Parser(std::string_view text, const ExprNames& names) : text_(text), names_(names) {}
 
-  Node parse() {
-    Node n = choice();
+  Controller parse() {
+    Controller n = choice();
     space();
     if (at_ != text_.size()) fail("something follows the expression");
     return n;
@@ -43,75 +43,75 @@
   void need(std::string_view op) {
     if (!eat(op)) fail("expected '" + std::string(op) + "'");
   }
-  void need_type(const Node& n, ExprType t, std::string_view what) const {
+  void need_type(const Controller& n, ExprType t, std::string_view what) const {
     if (n.type != t) fail(std::string(what) + " must be a " + type_name(t) + ", not a " + type_name(n.type));
   }
 
   // c ? a : b
-  Node choice() {
+  Controller choice() {
     if (++depth_ > kMaxDepth) fail("nested too deeply");
-    Node c = disjunction();
+    Controller c = disjunction();
     if (eat("?")) {
       need_type(c, ExprType::kBool, "the condition before '?'");
-      Node a = choice();
+      Controller a = choice();
       need(":");
-      Node b = choice();
+      Controller b = choice();
       if (a.type != b.type) fail("both sides of ':' must be of one type");
       c = {a.type, [c, a, b] { return c.eval() != 0 ? a.eval() : b.eval(); }};
     }
     --depth_;
     return c;
   }
-  Node disjunction() {
-    Node l = conjunction();
+  Controller disjunction() {
+    Controller l = conjunction();
     while (eat("||")) {
-      Node r = conjunction();
+      Controller r = conjunction();
       need_type(l, ExprType::kBool, "the left of '||'");
       need_type(r, ExprType::kBool, "the right of '||'");
       l = {ExprType::kBool, [l, r] { return l.eval() != 0 || r.eval() != 0 ? 1.0 : 0.0; }};
     }
     return l;
   }
-  Node conjunction() {
-    Node l = comparison();
+  Controller conjunction() {
+    Controller l = comparison();
     while (eat("&&")) {
-      Node r = comparison();
+      Controller r = comparison();
       need_type(l, ExprType::kBool, "the left of '&&'");
       need_type(r, ExprType::kBool, "the right of '&&'");
       l = {ExprType::kBool, [l, r] { return l.eval() != 0 && r.eval() != 0 ? 1.0 : 0.0; }};
     }
     return l;
   }
-  Node comparison() {
-    Node l = sum();
+  Controller comparison() {
+    Controller l = sum();
     static const std::vector<std::pair<std::string, std::function<bool(double, double)>>> kOps{
         {"==", std::equal_to<>()},      {"!=", std::not_equal_to<>()}, {"<=", std::less_equal<>()},
         {">=", std::greater_equal<>()}, {"<", std::less<>()},          {">", std::greater<>()}};
     for (const auto& [op, holds] : kOps) {
       if (!eat(op)) continue;
-      Node r = sum();
+      Controller r = sum();
       if (l.type != r.type) fail("'" + op + "' compares values of one type");
       return {ExprType::kBool, [l, r, &compare = holds] { return compare(l.eval(), r.eval()) ? 1.0 : 0.0; }};
     }
     return l;
   }
-  Node sum() {
-    Node l = product();
+  Controller sum() {
+    Controller l = product();
     for (;;) {
       bool plus = eat("+");
       if (!plus && !eat("-")) return l;
-      Node r = product();
+      Controller r = product();
       if (l.type != r.type || l.type == ExprType::kBool)
         fail("'+' and '-' take two numbers or two durations");
       l = {l.type, [l, r, plus] { return plus ? l.eval() + r.eval() : l.eval() - r.eval(); }};
     }
   }
-  Node product() {
-    Node l = unary();
+  Controller product() {
+    Controller l = unary();
     for (;;) {
       bool times = eat("*");
       if (!times && !eat("/")) return l;
-      Node r = unary();
+      Controller r = unary();
       if (l.type == ExprType::kBool || r.type == ExprType::kBool) fail("'*' and '/' take no truth values");
       bool ld = l.type == ExprType::kDuration, rd = r.type == ExprType::kDuration;
       if (times) {
@@ -127,15 +127,15 @@
       }
     }
   }
-  Node unary() {
+  Controller unary() {
     if (++depth_ > kMaxDepth) fail("nested too deeply");
-    Node n;
+    Controller n;
     if (eat("!")) {
-      Node x = unary();
+      Controller x = unary();
       need_type(x, ExprType::kBool, "the operand of '!'");
       n = {ExprType::kBool, [x] { return x.eval() != 0 ? 0.0 : 1.0; }};
     } else if (eat("-")) {
-      Node x = unary();
+      Controller x = unary();
       if (x.type == ExprType::kBool) fail("'-' takes no truth value");
       n = {x.type, [x] { return -x.eval(); }};
     } else {
@@ -144,9 +144,9 @@
     --depth_;
     return n;
   }
-  Node primary() {
+  Controller primary() {
     if (eat("(")) {
-      Node n = choice();
+      Controller n = choice();
       need(")");
       return n;
     }
@@ -163,7 +163,7 @@
       ++at_;
     return std::string(text_.substr(b, at_ - b));
   }
-  Node literal() {
+  Controller literal() {
     double d = 0;
     auto [p, ec] =
         std::from_chars(text_.data() + at_, text_.data() + text_.size(), d, std::chars_format::fixed);
@@ -176,7 +176,7 @@
     if (u == kUnits.end()) fail("unknown unit '" + unit + "' (ms, s, m, h)");
     return {ExprType::kDuration, [v = d * u->second] { return v; }};
   }
-  Node name() {
+  Controller name() {
     std::string w = word();
     if (w == "true" || w == "false") return {ExprType::kBool, [v = w == "true" ? 1.0 : 0.0] { return v; }};
     if (eat("(")) return call(w);
@@ -184,8 +184,8 @@
     if (it == names_.end()) fail("unknown name '" + w + "'");
     return {it->second.type, [v = it->second.value] { return v; }};
   }
-  Node call(const std::string& f) {
-    std::vector<Node> args;
+  Controller call(const std::string& f) {
+    std::vector<Controller> args;
     if (!eat(")")) {
       do args.push_back(choice());
       while (eat(","));
@@ -232,7 +232,7 @@
 }
 
 ExprValue evaluate(std::string_view text, const ExprNames& names) {
-  Node n = Parser(text, names).parse();
+  Controller n = Parser(text, names).parse();
   double v = n.eval();
   if (!std::isfinite(v)) throw ExprError("the result is not finite");
   return {n.type, v};
--- a/src/config/policy.cpp
+++ b/src/config/policy.cpp
@@ -12,7 +12,7 @@
 namespace beaconsill::config {
 namespace {
 
-struct KnobSpec {
+struct PolicyVariableSpec {
   const char* name;
   ExprType type;
   const char* expression;
@@ -33,8 +33,8 @@
   return longest > 0 ? std::min(longest, kLongestAimOfAllSeconds) : kLongestAimOfAllSeconds;
 }
 
-const std::vector<KnobSpec>& specs() {
-  static const std::vector<KnobSpec> kSpecs{
+const std::vector<PolicyVariableSpec>& specs() {
+  static const std::vector<PolicyVariableSpec> kSpecs{
       {"reply_wait", ExprType::kDuration, "2s", 0.01, 60,
        "wait for a part's estimate before its summary is used",
        [](Policy& p, double v) { p.reply_wait = from_seconds(v); }},
@@ -91,8 +91,8 @@
 
 }  // namespace
 
-std::vector<Knob> default_knobs() {
-  std::vector<Knob> v;
+std::vector<PolicyVariable> default_variables() {
+  std::vector<PolicyVariable> v;
   for (const auto& k : specs()) v.push_back({k.name, type_name(k.type), k.expression, k.meaning});
   return v;
 }
@@ -107,7 +107,7 @@
 Policy parse_policy(std::string_view text, const std::string& path, const Settings& s) {
   Policy policy{};
   auto names = names_for(s);
-  auto apply = [&](const KnobSpec& k, std::string_view expression, const std::string& where) {
+  auto apply = [&](const PolicyVariableSpec& k, std::string_view expression, const std::string& where) {
     try {
       auto v = evaluate(expression, names);
       if (v.type != k.type)
@@ -136,7 +136,7 @@
     auto eq = line.find('=');
     if (eq == std::string_view::npos) throw ConfigError(where + "expected name = expression");
     auto name = trim(line.substr(0, eq));
-    const KnobSpec* spec = nullptr;
+    const PolicyVariableSpec* spec = nullptr;
     for (const auto& k : specs())
       if (name == k.name) spec = &k;
     if (!spec) throw ConfigError(where + "unknown setting '" + std::string(name) + "'");
--- a/src/config/policy.h
+++ b/src/config/policy.h
@@ -11,18 +11,18 @@
 namespace beaconsill::config {
 
 struct Policy {
-  Duration reply_wait;      // how long the leader waits for a part's estimate before it uses the summary
+  Duration reply_wait;      // how long the leader waits for a shard's estimate before it uses the summary
   std::uint32_t task_cap;   // most tasks on one machine
-  Duration summary_period;  // how often a part sends its free-room summary
+  Duration summary_period;  // how often a shard sends its free-room summary
   double reserve;           // share of each machine that arrays leave free for services
   Duration grace;           // silence after which a machine is proved gone by deleting it
   Duration idle_return;     // how long a machine is idle before it is returned
   Duration quiet_return;    // the same when no job is left at all
-  Duration home_delay;      // how long a part's home node is well before it gets the part back
+  Duration home_delay;      // how long a shard's home controller is well before it gets the shard back
   Duration longest_wait;    // how long a job may get nothing before it goes to the head of the queue
 };
 
-struct Knob {
+struct PolicyVariable {
   std::string name;
   std::string type;
   std::string expression;
@@ -30,7 +30,7 @@
 };
 
 // The knobs with their compiled-in expressions.
-std::vector<Knob> default_knobs();
+std::vector<PolicyVariable> default_variables();
 // The names that expressions may use, with their values for these settings.
 std::string describe_names(const Settings& s);
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -127,14 +127,14 @@
   }
   Reader root(parsed.table(), path, "");
   Settings s;
-  s.node = NodeName(root.str("node"));
+  s.controller = ControllerName(root.str("node"));
   s.zone = Zone(root.str("area"));
   s.listen = root.str("bind");
   s.peer_listen = root.str("internal_addr");
-  std::set<NodeName> names{s.node};
+  std::set<ControllerName> names{s.controller};
   for (const auto& k : root.tables("known")) {
-    PeerSettings p{NodeName(k.str("node")), Zone(k.str("area")), k.str("peer_addr")};
-    if (!names.insert(p.node).second) k.fail("node", "is named twice");
+    PeerSettings p{ControllerName(k.str("node")), Zone(k.str("area")), k.str("peer_addr")};
+    if (!names.insert(p.controller).second) k.fail("node", "is named twice");
     s.peers.push_back(std::move(p));
   }
   auto external = root.table("external");
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -16,7 +16,7 @@
 };
 
 struct PeerSettings {
-  NodeName node;
+  ControllerName controller;
   Zone zone;
   std::string address;
 };
@@ -35,7 +35,7 @@
 };
 
 struct Settings {
-  NodeName node;
+  ControllerName controller;
   Zone zone;
   std::string listen;
   std::string peer_listen;
--- a/src/node/context.h
+++ b/src/controller/controller_context.h
@@ -1,4 +1,4 @@
-// What the duties of a node share.
+// What the duties of a controller share.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -10,53 +10,53 @@
 #include "cloud/client.h"
 #include "config/policy.h"
 #include "config/settings.h"
-#include "node/shares.h"
-#include "node/stand_still.h"
-#include "part/parting.h"
-#include "store/mirror.h"
+#include "controller/pause_detector.h"
+#include "controller/rate_limit_share.h"
+#include "shard/partitioning.h"
+#include "state_store/watch_cache.h"
 
-namespace beaconsill::node {
+namespace beaconsill::controller {
 
-struct Context {
-  Context(asio::io_context& event_loop, const Clock& node_clock, config::Settings node_settings,
-          const config::Policy& node_policy)
+struct ControllerContext {
+  ControllerContext(asio::io_context& event_loop, const Clock& controller_clock,
+                    config::Settings controller_settings, const config::Policy& controller_policy)
       : io(event_loop),
-        clock(node_clock),
-        settings(std::move(node_settings)),
-        policy(node_policy),
-        parting(settings) {}
+        clock(controller_clock),
+        settings(std::move(controller_settings)),
+        policy(controller_policy),
+        partitioning(settings) {}
 
   asio::io_context& io;
   const Clock& clock;
   config::Settings settings;
   config::Policy policy;
-  part::Parting parting;
-  std::shared_ptr<store::StoreClient> store;
-  std::shared_ptr<store::Mirror> mirror;
+  shard::Partitioning partitioning;
+  std::shared_ptr<state_store::StoreClient> store;
+  std::shared_ptr<state_store::WatchCache> watch_cache;
   std::shared_ptr<cloud::CloudClient> cloud;
-  std::shared_ptr<const wire::Catalogue> catalogue;
+  std::shared_ptr<const protocol::Catalogue> catalogue;
 
-  StandStill stand_still;
+  PauseDetector pause_detector;
 
   // The view shows the roles as they were after this process last stood still. What isn't conditional on a
   // role's version, as transactions are, needs that: rentals, deletions.
-  bool roles_read_since_waking() {
-    stand_still.observe(now());
-    return mirror->as_of() > stand_still.over();
+  bool roles_read_since_pause() {
+    pause_detector.observe(now());
+    return watch_cache->as_of() > pause_detector.over();
   }
-  const store::View& view() const { return mirror->view(); }
+  const state_store::StateView& view() const { return watch_cache->view(); }
   Instant now() const { return clock.now(); }
 };
 
 // Runs its work once at a time set. Guards against a handler that Asio has queued already when its owner
 // ends: cancelling the timer doesn't take it out of the queue, and it would run on what was freed.
-class Alarm {
+class OneShotTimer {
  public:
-  Alarm(asio::io_context& io, std::function<void()> work)
+  OneShotTimer(asio::io_context& io, std::function<void()> work)
       : state_(std::make_shared<State>(asio::steady_timer(io), std::move(work))) {}
-  Alarm(const Alarm&) = delete;
-  Alarm& operator=(const Alarm&) = delete;
-  ~Alarm() { stop(); }
+  OneShotTimer(const OneShotTimer&) = delete;
+  OneShotTimer& operator=(const OneShotTimer&) = delete;
+  ~OneShotTimer() { stop(); }
   // Sets it anew; an earlier time no longer counts.
   void set(Duration d) {
     if (state_->stopped) return;
@@ -91,25 +91,25 @@
 };
 
 // A long-lived duty that wakes up again and again until it is stopped.
-class Repeater {
+class PeriodicTimer {
  public:
-  Repeater(asio::io_context& io, std::function<void()> work)
-      : work_(std::move(work)), alarm_(io, [this] { run(); }) {}
+  PeriodicTimer(asio::io_context& io, std::function<void()> work)
+      : work_(std::move(work)), timer_(io, [this] { run(); }) {}
   // Runs the work now and then every `period`.
   void start(Duration period) {
     period_ = period;
     run();
   }
-  void stop() { alarm_.stop(); }
+  void stop() { timer_.stop(); }
 
  private:
   void run() {
     work_();
-    alarm_.set(period_);
+    timer_.set(period_);
   }
   std::function<void()> work_;
   Duration period_{};
-  Alarm alarm_;
+  OneShotTimer timer_;
 };
 
-}  // namespace beaconsill::node
+}  // namespace beaconsill::controller
--- a/src/node/sockets.h
+++ b/src/controller/socket_limits.h
@@ -1,4 +1,4 @@
-// How a node's sockets are shared out, so that no one use of them can take what another needs.
+// How a controller's sockets are shared out, so that no one use of them can take what another needs.
 #pragma once
 
 #include <algorithm>
@@ -6,17 +6,17 @@
 
 #include "config/settings.h"
 
-namespace beaconsill::node {
+namespace beaconsill::controller {
 
-struct SocketPlan {
-  std::size_t own = 0;       // state service, cloud, peers
+struct SocketLimits {
+  std::size_t own = 0;       // state store, cloud, peers
   std::size_t commands = 0;  // open connections to workers; beyond that the longest idle is closed
   std::size_t served = 0;    // connections of workers, users and health checks
   std::size_t users = 0;     // of these, users' at most: workers keep as many when users flood
 };
 
-inline SocketPlan plan_sockets(const config::Settings& s) {
-  SocketPlan p;
+inline SocketLimits plan_socket_limits(const config::Settings& s) {
+  SocketLimits p;
   std::size_t all = s.max_connections;
   p.own = std::min(std::size_t{40} + 8 * s.peers.size(), all / 2);
   p.commands = (all - p.own) / 3;
@@ -25,4 +25,4 @@
   return p;
 }
 
-}  // namespace beaconsill::node
+}  // namespace beaconsill::controller
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -1,5 +1,5 @@
 // Framed messages between controllers: four bytes of length (little endian), then the message.
-// Each node sends over connections that it opened itself and only receives on those that it accepted.
+// Each controller sends over connections that it opened itself and only receives on those that it accepted.
 #pragma once
 
 #include <array>
--- a/src/wire/api.cpp
+++ b/src/protocol/api.cpp
@@ -1,10 +1,10 @@
-#include "wire/api.h"
+#include "protocol/api.h"
 
 #include <algorithm>
 #include <charconv>
 #include <set>
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 namespace {
 
 constexpr std::string_view kIdPrefix = "run-";
@@ -13,7 +13,7 @@
   if (s == "batch") return JobKind::kArray;
   if (s == "group") return JobKind::kGang;
   if (s == "daemon") return JobKind::kService;
-  throw WireError("shape is unknown");
+  throw ProtocolError("shape is unknown");
 }
 
 const char* kind_name(JobKind k) {
@@ -33,7 +33,7 @@
   if (s == "high") return Priority::kHigh;
   if (s == "standard") return Priority::kNormal;
   if (s == "best_effort") return Priority::kLow;
-  throw WireError("precedence is unknown");
+  throw ProtocolError("precedence is unknown");
 }
 
 const char* priority_name(Priority p) {
@@ -64,14 +64,14 @@
   return "queued";
 }
 
-std::vector<JobId> parse_awaits(const Json& list, const JobId& job) {
-  auto awaits = parse_job_ids(list);
+std::vector<JobId> parse_dependencies(const Json& list, const JobId& job) {
+  auto depends_on = parse_job_ids(list);
   std::set<JobId> names{job};
-  for (const auto& awaited : awaits) {
-    if (awaited == job) throw WireError("awaits names the job itself");
-    if (!names.insert(awaited).second) throw WireError("awaits names a job twice");
+  for (const auto& dependency : depends_on) {
+    if (dependency == job) throw ProtocolError("awaits names the job itself");
+    if (!names.insert(dependency).second) throw ProtocolError("awaits names a job twice");
   }
-  return awaits;
+  return depends_on;
 }
 
 }  // namespace
@@ -86,22 +86,22 @@
 JobSpec parse_job(const Json& j) {
   JobSpec s;
   s.id = JobId(get_string(j, "ref"));
-  if (!valid_job_id(s.id.value())) throw WireError("ref is not a job id");
+  if (!valid_job_id(s.id.value())) throw ProtocolError("ref is not a job id");
   s.job_class = get_string(j, "berth");
   s.team = Team(get_string(j, "crew"));
   s.kind = parse_kind(get_string(j, "shape"));
   s.priority = parse_priority(get_string(j, "precedence"));
   auto tasks = get_count(j, "lamps");
-  if (tasks < 1 || tasks > kMaxTasks) throw WireError("lamps is out of range");
+  if (tasks < 1 || tasks > kMaxTasks) throw ProtocolError("lamps is out of range");
   s.tasks = static_cast<std::uint32_t>(tasks);
   s.each = {get_amount(j, "vcpus"), get_amount(j, "cards"), get_amount(j, "memoryGb")};
   s.image = ImageName(get_string(j, "cargo"));
   s.image_gb = get_amount(j, "sizeGb");
   if (const Json* types = find(j, "hulls")) {
-    if (!types->is_array()) throw WireError("hulls is not a list");
+    if (!types->is_array()) throw ProtocolError("hulls is not a list");
     s.types.emplace();
     for (const Json& t : *types) {
-      if (!t.is_string()) throw WireError("hulls holds something other than a name");
+      if (!t.is_string()) throw ProtocolError("hulls holds something other than a name");
       s.types->emplace_back(t.get<std::string>());
     }
   }
@@ -113,7 +113,7 @@
   s.checkpoint_s = get_amount(j, "markS");
   s.save_s = get_amount(j, "stowS");
   if (find(j, "tideS")) s.deadline_s = get_amount(j, "tideS");
-  if (const Json* awaits = find(j, "awaits")) s.awaits = parse_awaits(*awaits, s.id);
+  if (const Json* depends_on = find(j, "awaits")) s.depends_on = parse_dependencies(*depends_on, s.id);
   return s;
 }
 
@@ -142,7 +142,7 @@
   }
   if (s.zone) j["harbour"] = s.zone->value();
   if (s.deadline_s) j["tideS"] = *s.deadline_s;
-  if (!s.awaits.empty()) j["awaits"] = job_ids_to_json(s.awaits);
+  if (!s.depends_on.empty()) j["awaits"] = job_ids_to_json(s.depends_on);
   return j;
 }
 
@@ -153,11 +153,11 @@
 }
 
 std::vector<JobId> parse_job_ids(const Json& list) {
-  if (!list.is_array()) throw WireError("awaits is not a list");
+  if (!list.is_array()) throw ProtocolError("awaits is not a list");
   std::vector<JobId> ids;
   for (const Json& name : list) {
     if (!name.is_string() || !valid_job_id(name.get_ref<const std::string&>()))
-      throw WireError("awaits holds something other than a job id");
+      throw ProtocolError("awaits holds something other than a job id");
     ids.emplace_back(name.get<std::string>());
   }
   return ids;
@@ -189,4 +189,4 @@
   return id.job.value() + '/' + std::to_string(id.index);
 }
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/api.h
+++ b/src/protocol/api.h
@@ -6,9 +6,9 @@
 #include <vector>
 
 #include "base/types.h"
-#include "wire/json.h"
+#include "protocol/json.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 
 struct JobSpec {
   JobId id;
@@ -29,17 +29,17 @@
   double checkpoint_s = 0;
   double save_s = 0;
   std::optional<double> deadline_s;
-  std::vector<JobId> awaits;  // jobs that have to be done before any task of this one starts
+  std::vector<JobId> depends_on;  // jobs that have to be done before any task of this one starts
 };
 
 constexpr std::uint32_t kMaxTasks = 100'000;
 
 // The form that every job id has.
 bool valid_job_id(std::string_view id);
-// Throws WireError.
+// Throws ProtocolError.
 JobSpec parse_job(const Json& j);
 Json job_to_json(const JobSpec& spec);
-// Of ids as `awaits` holds them. Parser: WireError.
+// Of ids as `awaits` holds them. Parser: ProtocolError.
 Json job_ids_to_json(const std::vector<JobId>& ids);
 std::vector<JobId> parse_job_ids(const Json& list);
 
@@ -52,4 +52,4 @@
 std::optional<TaskId> parse_task_id(std::string_view text);
 std::string task_name(const TaskId& id);
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/cloud.cpp
+++ b/src/protocol/cloud.cpp
@@ -1,11 +1,11 @@
-#include "wire/cloud.h"
+#include "protocol/cloud.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 
 Catalogue parse_catalogue(const Json& j) {
   Catalogue c;
   const Json& list = need(j, "hulls");
-  if (!list.is_array()) throw WireError("hulls is not a list");
+  if (!list.is_array()) throw ProtocolError("hulls is not a list");
   for (const Json& e : list) {
     TypeInfo t;
     t.name = MachineType(get_string(e, "sku"));
@@ -16,9 +16,9 @@
     t.spot_price = get_amount(e, "lowPrice");
     t.boot_s = get_amount(e, "readyS");
     const Json& zones = need(e, "harbours");
-    if (!zones.is_array()) throw WireError("harbours is not a list");
+    if (!zones.is_array()) throw ProtocolError("harbours is not a list");
     for (const Json& z : zones) {
-      if (!z.is_string()) throw WireError("harbours holds something other than a name");
+      if (!z.is_string()) throw ProtocolError("harbours holds something other than a name");
       t.zones.emplace_back(z.get<std::string>());
     }
     c[t.name] = std::move(t);
@@ -29,7 +29,7 @@
 MachinePage parse_machine_page(const Json& j) {
   MachinePage p;
   const Json& list = need(j, "beacons");
-  if (!list.is_array()) throw WireError("beacons is not a list");
+  if (!list.is_array()) throw ProtocolError("beacons is not a list");
   for (const Json& e : list) {
     ListedMachine m;
     m.name = MachineName(get_string(e, "ref"));
@@ -51,9 +51,9 @@
 std::vector<MachineName> parse_rented(const Json& j) {
   std::vector<MachineName> names;
   const Json& list = need(j, "beacons");
-  if (!list.is_array()) throw WireError("beacons is not a list");
+  if (!list.is_array()) throw ProtocolError("beacons is not a list");
   for (const Json& e : list) {
-    if (!e.is_string()) throw WireError("beacons holds something other than a name");
+    if (!e.is_string()) throw ProtocolError("beacons holds something other than a name");
     names.emplace_back(e.get<std::string>());
   }
   return names;
@@ -79,4 +79,4 @@
   return t;
 }
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/cloud.h
+++ b/src/protocol/cloud.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "base/types.h"
-#include "wire/json.h"
+#include "protocol/json.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 
 struct TypeInfo {
   MachineType name;
@@ -50,7 +50,7 @@
 constexpr std::size_t kMaxDelete = 100;
 constexpr std::uint32_t kMachinePage = 500;
 
-// These throw WireError.
+// These throw ProtocolError.
 Catalogue parse_catalogue(const Json& j);
 MachinePage parse_machine_page(const Json& j);
 std::vector<MachineName> parse_rented(const Json& j);
@@ -58,4 +58,4 @@
 std::string render_delete(const std::vector<MachineName>& names);
 std::string machine_page_target(const std::optional<MachineName>& after);
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/paging.cpp
+++ b/src/protocol/paging.cpp
@@ -1,23 +1,23 @@
-#include "wire/paging.h"
+#include "protocol/paging.h"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 namespace {
 
 // Bytes of the fixed fields of an entry with its pointers, and of a text with its padding (Cap'n Proto).
 constexpr std::size_t kMachineBytes = 72;
 constexpr std::size_t kJobCountBytes = 16;
 constexpr std::size_t kOutcomeBytes = 40;
-constexpr std::size_t kReturnedBytes = 24;
+constexpr std::size_t kReleasedTasksBytes = 24;
 
 std::size_t text_bytes(const std::string& text) {
   return text.size() + 8;
 }
 
-std::size_t bytes_of(const MachineRoom& m) {
+std::size_t bytes_of(const MachineCapacity& m) {
   return kMachineBytes + text_bytes(m.name.value()) + text_bytes(m.type.value()) + text_bytes(m.zone.value());
 }
 
@@ -25,9 +25,9 @@
   return kJobCountBytes + text_bytes(c.job.value());
 }
 
-std::size_t bytes_of(const Outcome& o) {
+std::size_t bytes_of(const JobProgress& o) {
   auto bytes = kOutcomeBytes + text_bytes(o.job.value()) + text_bytes(o.done.str());
-  for (const auto& r : o.returned) bytes += kReturnedBytes + text_bytes(r.tasks.str());
+  for (const auto& r : o.released) bytes += kReleasedTasksBytes + text_bytes(r.tasks.str());
   return bytes;
 }
 
@@ -53,14 +53,14 @@
   return pages;
 }
 
-std::vector<Outcomes> paged(Outcomes outcomes, std::size_t page_bytes) {
-  auto jobs = std::exchange(outcomes.jobs, {});
-  std::vector<Outcomes> pages{outcomes};
+std::vector<ProgressReport> paged(ProgressReport progress_report, std::size_t page_bytes) {
+  auto jobs = std::exchange(progress_report.jobs, {});
+  std::vector<ProgressReport> pages{progress_report};
   std::size_t bytes = 0;
   for (auto& job : jobs) {
     auto more = bytes_of(job);
     if (bytes > 0 && bytes + more > page_bytes) {
-      pages.push_back(outcomes);
+      pages.push_back(progress_report);
       bytes = 0;
     }
     bytes += more;
@@ -70,7 +70,7 @@
 }
 
 std::optional<Summary> SummaryAssembler::add(Summary page) {
-  auto begun = begun_.find(page.part);
+  auto begun = begun_.find(page.shard);
   if (page.page > 0) {
     // A page that doesn't follow the last one: the one before it was lost.
     bool follows =
@@ -85,8 +85,8 @@
     whole.page = page.page;
     whole.more = page.more;
   } else {
-    auto part = page.part;
-    begun = begun_.insert_or_assign(part, std::move(page)).first;
+    auto shard = page.shard;
+    begun = begun_.insert_or_assign(shard, std::move(page)).first;
   }
   if (begun->second.more) return std::nullopt;
   auto whole = std::move(begun->second);
@@ -95,4 +95,4 @@
   return whole;
 }
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/paging.h
+++ b/src/protocol/paging.h
@@ -7,20 +7,20 @@
 #include <optional>
 #include <vector>
 
-#include "wire/peer.h"
+#include "protocol/peer.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 
 // Bytes of a page, about: half of what receivers of all versions accept in one frame (1 MiB), since what an
 // entry takes is reckoned, not measured.
 constexpr std::size_t kPageBytes = std::size_t{512} * 1024;
 
 // The summary in pages, in order; a single one if all fits. Earlier versions take the last page for the
-// whole: they think that the part has less room than it has.
+// whole: they think that the shard has less room than it has.
 std::vector<Summary> paged(Summary summary, std::size_t page_bytes = kPageBytes);
 
 // The same for outcomes; each page stands for itself.
-std::vector<Outcomes> paged(Outcomes outcomes, std::size_t page_bytes = kPageBytes);
+std::vector<ProgressReport> paged(ProgressReport progress_report, std::size_t page_bytes = kPageBytes);
 
 // Puts the pages of summaries together. A summary of which a page is lost is dropped: the next one follows.
 class SummaryAssembler {
@@ -29,7 +29,7 @@
   std::optional<Summary> add(Summary page);
 
  private:
-  std::map<PartId, Summary> begun_;
+  std::map<ShardId, Summary> begun_;
 };
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/peer.capnp
+++ b/src/protocol/peer.capnp
@@ -4,20 +4,20 @@
 $Cxx.namespace("beaconsill::peer");
 
 # One message between two controllers. All of them only make things quick: losing or repeating any of them
-# breaks nothing, the state service and the workers are the truth.
+# breaks nothing, the state store and the workers are the truth.
 struct Message {
   from @0 :Text;
   union {
     heartbeat @1 :Heartbeat;
-    nudge @2 :Nudge;
-    ask @3 :Ask;
-    answer @4 :Answer;
+    nudge @2 :ChangeNotification;
+    ask @3 :EstimateRequest;
+    answer @4 :EstimateResponse;
     summary @5 :Summary;
     release @6 :Machines;
     gone @7 :Machines;
-    relay @8 :Relay;
-    relayed @9 :Relayed;
-    outcomes @10 :Outcomes;
+    relay @8 :RelayedHeartbeat;
+    relayed @9 :RelayedReply;
+    outcomes @10 :ProgressReport;
   }
 }
 
@@ -27,23 +27,23 @@
   # all cancellations if this revision isn't above what they have read. So it covers the earlier processes of
   # the sender too, and such a receiver needs no promise.
   toldRevision @0 :UInt64;
-  # The sender answers no machine of this part under a term lower than the one given.
-  terms @1 :List(PartTerm);
+  # The sender answers no machine of this shard under a term lower than the one given.
+  terms @1 :List(ShardTerm);
   # Numbers this heartbeat, and gives the last number received: what the sender says here it said after the
   # receiver had sent that one. Without it a message that was held up would pass for fresh.
   sequence @2 :UInt64;
   echo @3 :UInt64;
-  # The sender's own requests to the state service succeed.
+  # The sender's own requests to the state store succeed.
   stateOk @4 :Bool;
   # Absent in heartbeats of versions before it: their senders tell users of a cancellation without asking
   # anybody, so such a heartbeat proves nothing beyond the time of what it echoes.
-  disclosure @5 :Disclosure;
+  disclosure @5 :CancellationSync;
 }
 
 # What the receiver may conclude about cancelled jobs that the sender has disclosed to users or will disclose.
 # The echo of a heartbeat acknowledges all that its `cancelled` holds.
-struct Disclosure {
-  # The sender has read the whole state service since it started, and discloses nothing before that.
+struct CancellationSync {
+  # The sender has read the whole state store since it started, and discloses nothing before that.
   ready @0 :Bool;
   # The sender has read all changes up to this revision; 0 while it isn't ready.
   readRevision @1 :UInt64;
@@ -55,24 +55,24 @@
   cancelled @4 :List(CancelledJob);
 }
 
-# The record of a job's end in the state service.
+# The record of a job's end in the state store.
 struct CancelledJob {
   job @0 :Text;
   revision @1 :UInt64;
   done @2 :UInt32;
 }
 
-struct PartTerm {
+struct ShardTerm {
   part @0 :UInt32;
   term @1 :UInt64;
 }
 
-# The state service has changes up to this revision that the receiver should look at.
-struct Nudge {
+# The state store has changes up to this revision that the receiver should look at.
+struct ChangeNotification {
   revision @0 :UInt64;
 }
 
-struct Shape {
+struct ResourceRequest {
   cpus @0 :Float64;
   gpus @1 :Float64;
   memoryGb @2 :Float64;
@@ -85,12 +85,12 @@
   wanted @9 :UInt32;
 }
 
-struct Ask {
+struct EstimateRequest {
   round @0 :UInt64;
-  shapes @1 :List(Shape);
+  shapes @1 :List(ResourceRequest);
 }
 
-struct ZoneRoom {
+struct ZoneCapacity {
   zone @0 :Text;
   free @1 :UInt32;
   # Of the free, on machines that hold the image already.
@@ -101,24 +101,24 @@
   warmPreemptible @4 :UInt32;
 }
 
-struct Answer {
+struct EstimateResponse {
   round @0 :UInt64;
   part @1 :UInt32;
   term @2 :UInt64;
-  # Grants up to this revision were known when the part answered.
+  # Grants up to this revision were known when the shard answered.
   seenRevision @3 :UInt64;
-  rooms @4 :List(ShapeRoom);
+  rooms @4 :List(CapacityByZone);
 }
 
-struct ShapeRoom {
-  zones @0 :List(ZoneRoom);
+struct CapacityByZone {
+  zones @0 :List(ZoneCapacity);
 }
 
 struct Summary {
   part @0 :UInt32;
   term @1 :UInt64;
   seenRevision @2 :UInt64;
-  machines @3 :List(MachineRoom);
+  machines @3 :List(MachineCapacity);
   running @4 :List(JobCount);
   # A summary that outgrows a frame goes in several messages, numbered from 0; `more` follow. Versions without
   # these fields send a single one.
@@ -126,7 +126,7 @@
   more @6 :Bool;
 }
 
-struct MachineRoom {
+struct MachineCapacity {
   name @0 :Text;
   type @1 :Text;
   zone @2 :Text;
@@ -143,37 +143,37 @@
   running @1 :UInt32;
 }
 
-# A worker's report, as it came, to the owner of its part: the worker may be unable to reach it.
-struct Relay {
+# A worker's report, as it came, to the owner of its shard: the worker may be unable to reach it.
+struct RelayedHeartbeat {
   id @0 :UInt64;
   report @1 :Text;
 }
 
 # The owner's answer, to be passed on as it is.
-struct Relayed {
+struct RelayedReply {
   id @0 :UInt64;
   status @1 :UInt16;
   body @2 :Text;
 }
 
-# What became of tasks granted to a part, as far as its owner's record may not hold it yet.
-struct Outcomes {
+# What became of tasks granted to a shard, as far as its owner's record may not hold it yet.
+struct ProgressReport {
   part @0 :UInt32;
   term @1 :UInt64;
-  jobs @2 :List(Outcome);
+  jobs @2 :List(JobProgress);
 }
 
-struct Outcome {
+struct JobProgress {
   job @0 :Text;
-  # Sets of task numbers as in the state service.
+  # Sets of task numbers as in the state store.
   done @1 :Text;
-  returned @2 :List(Returned);
+  returned @2 :List(ReleasedTasks);
   # What the owner has newly found out about a job of which tasks failed. Said once, and not repeated if it's
   # lost; versions before it say nothing.
-  verdict @3 :Verdict;
+  verdict @3 :JobHealth;
 }
 
-enum Verdict {
+enum JobHealth {
   none @0;
   # Its tasks fail on several machines, and none is known to work.
   fails @1;
@@ -181,7 +181,7 @@
   works @2;
 }
 
-struct Returned {
+struct ReleasedTasks {
   generation @0 :UInt64;
   tasks @1 :Text;
 }
--- a/src/wire/peer.cpp
+++ b/src/protocol/peer.cpp
@@ -1,13 +1,13 @@
-#include "wire/peer.h"
+#include "protocol/peer.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize.h>
 
 #include <cstring>
 
-#include "wire/peer.capnp.h"
+#include "protocol/peer.capnp.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 namespace {
 
 template <class... F>
@@ -32,7 +32,7 @@
   return v;
 }
 
-void put_shape(peer::Shape::Builder b, const Shape& s) {
+void put_resource_request(peer::ResourceRequest::Builder b, const ResourceRequest& s) {
   b.setCpus(s.each.cpus);
   b.setGpus(s.each.gpus);
   b.setMemoryGb(s.each.memory_gb);
@@ -48,8 +48,8 @@
   b.setWanted(s.wanted);
 }
 
-Shape get_shape(peer::Shape::Reader r) {
-  Shape s;
+ResourceRequest get_resource_request(peer::ResourceRequest::Reader r) {
+  ResourceRequest s;
   s.each = {r.getCpus(), r.getGpus(), r.getMemoryGb()};
   if (!r.getAnyType()) {
     s.types.emplace();
@@ -69,10 +69,10 @@
   return std::move(*r);
 }
 
-void put_disclosure(peer::Disclosure::Builder b, const Disclosure& d) {
+void put_cancellation_sync(peer::CancellationSync::Builder b, const CancellationSync& d) {
   b.setReady(d.ready);
   b.setReadRevision(d.read_until.value());
-  b.setPromiseMs(static_cast<std::uint32_t>(d.promise.count()));
+  b.setPromiseMs(static_cast<std::uint32_t>(d.read_lease.count()));
   b.setComplete(d.complete);
   auto list = b.initCancelled(d.cancelled.size());
   for (std::size_t i = 0; i < d.cancelled.size(); ++i) {
@@ -82,57 +82,58 @@
   }
 }
 
-Disclosure get_disclosure(peer::Disclosure::Reader r) {
-  Disclosure d;
+CancellationSync get_cancellation_sync(peer::CancellationSync::Reader r) {
+  CancellationSync d;
   d.ready = r.getReady();
   d.read_until = Revision(r.getReadRevision());
-  d.promise = std::chrono::milliseconds(r.getPromiseMs());
+  d.read_lease = std::chrono::milliseconds(r.getPromiseMs());
   d.complete = r.getComplete();
   for (auto c : r.getCancelled())
     d.cancelled.push_back({Revision(c.getRevision()), JobId(text(c.getJob())), c.getDone()});
   return d;
 }
 
-peer::Verdict put_verdict(Verdict v) {
+peer::JobHealth put_verdict(JobHealth v) {
   switch (v) {
-    case Verdict::kFails:
-      return peer::Verdict::FAILS;
-    case Verdict::kWorks:
-      return peer::Verdict::WORKS;
-    case Verdict::kNone:
+    case JobHealth::kFails:
+      return peer::JobHealth::FAILS;
+    case JobHealth::kWorks:
+      return peer::JobHealth::WORKS;
+    case JobHealth::kNone:
       break;
   }
-  return peer::Verdict::NONE;
+  return peer::JobHealth::NONE;
 }
 
 // One that a later version may have says nothing here.
-Verdict get_verdict(peer::Verdict v) {
-  if (v == peer::Verdict::FAILS) return Verdict::kFails;
-  return v == peer::Verdict::WORKS ? Verdict::kWorks : Verdict::kNone;
+JobHealth get_verdict(peer::JobHealth v) {
+  if (v == peer::JobHealth::FAILS) return JobHealth::kFails;
+  return v == peer::JobHealth::WORKS ? JobHealth::kWorks : JobHealth::kNone;
 }
 
-PeerBody get_body(peer::Message::Reader m) {
+PeerPayload get_body(peer::Message::Reader m) {
   switch (m.which()) {
     case peer::Message::HEARTBEAT: {
       auto r = m.getHeartbeat();
       Heartbeat h{Revision(r.getToldRevision()), {}, r.getSequence(), r.getEcho(), r.getStateOk(), {}};
-      if (r.hasDisclosure()) h.disclosure = get_disclosure(r.getDisclosure());
-      for (auto t : r.getTerms()) h.terms.push_back({PartId(t.getPart()), Term(t.getTerm())});
+      if (r.hasDisclosure()) h.cancellation_sync = get_cancellation_sync(r.getDisclosure());
+      for (auto t : r.getTerms()) h.terms.push_back({ShardId(t.getPart()), Term(t.getTerm())});
       return h;
     }
     case peer::Message::NUDGE:
-      return Nudge{Revision(m.getNudge().getRevision())};
+      return ChangeNotification{Revision(m.getNudge().getRevision())};
     case peer::Message::ASK: {
-      Ask a;
+      EstimateRequest a;
       a.round = m.getAsk().getRound();
-      for (auto s : m.getAsk().getShapes()) a.shapes.push_back(get_shape(s));
+      for (auto s : m.getAsk().getShapes()) a.resource_requests.push_back(get_resource_request(s));
       return a;
     }
     case peer::Message::ANSWER: {
       auto r = m.getAnswer();
-      Answer a{r.getRound(), PartId(r.getPart()), Term(r.getTerm()), Revision(r.getSeenRevision()), {}};
+      EstimateResponse a{
+          r.getRound(), ShardId(r.getPart()), Term(r.getTerm()), Revision(r.getSeenRevision()), {}};
       for (auto s : r.getRooms()) {
-        ShapeRoom room;
+        CapacityByZone room;
         for (auto z : s.getZones())
           room.push_back({Zone(text(z.getZone())), z.getFree(), z.getWarm(), z.getPreemptible(),
                           z.getWarmPreemptible()});
@@ -142,7 +143,7 @@
     }
     case peer::Message::SUMMARY: {
       auto r = m.getSummary();
-      Summary s{PartId(r.getPart()), Term(r.getTerm()), Revision(r.getSeenRevision()), {}, {}};
+      Summary s{ShardId(r.getPart()), Term(r.getTerm()), Revision(r.getSeenRevision()), {}, {}};
       for (auto e : r.getMachines())
         s.machines.push_back({MachineName(text(e.getName())),
                               MachineType(text(e.getType())),
@@ -157,22 +158,22 @@
       return s;
     }
     case peer::Message::RELEASE:
-      return Release{get_names(m.getRelease())};
+      return ReleaseMachines{get_names(m.getRelease())};
     case peer::Message::RELAY:
-      return Relay{m.getRelay().getId(), text(m.getRelay().getReport())};
+      return RelayedHeartbeat{m.getRelay().getId(), text(m.getRelay().getReport())};
     case peer::Message::RELAYED: {
       auto r = m.getRelayed();
-      return Relayed{r.getId(), r.getStatus(), text(r.getBody())};
+      return RelayedReply{r.getId(), r.getStatus(), text(r.getBody())};
     }
     case peer::Message::GONE:
-      return Gone{get_names(m.getGone())};
+      return TerminatedMachines{get_names(m.getGone())};
     case peer::Message::OUTCOMES: {
       auto r = m.getOutcomes();
-      Outcomes o{PartId(r.getPart()), Term(r.getTerm()), {}};
+      ProgressReport o{ShardId(r.getPart()), Term(r.getTerm()), {}};
       for (auto j : r.getJobs()) {
-        Outcome x{JobId(text(j.getJob())), get_ranges(j.getDone()), {}, get_verdict(j.getVerdict())};
+        JobProgress x{JobId(text(j.getJob())), get_ranges(j.getDone()), {}, get_verdict(j.getVerdict())};
         for (auto b : j.getReturned())
-          x.returned.push_back({Generation(b.getGeneration()), get_ranges(b.getTasks())});
+          x.released.push_back({Generation(b.getGeneration()), get_ranges(b.getTasks())});
         o.jobs.push_back(std::move(x));
       }
       return o;
@@ -181,32 +182,33 @@
   KJ_FAIL_REQUIRE("unknown kind of message");
 }
 
-void put_body(peer::Message::Builder m, const PeerBody& body) {
+void put_body(peer::Message::Builder m, const PeerPayload& body) {
   std::visit(Overloaded{
                  [&](const Heartbeat& h) {
                    auto b = m.initHeartbeat();
-                   b.setToldRevision(h.told.value());
+                   b.setToldRevision(h.acknowledged_until.value());
                    b.setSequence(h.sequence);
                    b.setEcho(h.echo);
                    b.setStateOk(h.state_ok);
-                   if (h.disclosure) put_disclosure(b.initDisclosure(), *h.disclosure);
+                   if (h.cancellation_sync) put_cancellation_sync(b.initDisclosure(), *h.cancellation_sync);
                    auto list = b.initTerms(h.terms.size());
                    for (std::size_t i = 0; i < h.terms.size(); ++i) {
-                     list[i].setPart(h.terms[i].part.value());
+                     list[i].setPart(h.terms[i].shard.value());
                      list[i].setTerm(h.terms[i].term.value());
                    }
                  },
-                 [&](const Nudge& n) { m.initNudge().setRevision(n.revision.value()); },
-                 [&](const Ask& a) {
+                 [&](const ChangeNotification& n) { m.initNudge().setRevision(n.revision.value()); },
+                 [&](const EstimateRequest& a) {
                    auto b = m.initAsk();
                    b.setRound(a.round);
-                   auto list = b.initShapes(a.shapes.size());
-                   for (std::size_t i = 0; i < a.shapes.size(); ++i) put_shape(list[i], a.shapes[i]);
+                   auto list = b.initShapes(a.resource_requests.size());
+                   for (std::size_t i = 0; i < a.resource_requests.size(); ++i)
+                     put_resource_request(list[i], a.resource_requests[i]);
                  },
-                 [&](const Answer& a) {
+                 [&](const EstimateResponse& a) {
                    auto b = m.initAnswer();
                    b.setRound(a.round);
-                   b.setPart(a.part.value());
+                   b.setPart(a.shard.value());
                    b.setTerm(a.term.value());
                    b.setSeenRevision(a.seen.value());
                    auto rooms = b.initRooms(a.rooms.size());
@@ -223,7 +225,7 @@
                  },
                  [&](const Summary& s) {
                    auto b = m.initSummary();
-                   b.setPart(s.part.value());
+                   b.setPart(s.shard.value());
                    b.setTerm(s.term.value());
                    b.setSeenRevision(s.seen.value());
                    b.setPage(s.page);
@@ -247,22 +249,22 @@
                      rs[i].setRunning(s.running[i].running);
                    }
                  },
-                 [&](const Release& r) { put_names(m.initRelease(), r.machines); },
-                 [&](const Relay& r) {
+                 [&](const ReleaseMachines& r) { put_names(m.initRelease(), r.machines); },
+                 [&](const RelayedHeartbeat& r) {
                    auto b = m.initRelay();
                    b.setId(r.id);
-                   b.setReport(r.report);
+                   b.setReport(r.heartbeat);
                  },
-                 [&](const Relayed& r) {
+                 [&](const RelayedReply& r) {
                    auto b = m.initRelayed();
                    b.setId(r.id);
                    b.setStatus(static_cast<std::uint16_t>(r.status));
                    b.setBody(r.body);
                  },
-                 [&](const Gone& g) { put_names(m.initGone(), g.machines); },
-                 [&](const Outcomes& o) {
+                 [&](const TerminatedMachines& g) { put_names(m.initGone(), g.machines); },
+                 [&](const ProgressReport& o) {
                    auto b = m.initOutcomes();
-                   b.setPart(o.part.value());
+                   b.setPart(o.shard.value());
                    b.setTerm(o.term.value());
                    auto list = b.initJobs(o.jobs.size());
                    for (std::size_t i = 0; i < o.jobs.size(); ++i) {
@@ -270,10 +272,10 @@
                      list[i].setJob(x.job.value());
                      list[i].setDone(x.done.str());
                      list[i].setVerdict(put_verdict(x.verdict));
-                     auto back = list[i].initReturned(x.returned.size());
-                     for (std::size_t k = 0; k < x.returned.size(); ++k) {
-                       back[k].setGeneration(x.returned[k].generation.value());
-                       back[k].setTasks(x.returned[k].tasks.str());
+                     auto back = list[i].initReturned(x.released.size());
+                     for (std::size_t k = 0; k < x.released.size(); ++k) {
+                       back[k].setGeneration(x.released[k].generation.value());
+                       back[k].setTasks(x.released[k].tasks.str());
                      }
                    }
                  },
@@ -300,10 +302,10 @@
   try {
     capnp::FlatArrayMessageReader reader(words);
     auto root = reader.getRoot<peer::Message>();
-    return PeerMessage{NodeName(text(root.getFrom())), get_body(root)};
+    return PeerMessage{ControllerName(text(root.getFrom())), get_body(root)};
   } catch (const kj::Exception&) {
     return std::nullopt;
   }
 }
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/peer.h
+++ b/src/protocol/peer.h
@@ -12,13 +12,13 @@
 #include "base/ranges.h"
 #include "base/types.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 
-struct PartTerm {
-  PartId part;
+struct ShardTerm {
+  ShardId shard;
   Term term;
 };
-// A job's end as the state service records it. Ordered by revision.
+// A job's end as the state store records it. Ordered by revision.
 struct CancelledJob {
   Revision revision;
   JobId job;
@@ -27,27 +27,27 @@
 };
 // What the receiver of a heartbeat may conclude about cancellations that its sender discloses to users; the
 // fields are explained in peer.capnp.
-struct Disclosure {
+struct CancellationSync {
   bool ready = false;
   Revision read_until;
-  std::chrono::milliseconds promise{0};
+  std::chrono::milliseconds read_lease{0};
   bool complete = false;
   std::vector<CancelledJob> cancelled;
 };
 struct Heartbeat {
-  Revision told;
-  std::vector<PartTerm> terms;
+  Revision acknowledged_until;
+  std::vector<ShardTerm> terms;
   std::uint64_t sequence = 0;
   std::uint64_t echo = 0;
   bool state_ok = false;
-  std::optional<Disclosure> disclosure;  // none: the sender is of a version without it
+  std::optional<CancellationSync> cancellation_sync;  // none: the sender is of a version without it
 };
-struct Nudge {
+struct ChangeNotification {
   Revision revision;
 };
 
 // What an estimate is asked for: a task's needs and the machines it may use.
-struct Shape {
+struct ResourceRequest {
   Resources each;
   std::optional<std::vector<MachineType>> types;
   std::optional<Zone> zone;
@@ -55,29 +55,29 @@
   ImageName image;
   Priority priority = Priority::kNormal;
   std::uint32_t wanted = 0;
-  bool operator==(const Shape&) const = default;
+  bool operator==(const ResourceRequest&) const = default;
 };
-struct Ask {
+struct EstimateRequest {
   std::uint64_t round = 0;
-  std::vector<Shape> shapes;
+  std::vector<ResourceRequest> resource_requests;
 };
-struct ZoneRoom {
+struct ZoneCapacity {
   Zone zone;
   std::uint32_t free = 0;
   std::uint32_t warm = 0;
   std::uint32_t preemptible = 0;
   std::uint32_t warm_preemptible = 0;
-  bool operator==(const ZoneRoom&) const = default;
+  bool operator==(const ZoneCapacity&) const = default;
 };
-using ShapeRoom = std::vector<ZoneRoom>;
-struct Answer {
+using CapacityByZone = std::vector<ZoneCapacity>;
+struct EstimateResponse {
   std::uint64_t round = 0;
-  PartId part;
+  ShardId shard;
   Term term;
   Revision seen;
-  std::vector<ShapeRoom> rooms;  // one for each shape asked for
+  std::vector<CapacityByZone> rooms;  // one for each shape asked for
 };
-struct MachineRoom {
+struct MachineCapacity {
   MachineName name;
   MachineType type;
   Zone zone;
@@ -91,65 +91,66 @@
   std::uint32_t running = 0;
 };
 struct Summary {
-  PartId part;
+  ShardId shard;
   Term term;
   Revision seen;
-  std::vector<MachineRoom> machines;
+  std::vector<MachineCapacity> machines;
   std::vector<JobCount> running;
   std::uint32_t page = 0;  // see wire/paging.h
   bool more = false;
 };
-struct Release {
+struct ReleaseMachines {
   std::vector<MachineName> machines;
 };
-struct Gone {
+struct TerminatedMachines {
   std::vector<MachineName> machines;
 };
 
-struct Relay {
+struct RelayedHeartbeat {
   std::uint64_t id = 0;
-  std::string report;
+  std::string heartbeat;
 };
-struct Relayed {
+struct RelayedReply {
   std::uint64_t id = 0;
   int status = 0;
   std::string body;
 };
 
-// Tasks of one grant that a part has given back.
-struct Returned {
+// Tasks of one grant that a shard has given back.
+struct ReleasedTasks {
   Generation generation;
   Ranges tasks;
-  bool operator==(const Returned&) const = default;
+  bool operator==(const ReleasedTasks&) const = default;
 };
 // What an owner has found out about a job of which tasks failed.
-enum class Verdict {
+enum class JobHealth {
   kNone,   // nothing new
   kFails,  // its tasks fail on several machines, and none is known to work
   kWorks   // it was taken to fail, but some task has completed or runs well
 };
-struct Outcome {
+struct JobProgress {
   JobId job;
   Ranges done;
-  std::vector<Returned> returned;
-  Verdict verdict = Verdict::kNone;
+  std::vector<ReleasedTasks> released;
+  JobHealth verdict = JobHealth::kNone;
 };
-// What became of tasks granted to a part, as far as its owner's record may not hold it yet.
-struct Outcomes {
-  PartId part;
+// What became of tasks granted to a shard, as far as its owner's record may not hold it yet.
+struct ProgressReport {
+  ShardId shard;
   Term term;
-  std::vector<Outcome> jobs;
+  std::vector<JobProgress> jobs;
 };
 
-using PeerBody =
-    std::variant<Heartbeat, Nudge, Ask, Answer, Summary, Release, Gone, Relay, Relayed, Outcomes>;
+using PeerPayload =
+    std::variant<Heartbeat, ChangeNotification, EstimateRequest, EstimateResponse, Summary, ReleaseMachines,
+                 TerminatedMachines, RelayedHeartbeat, RelayedReply, ProgressReport>;
 struct PeerMessage {
-  NodeName from;
-  PeerBody body;
+  ControllerName from;
+  PeerPayload body;
 };
 
 std::string encode_peer(const PeerMessage& m);
 // None for anything that isn't a well-formed message.
 std::optional<PeerMessage> decode_peer(std::string_view bytes);
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/store.cpp
+++ b/src/protocol/state_store.cpp
@@ -1,6 +1,6 @@
-#include "wire/store.h"
+#include "protocol/state_store.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 
 Item parse_item(const Json& j) {
   return {get_string(j, "path"), need(j, "v"), Revision(get_count(j, "entry"))};
@@ -9,7 +9,7 @@
 Page parse_page(const Json& j) {
   Page p;
   const Json& rows = need(j, "rows");
-  if (!rows.is_array()) throw WireError("rows is not a list");
+  if (!rows.is_array()) throw ProtocolError("rows is not a list");
   for (const Json& r : rows) p.items.push_back(parse_item(r));
   p.more = get_bool_or(j, "more", false);
   p.revision = Revision(get_count(j, "logline"));
@@ -19,7 +19,7 @@
 Changes parse_changes(const Json& j) {
   Changes c;
   if (const Json* news = find(j, "news")) {
-    if (!news->is_array()) throw WireError("news is not a list");
+    if (!news->is_array()) throw ProtocolError("news is not a list");
     for (const Json& n : *news) {
       Change ch;
       if (find(n, "set")) {
@@ -40,8 +40,8 @@
   return Revision(get_count(j, "logline"));
 }
 
-HoldId parse_hold(const Json& j) {
-  return HoldId(get_count(j, "moorage"));
+LeaseId parse_lease(const Json& j) {
+  return LeaseId(get_count(j, "moorage"));
 }
 
 std::string render_txn(const Txn& t) {
@@ -54,13 +54,13 @@
       continue;
     }
     Json e{{"set", w.key}, {"v", *w.value}};
-    if (w.hold) e["moorage"] = w.hold->value();
+    if (w.lease) e["moorage"] = w.lease->value();
     writes.push_back(std::move(e));
   }
   return dump(Json{{"when", std::move(when)}, {"writes", std::move(writes)}});
 }
 
-std::string render_hold(std::uint32_t ttl_ms) {
+std::string render_lease(std::uint32_t ttl_ms) {
   return dump(Json{{"ttlMs", ttl_ms}});
 }
 
@@ -75,4 +75,4 @@
          "&holdMs=" + std::to_string(wait_ms);
 }
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/store.h
+++ b/src/protocol/state_store.h
@@ -1,4 +1,4 @@
-// What the state service's API says.
+// What the state store's API says.
 #pragma once
 
 #include <optional>
@@ -6,9 +6,9 @@
 #include <vector>
 
 #include "base/types.h"
-#include "wire/json.h"
+#include "protocol/json.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 
 struct Item {
   std::string key;
@@ -38,25 +38,25 @@
 struct Write {
   std::string key;
   std::optional<Json> value;  // none: delete
-  std::optional<HoldId> hold;
+  std::optional<LeaseId> lease;
 };
 struct Txn {
   std::vector<Condition> conditions;
   std::vector<Write> writes;
 };
 
-// These throw WireError.
+// These throw ProtocolError.
 Item parse_item(const Json& j);
 Page parse_page(const Json& j);
 Changes parse_changes(const Json& j);
 Revision parse_revision(const Json& j);
-HoldId parse_hold(const Json& j);
+LeaseId parse_lease(const Json& j);
 std::string render_txn(const Txn& t);
-std::string render_hold(std::uint32_t ttl_ms);
+std::string render_lease(std::uint32_t ttl_ms);
 std::string page_target(std::string_view prefix, std::string_view after, std::uint32_t limit);
 std::string watch_target(std::string_view prefix, Revision after, std::uint32_t wait_ms);
-inline std::string hold_target(HoldId id) {
+inline std::string lease_target(LeaseId id) {
   return "/holds/" + std::to_string(id.value());
 }
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/worker.cpp
+++ b/src/protocol/worker.cpp
@@ -1,8 +1,8 @@
-#include "wire/worker.h"
+#include "protocol/worker.h"
 
-#include "wire/api.h"
+#include "protocol/api.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 namespace {
 
 TaskState parse_state(const std::string& s) {
@@ -11,7 +11,7 @@
   if (s == "running") return TaskState::kRunning;
   if (s == "saving") return TaskState::kSaving;
   if (s == "ended") return TaskState::kEnded;
-  throw WireError("bearing of a task is unknown");
+  throw ProtocolError("bearing of a task is unknown");
 }
 
 EndCause parse_cause(const std::string& s) {
@@ -19,7 +19,7 @@
   if (s == "halted") return EndCause::kStopped;
   if (s == "mates_gone") return EndCause::kPeersGone;
   if (s == "alone") return EndCause::kAlone;
-  if (s == "full") return EndCause::kNoRoom;
+  if (s == "full") return EndCause::kNoCapacityLeft;
   if (s == "in_use") return EndCause::kBusy;
   if (s == "unknown") return EndCause::kUnknown;
   return EndCause::kError;  // also any cause that isn't known yet: the task ended without being done
@@ -27,24 +27,24 @@
 
 }  // namespace
 
-Report parse_report(const Json& j) {
-  Report r;
+WorkerHeartbeat parse_worker_heartbeat(const Json& j) {
+  WorkerHeartbeat r;
   r.machine = MachineName(get_string(j, "beacon"));
   r.address = get_string(j, "address");
   r.type = MachineType(get_string(j, "hull"));
   r.zone = Zone(get_string(j, "harbour"));
   r.spot = get_bool(j, "driftwood");
-  r.session = Session(get_count(j, "watch"));
+  r.incarnation = Incarnation(get_count(j, "watch"));
   r.sequence = Sequence(get_count(j, "tally"));
   r.token = Token(get_count(j, "helm"));
   if (find(j, "recallS")) r.notice_s = get_amount(j, "recallS");
   const Json& tasks = need(j, "lamps");
-  if (!tasks.is_array()) throw WireError("lamps is not a list");
+  if (!tasks.is_array()) throw ProtocolError("lamps is not a list");
   r.tasks.reserve(tasks.size());
   for (const Json& t : tasks) {
-    TaskReport tr;
+    TaskStatus tr;
     auto id = parse_task_id(get_string(t, "lamp"));
-    if (!id) throw WireError("lamp is not a task id");
+    if (!id) throw ProtocolError("lamp is not a task id");
     tr.task = std::move(*id);
     tr.attempt = Attempt(get_count(t, "launch"));
     tr.state = parse_state(get_string(t, "bearing"));
@@ -78,16 +78,17 @@
 }
 }  // namespace
 
-std::string render_report_answer(Token token, const std::vector<Command>& commands) {
+std::string render_heartbeat_response(Token token, const std::vector<Command>& commands) {
   return dump(Json{{"helm", token.value()}, {"signals", command_list(commands)}});
 }
 
-std::string render_commands(Token token, Session session, const std::vector<Command>& commands) {
-  return dump(Json{{"helm", token.value()}, {"watch", session.value()}, {"signals", command_list(commands)}});
+std::string render_commands(Token token, Incarnation incarnation, const std::vector<Command>& commands) {
+  return dump(
+      Json{{"helm", token.value()}, {"watch", incarnation.value()}, {"signals", command_list(commands)}});
 }
 
-std::string render_redirect(const std::optional<NodeName>& owner) {
+std::string render_redirect(const std::optional<ControllerName>& owner) {
   return owner ? dump(Json{{"keeper", owner->value()}}) : std::string("{}");
 }
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/wire/worker.h
+++ b/src/protocol/worker.h
@@ -6,14 +6,14 @@
 #include <vector>
 
 #include "base/types.h"
-#include "wire/json.h"
+#include "protocol/json.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 
 enum class TaskState { kFetching, kWaiting, kRunning, kSaving, kEnded };
-enum class EndCause { kDone, kStopped, kPeersGone, kAlone, kError, kNoRoom, kBusy, kUnknown };
+enum class EndCause { kDone, kStopped, kPeersGone, kAlone, kError, kNoCapacityLeft, kBusy, kUnknown };
 
-struct TaskReport {
+struct TaskStatus {
   TaskId task;
   Attempt attempt;
   TaskState state = TaskState::kFetching;
@@ -21,24 +21,26 @@
   bool saved = false;
 };
 
-struct Report {
+struct WorkerHeartbeat {
   MachineName machine;
   std::string address;
   MachineType type;
   Zone zone;
   bool spot = false;
-  Session session;
+  Incarnation incarnation;
   Sequence sequence;
   Token token;
   std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 
   // Of two reports of a machine, the one with the larger (session, sequence) is the newer.
-  bool newer_than(Session s, Sequence q) const { return session != s ? session > s : sequence > q; }
+  bool newer_than(Incarnation s, Sequence q) const {
+    return incarnation != s ? incarnation > s : sequence > q;
+  }
 };
 
-// Throws WireError.
-Report parse_report(const Json& j);
+// Throws ProtocolError.
+WorkerHeartbeat parse_worker_heartbeat(const Json& j);
 
 struct Command {
   enum class Op { kStart, kStop, kForget };
@@ -48,9 +50,9 @@
   double grace_s = 0;
 };
 
-std::string render_report_answer(Token token, const std::vector<Command>& commands);
-std::string render_commands(Token token, Session session, const std::vector<Command>& commands);
-// The answer to a report by a node that isn't the machine's owner.
-std::string render_redirect(const std::optional<NodeName>& owner);
+std::string render_heartbeat_response(Token token, const std::vector<Command>& commands);
+std::string render_commands(Token token, Incarnation incarnation, const std::vector<Command>& commands);
+// The answer to a report by a controller that isn't the machine's owner.
+std::string render_redirect(const std::optional<ControllerName>& owner);
 
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/src/lead/capacity.cpp
+++ b/src/scheduler/autoscaler.cpp
@@ -1,11 +1,11 @@
-#include "lead/capacity.h"
+#include "scheduler/autoscaler.h"
 
 #include <algorithm>
 #include <cmath>
 
 #include "base/log.h"
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 namespace {
 constexpr Duration kRefusalMemory = std::chrono::seconds(12);
 constexpr Duration kRentAgain = std::chrono::seconds(1);
@@ -29,99 +29,101 @@
 constexpr int kListLags = 2;
 }  // namespace
 
-Capacity::Capacity(CapacityParams params, std::string prefix) : params_(params), prefix_(std::move(prefix)) {}
+Autoscaler::Autoscaler(AutoscalerParams params, std::string prefix)
+    : params_(params), prefix_(std::move(prefix)) {}
 
-void Capacity::on_takeover(Instant now) {
+void Autoscaler::on_takeover(Instant now) {
   list_complete_ = false;
   list_complete_at_ = now + params_.list_lag * kListLags;
 }
 
-double Capacity::usual_boot_s(const MachineType& type) const {
+double Autoscaler::typical_boot_s(const MachineType& type) const {
   if (!catalogue_) return kUnknownBootSeconds;
   auto t = catalogue_->find(type);
   return t == catalogue_->end() ? kUnknownBootSeconds : t->second.boot_s;
 }
 
-bool Capacity::is_late(const Coming& c, Instant now) const {
-  return to_seconds(now - c.rented) > usual_boot_s(c.kind.type) * kSlowBoot;
+bool Autoscaler::is_boot_late(const PendingInstance& c, Instant now) const {
+  return to_seconds(now - c.rented) > typical_boot_s(c.kind.type) * kSlowBoot;
 }
 
-double& Capacity::patience(const MachineType& type) {
+double& Autoscaler::patience(const MachineType& type) {
   return patience_.try_emplace(type, kLeastPatience).first->second;
 }
 
-bool Capacity::is_given_up(const wire::ListedMachine& m) {
-  return m.state == wire::MachineState::kBooting && m.age_s > usual_boot_s(m.type) * patience(m.type);
+bool Autoscaler::boot_timed_out(const protocol::ListedMachine& m) {
+  return m.state == protocol::MachineState::kBooting && m.age_s > typical_boot_s(m.type) * patience(m.type);
 }
 
-void Capacity::on_up(const wire::ListedMachine& m) {
-  double seen = m.age_s / usual_boot_s(m.type) * kLongerThanSeen;
+void Autoscaler::on_instance_running(const protocol::ListedMachine& m) {
+  double seen = m.age_s / typical_boot_s(m.type) * kLongerThanSeen;
   auto& times = patience(m.type);
   times = std::clamp(std::max(seen, times * kLessPatience), kLeastPatience, kMostPatience);
 }
 
-void Capacity::on_given_up(const wire::ListedMachine& m, Instant now) {
+void Autoscaler::on_boot_timeout(const protocol::ListedMachine& m, Instant now) {
   auto& times = patience(m.type);
   times = std::min(times * kMorePatience, kMostPatience);
   // Rather another type or zone first.
   refused_[{m.type, m.zone, m.spot}] = now;
 }
 
-void Capacity::on_list(std::vector<wire::ListedMachine> machines, Instant now) {
+void Autoscaler::on_list(std::vector<protocol::ListedMachine> machines, Instant now) {
   if (now >= list_complete_at_) list_complete_ = true;
   listed_.clear();
   for (auto& m : machines) {
-    if (m.state == wire::MachineState::kBooting) {
+    if (m.state == protocol::MachineState::kBooting) {
       auto rented = now - from_seconds(m.age_s);
-      coming_[m.name] = {{m.type, m.zone, m.spot}, rented};
-    } else if (coming_.erase(m.name) > 0 && m.state == wire::MachineState::kRunning) {
-      on_up(m);
+      pending_instances_[m.name] = {{m.type, m.zone, m.spot}, rented};
+    } else if (pending_instances_.erase(m.name) > 0 && m.state == protocol::MachineState::kRunning) {
+      on_instance_running(m);
     }
     auto name = m.name;
     listed_[std::move(name)] = std::move(m);
   }
   // Rented long ago and still not listed: it came and went.
-  std::erase_if(coming_, [&](const auto& c) {
+  std::erase_if(pending_instances_, [&](const auto& c) {
     return !listed_.contains(c.first) &&
            now - c.second.rented > params_.list_lag * 3 + std::chrono::seconds(5);
   });
   std::erase_if(deleted_, [&](const auto& d) { return now - d.second > kDeleteAgain; });
 }
 
-Capacity::ComingRoom Capacity::coming_room(const wire::Shape& s, Instant now) const {
-  ComingRoom room;
-  for (const auto& [name, c] : coming_) {
+Autoscaler::PendingCapacity Autoscaler::pending_capacity(const protocol::ResourceRequest& s,
+                                                         Instant now) const {
+  PendingCapacity room;
+  for (const auto& [name, c] : pending_instances_) {
     auto t = catalogue_->find(c.kind.type);
-    if (t == catalogue_->end() || !part::allowed(s, c.kind.type, c.kind.zone, c.kind.spot)) continue;
-    auto n = std::min(part::fits(t->second.total, s.each), params_.task_cap);
-    (is_late(c, now) ? room.late : room.on_time) += n;
+    if (t == catalogue_->end() || !shard::allowed(s, c.kind.type, c.kind.zone, c.kind.spot)) continue;
+    auto n = std::min(shard::fits(t->second.total, s.each), params_.task_cap);
+    (is_boot_late(c, now) ? room.late : room.on_time) += n;
   }
   return room;
 }
 
 // What is late is ordered anew, but once only: while nothing comes up, twice of what is needed is on order at
 // most.
-double Capacity::lack_of_room(const wire::Shape& s, double ahead, Instant now) const {
+double Autoscaler::missing_capacity(const protocol::ResourceRequest& s, double ahead, Instant now) const {
   double each = std::max(s.each.cpus, kLeastCpus);
-  auto coming = coming_room(s, now);
+  auto coming = pending_capacity(s, now);
   double needed = s.wanted + ahead / each;
   double counted = coming.on_time + std::max(0.0, coming.late - needed);
   return s.wanted - std::max(0.0, counted - ahead / each);
 }
 
-std::optional<wire::RentRequest> Capacity::rent(const std::vector<Demand>& demand, Instant now) {
-  if (!catalogue_ || sent_ || now < again_ || !list_complete_) return std::nullopt;
+std::optional<protocol::RentRequest> Autoscaler::rent(const std::vector<Demand>& demand, Instant now) {
+  if (!catalogue_ || request_sent_ || now < again_ || !list_complete_) return std::nullopt;
   if (under_way_) {
-    sent_ = true;
+    request_sent_ = true;
     return under_way_;
   }
   // Each shape's lack of room; shapes share what is coming, so it is counted off once.
-  double coming_used = 0;
+  double pending_used = 0;
   for (const auto& d : demand) {
-    if (d.waited < kPatience || d.shape.wanted == 0) continue;
-    double each = std::max(d.shape.each.cpus, kLeastCpus);
-    double lack = lack_of_room(d.shape, coming_used, now);
-    coming_used += d.shape.wanted * each;
+    if (d.waited < kPatience || d.resource_request.wanted == 0) continue;
+    double each = std::max(d.resource_request.each.cpus, kLeastCpus);
+    double lack = missing_capacity(d.resource_request, pending_used, now);
+    pending_used += d.resource_request.wanted * each;
     if (lack <= 0) continue;
     struct Candidate {
       double cost;
@@ -131,12 +133,12 @@
     };
     std::optional<Candidate> best;
     for (const auto& [name, t] : *catalogue_) {
-      auto fits = std::min(part::fits(t.total, d.shape.each), params_.task_cap);
+      auto fits = std::min(shard::fits(t.total, d.resource_request.each), params_.task_cap);
       if (fits == 0) continue;
       for (const auto& z : t.zones) {
         for (bool spot : {false, true}) {
           Kind kind{name, z, spot};
-          if (!part::allowed(d.shape, name, z, spot)) continue;
+          if (!shard::allowed(d.resource_request, name, z, spot)) continue;
           if (auto r = refused_.find(kind); r != refused_.end() && now - r->second < kRefusalMemory) continue;
           auto ours = static_cast<std::size_t>(
               std::count_if(listed_.begin(), listed_.end(), [&, &type = name](const auto& m) {
@@ -152,64 +154,65 @@
     // seconds as jobs wait. (What waits before this in the list has its room.)
     for (const auto* o = &d + 1; o != demand.data() + demand.size(); ++o)
       if (o->waited >= kPatience &&
-          part::allowed(o->shape, best->kind.type, best->kind.zone, best->kind.spot))
-        lack += o->shape.wanted * o->shape.each.cpus / each;
+          shard::allowed(o->resource_request, best->kind.type, best->kind.zone, best->kind.spot))
+        lack += o->resource_request.wanted * o->resource_request.each.cpus / each;
     auto count = static_cast<std::uint32_t>(
-        std::clamp(std::ceil(lack / best->fits), 1.0, static_cast<double>(wire::kMaxRent)));
-    under_way_ = wire::RentRequest{prefix_ + std::to_string(next_++), best->kind.type, best->kind.zone,
-                                   best->kind.spot, count};
-    sent_ = true;
+        std::clamp(std::ceil(lack / best->fits), 1.0, static_cast<double>(protocol::kMaxRent)));
+    under_way_ = protocol::RentRequest{prefix_ + std::to_string(next_++), best->kind.type, best->kind.zone,
+                                       best->kind.spot, count};
+    request_sent_ = true;
     return under_way_;
   }
   return std::nullopt;
 }
 
-void Capacity::on_rented(const wire::RentRequest& r, const std::vector<MachineName>& names, Instant now) {
-  sent_ = false;
+void Autoscaler::on_rented(const protocol::RentRequest& r, const std::vector<MachineName>& names,
+                           Instant now) {
+  request_sent_ = false;
   under_way_.reset();
   Kind kind{r.type, r.zone, r.spot};
-  for (const auto& n : names) coming_[n] = {kind, now};
+  for (const auto& n : names) pending_instances_[n] = {kind, now};
   if (names.size() < r.count) refused_[kind] = now;
   spdlog::info("rented {} of {} {} in {}{}", names.size(), r.count, r.type.value(), r.zone.value(),
                r.spot ? " (spot)" : "");
 }
 
-void Capacity::on_refused(const wire::RentRequest& r, Instant now) {
-  sent_ = false;
+void Autoscaler::on_refused(const protocol::RentRequest& r, Instant now) {
+  request_sent_ = false;
   under_way_.reset();
   refused_[{r.type, r.zone, r.spot}] = now;
 }
 
-void Capacity::on_unanswered(Instant now) {
-  sent_ = false;
+void Autoscaler::on_unanswered(Instant now) {
+  request_sent_ = false;
   again_ = now + kRentAgain;
 }
 
-std::vector<MachineName> Capacity::dead(Instant now) {
+std::vector<MachineName> Autoscaler::failed_instances(Instant now) {
   std::vector<MachineName> out;
   if (!catalogue_) return out;
   for (const auto& [name, m] : listed_) {
-    if (deleted_.contains(name) || out.size() >= wire::kMaxDelete) continue;
-    bool never = is_given_up(m);
-    if (m.state != wire::MachineState::kFailed && !never) continue;
-    if (never) on_given_up(m, now);
+    if (deleted_.contains(name) || out.size() >= protocol::kMaxDelete) continue;
+    bool never = boot_timed_out(m);
+    if (m.state != protocol::MachineState::kFailed && !never) continue;
+    if (never) on_boot_timeout(m, now);
     spdlog::info("{}: {}, to be deleted", name.value(), never ? "never came up" : "failed");
     deleted_[name] = now;
-    coming_.erase(name);
+    pending_instances_.erase(name);
     out.push_back(name);
   }
   return out;
 }
 
-std::vector<MachineName> Capacity::surplus(const std::map<PartId, wire::Summary>& summaries, bool demand,
-                                           bool jobs) const {
+std::vector<MachineName> Autoscaler::idle_instances(const std::map<ShardId, protocol::Summary>& summaries,
+                                                    bool demand, bool jobs) const {
   std::vector<MachineName> out;
   if (demand) return out;
   double enough = to_seconds(jobs ? params_.idle_return : params_.quiet_return);
-  for (const auto& [part, s] : summaries)
+  for (const auto& [shard, s] : summaries)
     for (const auto& m : s.machines)
       if (m.usable && m.idle_s > enough) out.push_back(m.name);
   return out;
 }
 
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/src/lead/counts.h
+++ b/src/scheduler/counts.h
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <cstdint>
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 
 // Amounts are sums of floating-point numbers: a quotient this little above an integer counts as that integer.
 constexpr double kRoundingSlack = 1e-6;
@@ -14,4 +14,4 @@
   return quotient <= 0 ? 0 : static_cast<std::uint32_t>(std::ceil(quotient - kRoundingSlack));
 }
 
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/src/lead/failing_jobs.cpp
+++ b/src/scheduler/crash_loop_backoff.cpp
@@ -1,18 +1,19 @@
-#include "lead/failing_jobs.h"
+#include "scheduler/crash_loop_backoff.h"
 
 #include <algorithm>
 
 #include "base/log.h"
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 namespace {
 constexpr Duration kFirstBackoff = std::chrono::seconds(2);
 constexpr Duration kLongestBackoff = std::chrono::seconds(30);
 }  // namespace
 
-void FailingJobs::on_verdict(const JobId& id, wire::Verdict verdict, Instant granted, Instant now) {
-  if (verdict == wire::Verdict::kWorks) erase(id);
-  if (verdict != wire::Verdict::kFails) return;
+void CrashLoopBackoff::on_job_health(const JobId& id, protocol::JobHealth verdict, Instant granted,
+                                     Instant now) {
+  if (verdict == protocol::JobHealth::kWorks) erase(id);
+  if (verdict != protocol::JobHealth::kFails) return;
   auto [it, fresh] = jobs_.try_emplace(id);
   auto& job = it->second;
   if (fresh)
@@ -22,9 +23,9 @@
   job.backoff = std::clamp(2 * job.backoff, kFirstBackoff, kLongestBackoff);
 }
 
-bool FailingJobs::due(const JobId& id, Instant now) const {
+bool CrashLoopBackoff::due(const JobId& id, Instant now) const {
   auto job = jobs_.find(id);
   return job == jobs_.end() || now - job->second.failed >= job->second.backoff;
 }
 
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/src/lead/failing_jobs.h
+++ b/src/scheduler/crash_loop_backoff.h
@@ -6,15 +6,15 @@
 #include <unordered_map>
 
 #include "base/types.h"
-#include "wire/peer.h"
+#include "protocol/peer.h"
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 
 // Rests on the owners' messages alone: after a change of leader such a job is granted once more as a whole.
-class FailingJobs {
+class CrashLoopBackoff {
  public:
   // `granted`: when the job was last granted tasks. All failures of one grant count once.
-  void on_verdict(const JobId& job, wire::Verdict verdict, Instant granted, Instant now);
+  void on_job_health(const JobId& job, protocol::JobHealth verdict, Instant granted, Instant now);
   // The job works, or is over.
   void erase(const JobId& job) { jobs_.erase(job); }
   bool contains(const JobId& job) const { return jobs_.contains(job); }
@@ -29,4 +29,4 @@
   std::unordered_map<JobId, Job> jobs_;
 };
 
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/src/lead/queue.cpp
+++ b/src/scheduler/queue.cpp
@@ -1,4 +1,4 @@
-#include "lead/queue.h"
+#include "scheduler/queue.h"
 
 #include <algorithm>
 #include <deque>
@@ -7,16 +7,16 @@
 #include <set>
 #include <tuple>
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 
 std::vector<QueuedJob> serve_order(std::vector<QueuedJob> jobs,
                                    const std::vector<config::TeamSettings>& teams,
                                    std::map<Team, Resources> usage) {
   std::sort(jobs.begin(), jobs.end(), [](const QueuedJob& a, const QueuedJob& b) {
-    if ((a.overdue > 1) != (b.overdue > 1)) return a.overdue > 1;
-    if (a.overdue <= 1 && a.priority != b.priority) return a.priority > b.priority;
-    if (a.overdue != b.overdue) return a.overdue > b.overdue;
-    if (a.overdue && a.submitted_ms != b.submitted_ms) return a.submitted_ms < b.submitted_ms;
+    if ((a.starvation > 1) != (b.starvation > 1)) return a.starvation > 1;
+    if (a.starvation <= 1 && a.priority != b.priority) return a.priority > b.priority;
+    if (a.starvation != b.starvation) return a.starvation > b.starvation;
+    if (a.starvation && a.submitted_ms != b.submitted_ms) return a.submitted_ms < b.submitted_ms;
     if (a.due_ms != b.due_ms) return a.due_ms < b.due_ms;
     return a.id < b.id;
   });
@@ -39,8 +39,8 @@
     bool by_gpu = s && s->cpus <= 0 && s->gpus > 0;
     double have = by_gpu ? used.gpus : used.cpus;
     bool borrows = !s || (s->cpus > 0 && used.cpus >= s->cpus) || (s->gpus > 0 && used.gpus >= s->gpus);
-    int priority = head.overdue > 1 ? std::numeric_limits<int>::min() : -static_cast<int>(head.priority);
-    auto waits = head.overdue ? head.submitted_ms : std::numeric_limits<std::int64_t>::max();
+    int priority = head.starvation > 1 ? std::numeric_limits<int>::min() : -static_cast<int>(head.priority);
+    auto waits = head.starvation ? head.submitted_ms : std::numeric_limits<std::int64_t>::max();
     return Rank{priority, waits, borrows, have / share};
   };
   std::vector<QueuedJob> out;
@@ -105,4 +105,4 @@
   return out;
 }
 
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/src/lead/queue.h
+++ b/src/scheduler/queue.h
@@ -7,7 +7,7 @@
 #include "base/types.h"
 #include "config/settings.h"
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 
 struct QueuedJob {
   JobId id;
@@ -17,7 +17,7 @@
   std::int64_t submitted_ms = 0;
   Resources wanted;  // of all its tasks that wait
   // 1: nothing of it has begun for so long that it goes before its equals; 2: before everything else.
-  int overdue = 0;
+  int starvation = 0;
 };
 
 // The order in which to serve. `usage`: what each team has been granted. Higher priority goes first; among
@@ -42,4 +42,4 @@
 // miss least: a job is made to miss it only if those that have no later time, by themselves, are too much.
 std::map<JobId, double> plan_starts(const std::vector<TimedJob>& jobs, double cpus, double begun);
 
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/src/lead/lead_order.cpp
+++ b/src/scheduler/scheduling_order.cpp
@@ -3,10 +3,10 @@
 #include <cmath>
 
 #include "base/log.h"
-#include "lead/counts.h"
-#include "lead/lead.h"
+#include "scheduler/counts.h"
+#include "scheduler/scheduler.h"
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 namespace {
 
 // In multiples of the longest wait: from when on a job that got nothing goes before work of higher priority.
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-std::vector<std::int64_t> Lead::due(const store::JobRecord& record, std::optional<WallMs> counts_from) const {
+std::vector<std::int64_t> Scheduler::due(const state_store::JobRecord& record,
+                                         std::optional<WallMs> counts_from) const {
   const auto& spec = *record.spec;
   std::set<std::int64_t> times;
   auto add = [&](WallMs from, double seconds) {
@@ -36,20 +37,20 @@
   return {times.begin(), times.end()};
 }
 
-double Lead::overdue(const JobId& id, const Entry& e, WallMs wall) const {
-  if (failing_.contains(id)) return 0;
+double Scheduler::starvation(const JobId& id, const Entry& e, WallMs wall) const {
+  if (crash_loops_.contains(id)) return 0;
   if (e.out > 0 || !e.done.empty() || params_.longest_wait <= Duration(0)) return 0;
   return static_cast<double>(wall.value() - e.counts_from.value()) / 1000 / to_seconds(params_.longest_wait);
 }
 
-std::map<JobId, double> Lead::plan(WallMs wall) const {
+std::map<JobId, double> Scheduler::plan_start_times(WallMs wall) const {
   std::vector<TimedJob> timed;
   double cpus = 0, begun = 0;
   for (const auto& id : arrays_) {
     const auto& e = jobs_.at(id);
     const auto& spec = *e.record.spec;
     cpus += spec.each.cpus * e.out;
-    if (failing_.contains(id)) continue;
+    if (crash_loops_.contains(id)) continue;
     if (e.pending.empty()) {
       begun += spec.each.cpus * spec.estimate_s * kUnderWay * e.out;
       continue;
@@ -70,13 +71,13 @@
   return planned;
 }
 
-std::vector<QueuedJob> Lead::order(Instant now, WallMs wall, bool services_only) const {
-  auto planned = services_only ? std::map<JobId, double>{} : plan(wall);
+std::vector<QueuedJob> Scheduler::order(Instant now, WallMs wall, bool services_only) const {
+  auto planned = services_only ? std::map<JobId, double>{} : plan_start_times(wall);
   std::vector<QueuedJob> waiting;
   for (const auto& id : waiting_) {
     const auto& e = jobs_.at(id);
     bool service = e.record.spec->kind == JobKind::kService;
-    if (e.too_long > 0 || (services_only && !service)) continue;
+    if (e.oversized_pieces > 0 || (services_only && !service)) continue;
     auto n = grantable(id, e, usage_, now);
     bool gang = e.record.spec->kind == JobKind::kGang;
     // A gang is granted as a whole, and anew only once nothing of its last attempt is left anywhere.
@@ -87,8 +88,8 @@
     q.priority = e.need.priority;
     q.due_ms = q.submitted_ms = e.counts_from.value();
     q.wanted = e.record.spec->each * static_cast<double>(n);
-    auto waits = overdue(id, e, wall);
-    q.overdue = waits < 1 ? 0 : waits < kBeforeAll ? 1 : 2;
+    auto waits = starvation(id, e, wall);
+    q.starvation = waits < 1 ? 0 : waits < kBeforeAll ? 1 : 2;
     if (!e.need.due_ms.empty() && !service) {
       auto start = planned.find(id);
       q.due_ms = start == planned.end() ? e.need.due_ms.back() + kTooLate
@@ -100,25 +101,26 @@
 }
 
 // Whether some service could be granted a task now.
-bool Lead::services_wait(Instant now) const {
+bool Scheduler::services_wait(Instant now) const {
   return std::any_of(waiting_.begin(), waiting_.end(), [&](const JobId& id) {
     const auto& e = jobs_.at(id);
-    return e.record.spec->kind == JobKind::kService && e.too_long == 0 && grantable(id, e, usage_, now) > 0;
+    return e.record.spec->kind == JobKind::kService && e.oversized_pieces == 0 &&
+           grantable(id, e, usage_, now) > 0;
   });
 }
 
-std::uint32_t Lead::grantable(const JobId& id, const Entry& e, const std::map<Team, Resources>& usage,
-                              Instant now) const {
+std::uint32_t Scheduler::grantable(const JobId& id, const Entry& e, const std::map<Team, Resources>& usage,
+                                   Instant now) const {
   auto n = std::min(e.pending.count(), allowed_by_quota(e, usage));
-  if (!failing_.contains(id)) return n;
-  if (e.out > 0 || !failing_.due(id, now)) return 0;
+  if (!crash_loops_.contains(id)) return n;
+  if (e.out > 0 || !crash_loops_.due(id, now)) return 0;
   return e.record.spec->kind == JobKind::kGang ? n : std::min(n, 1u);
 }
 
-std::uint32_t Lead::allowed_by_quota(const Entry& e, const std::map<Team, Resources>& usage) const {
+std::uint32_t Scheduler::allowed_by_quota(const Entry& e, const std::map<Team, Resources>& usage) const {
   const auto& spec = *e.record.spec;
   // What was told to be returned is in the ledger until the write that grants it anew. How many tasks of a
-  // job may be out is bounded by the size of the value that holds its grants alone, see on_too_long.
+  // job may be out is bounded by the size of the value that holds its grants alone, see on_oversized.
   double n = spec.tasks - std::min(spec.tasks, e.charged);
   for (const auto& t : teams_) {
     if (t.name != spec.team) continue;
@@ -131,7 +133,7 @@
   }
   // Found by the simulation, seed 1366: with more in the ledger than the limit allows, what was returned may
   // not be granted anew in full.
-  return static_cast<std::uint32_t>(std::max(n + e.told_returned, 0.0));
+  return static_cast<std::uint32_t>(std::max(n + e.notified_released, 0.0));
 }
 
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/src/part/failure_evidence.cpp
+++ b/src/shard/failure_attribution.cpp
@@ -1,8 +1,8 @@
-#include "part/failure_evidence.h"
+#include "shard/failure_attribution.h"
 
 #include <algorithm>
 
-namespace beaconsill::part {
+namespace beaconsill::shard {
 namespace {
 
 constexpr Duration kMemory = std::chrono::seconds(60);
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void FailureEvidence::on_failed(const MachineName& machine, const JobId& id, bool works, Instant now) {
+void FailureAttribution::on_failed(const MachineName& machine, const JobId& id, bool works, Instant now) {
   forget_old(now);
   machines_[machine][id] = now;
   auto& job = jobs_[id];
@@ -32,7 +32,7 @@
   job.retry_at = now + job.backoff;
 }
 
-void FailureEvidence::on_worked(const MachineName& machine, const JobId& job, Instant placed) {
+void FailureAttribution::on_worked(const MachineName& machine, const JobId& job, Instant placed) {
   if (auto m = machines_.find(machine); m != machines_.end()) {
     std::erase_if(m->second, [&](const auto& failure) { return failure.second <= placed; });
     if (m->second.empty()) machines_.erase(m);
@@ -40,15 +40,15 @@
   on_job_works(job);
 }
 
-void FailureEvidence::on_job_works(const JobId& id) {
+void FailureAttribution::on_job_works(const JobId& id) {
   if (auto job = jobs_.find(id); job != jobs_.end()) job->second.works = true;
 }
 
-bool FailureEvidence::fails_everywhere(const Job& job) const {
+bool FailureAttribution::fails_everywhere(const Job& job) const {
   return !job.works && job.failed_on.size() >= kFailsOnMachines;
 }
 
-bool FailureEvidence::machine_faulty(const MachineName& machine) const {
+bool FailureAttribution::machine_faulty(const MachineName& machine) const {
   auto m = machines_.find(machine);
   if (m == machines_.end()) return false;
   std::size_t working = 0, unknown = 0;
@@ -63,7 +63,7 @@
   return working >= kWorkingJobs || working + unknown >= kUnknownJobs;
 }
 
-Instant FailureEvidence::suspect_until(const MachineName& machine) const {
+Instant FailureAttribution::suspect_until(const MachineName& machine) const {
   auto m = machines_.find(machine);
   if (m == machines_.end()) return {};
   std::size_t unexplained = 0;
@@ -76,17 +76,17 @@
   return unexplained >= kSuspiciousJobs ? last + kSuspectFor : Instant{};
 }
 
-bool FailureEvidence::job_fails(const JobId& id, Instant now) const {
+bool FailureAttribution::job_fails(const JobId& id, Instant now) const {
   auto job = jobs_.find(id);
   return job != jobs_.end() && now - job->second.last < kMemory && fails_everywhere(job->second);
 }
 
-Instant FailureEvidence::retry_at(const JobId& id) const {
+Instant FailureAttribution::retry_at(const JobId& id) const {
   auto job = jobs_.find(id);
   return job == jobs_.end() ? Instant{} : job->second.retry_at;
 }
 
-std::set<MachineName> FailureEvidence::failed_on(const JobId& id, Instant now) const {
+std::set<MachineName> FailureAttribution::failed_on(const JobId& id, Instant now) const {
   std::set<MachineName> out;
   auto job = jobs_.find(id);
   if (job == jobs_.end()) return out;
@@ -96,7 +96,7 @@
 }
 
 // Entries of a job go together, so that each failure noted for a machine has its job.
-void FailureEvidence::forget_old(Instant now) {
+void FailureAttribution::forget_old(Instant now) {
   // Hundreds of tasks of an array fail within moments, and hardly ever has anything become old.
   if (std::erase_if(jobs_, [&](const auto& job) { return now - job.second.last >= kMemory; }) == 0) return;
   for (auto machine = machines_.begin(); machine != machines_.end();) {
@@ -105,4 +105,4 @@
   }
 }
 
-}  // namespace beaconsill::part
+}  // namespace beaconsill::shard
--- a/src/part/failure_evidence.h
+++ b/src/shard/failure_attribution.h
@@ -9,11 +9,11 @@
 
 #include "base/types.h"
 
-namespace beaconsill::part {
+namespace beaconsill::shard {
 
 // What has failed within the last minute, and what has worked since. Times are those of one controller's
 // steady clock. Nothing here throws.
-class FailureEvidence {
+class FailureAttribution {
  public:
   // A task failed. `works`: some task of the job is known to have completed, or to run well.
   void on_failed(const MachineName& machine, const JobId& job, bool works, Instant now);
@@ -22,7 +22,7 @@
   void on_worked(const MachineName& machine, const JobId& job, Instant placed);
   // The job works, wherever that was seen.
   void on_job_works(const JobId& job);
-  void on_machine_gone(const MachineName& machine) { machines_.erase(machine); }
+  void on_machine_terminated(const MachineName& machine) { machines_.erase(machine); }
 
   // Whether on_worked would change anything.
   bool concerns(const MachineName& machine, const JobId& job) const {
@@ -55,4 +55,4 @@
   std::map<MachineName, std::map<JobId, Instant>> machines_;  // when jobs failed there; not yet made good
 };
 
-}  // namespace beaconsill::part
+}  // namespace beaconsill::shard
--- a/src/part/machine.cpp
+++ b/src/shard/machine.cpp
@@ -1,8 +1,8 @@
-#include "part/machine.h"
+#include "shard/machine.h"
 
 #include <algorithm>
 
-namespace beaconsill::part {
+namespace beaconsill::shard {
 
 void ImageCache::use(const ImageName& image, double gb, Instant now) {
   auto [it, fresh] = images_.try_emplace(image);
@@ -23,8 +23,8 @@
   if (load_) return *load_;
   load_.emplace();
   for (const auto& [key, t] : tasks) {
-    if (t.state == wire::TaskState::kEnded) continue;
-    if (t.state == wire::TaskState::kFetching && t.spec && !images.has(t.spec->image))
+    if (t.state == protocol::TaskState::kEnded) continue;
+    if (t.state == protocol::TaskState::kFetching && t.spec && !images.has(t.spec->image))
       load_->fetching.insert(t.spec->image);
     // What isn't known can't be stopped for anything.
     auto priority = t.spec ? t.spec->priority : Priority::kProduction;
@@ -36,4 +36,4 @@
   return *load_;
 }
 
-}  // namespace beaconsill::part
+}  // namespace beaconsill::shard
--- a/src/store/access.h
+++ b/src/state_store/access.h
@@ -1,20 +1,20 @@
-// What the users' endpoints need of the state service, as interfaces: they run in tests without sockets.
+// What the users' endpoints need of the state store, as interfaces: they run in tests without sockets.
 #pragma once
 
 #include <functional>
 
-#include "store/view.h"
-#include "wire/store.h"
+#include "protocol/state_store.h"
+#include "state_store/state_view.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
-enum class Urgency { kRole, kUser, kWork, kTidy };
+enum class Urgency { kElection, kUserRequest, kBackground, kGarbageCollection };
 constexpr std::size_t kUrgencies = 4;
 
 // How long a request waits for its share of the limits before it's given up.
 constexpr Duration kQueueWait = std::chrono::milliseconds(2500);
 
-enum class Outcome {
+enum class RequestOutcome {
   kOk,
   kConflict,  // 409: nothing was changed
   kRefused,   // not executed: an outage, a limit, or no time to send it
@@ -23,38 +23,40 @@
 };
 
 struct TxnResult {
-  Outcome outcome = Outcome::kRefused;
+  RequestOutcome outcome = RequestOutcome::kRefused;
   Revision revision;
 };
 
 // Carries out transactions.
-class TxnSink {
+class TxnExecutor {
  public:
-  virtual ~TxnSink() = default;
-  virtual void txn(wire::Txn t, Urgency u, std::function<void(TxnResult)> done) = 0;
+  virtual ~TxnExecutor() = default;
+  virtual void txn(protocol::Txn t, Urgency u, std::function<void(TxnResult)> done) = 0;
   // How long a change of this urgency would wait now: what overload is judged by.
   virtual Duration write_wait(Urgency u) const = 0;
 };
 
-// A view of the state service's content that can be brought up to date.
-class ViewSource {
+// A view of the state store's content that can be brought up to date.
+class StateReader {
  public:
-  virtual ~ViewSource() = default;
-  virtual const View& view() const = 0;
+  virtual ~StateReader() = default;
+  virtual const StateView& view() const = 0;
   // The view holds all changes that were made before this time.
   virtual Instant as_of() const = 0;
   // Everything was read since the process began.
   virtual bool ready() const = 0;
   // Calls back once the view holds all that was written before this call; false: could not be read.
   virtual void sync(std::function<void(bool)> done) = 0;
-  // False while a question could not be answered soon: the service refuses this node, or holds a read back.
-  virtual bool answers() const = 0;
+  // False while a question could not be answered soon: the service refuses this controller, or holds a read
+  // back.
+  virtual bool is_responsive() const = 0;
   // Sends a transaction, or refuses it if that takes longer than `queue_wait`. If its answer is late, reads
   // tell whether it was applied; `done` is called with the first that is known. Without either it may still
   // be applied later (Outcome::kUnknown).
-  virtual void commit(wire::Txn t, Urgency u, std::function<void(TxnResult)> done, Duration queue_wait) = 0;
-  // A change that this node itself made.
-  virtual void apply_own(const wire::Txn& t, Revision r) = 0;
+  virtual void commit(protocol::Txn t, Urgency u, std::function<void(TxnResult)> done,
+                      Duration queue_wait) = 0;
+  // A change that this controller itself made.
+  virtual void apply_own(const protocol::Txn& t, Revision r) = 0;
 };
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/client.cpp
+++ b/src/state_store/client.cpp
@@ -1,14 +1,14 @@
-#include "store/client.h"
+#include "state_store/client.h"
 
 #include <algorithm>
 #include <cmath>
 #include <map>
 
 #include "base/log.h"
-#include "store/records.h"
-#include "store/txn_draft.h"
+#include "state_store/records.h"
+#include "state_store/txn_draft.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 namespace {
 constexpr Duration kTimeout = std::chrono::milliseconds(1500);
 // A transaction whose answer is lost occupies its connection for the whole timeout. With six connections,
@@ -17,7 +17,7 @@
 constexpr Duration kLeastAnswerTimeout = std::chrono::milliseconds(100);
 constexpr Duration kMostAnswerTimeout = std::chrono::milliseconds(400);
 
-// Refusals this close together are no accident of several nodes asking at once.
+// Refusals this close together are no accident of several controllers asking at once.
 constexpr Duration kRefusedAgain = std::chrono::seconds(10);
 constexpr Duration kFirstPatience = std::chrono::seconds(60);
 // No value is thought to be refused for its size below this.
@@ -33,27 +33,27 @@
   ReadResult out;
   out.status = r.status;
   if (!r.answered()) {
-    out.outcome = r.sent ? Outcome::kUnknown : Outcome::kRefused;
+    out.outcome = r.sent ? RequestOutcome::kUnknown : RequestOutcome::kRefused;
     return out;
   }
   if (r.status == 503 || r.status == 429) {
-    out.outcome = Outcome::kRefused;
+    out.outcome = RequestOutcome::kRefused;
     return out;
   }
-  out.outcome = r.status == 200 ? Outcome::kOk : Outcome::kBad;
+  out.outcome = r.status == 200 ? RequestOutcome::kOk : RequestOutcome::kBad;
   if (r.status == 200) {
     try {
-      out.body = wire::parse_object(r.body);
-    } catch (const wire::WireError& e) {
+      out.body = protocol::parse_object(r.body);
+    } catch (const protocol::ProtocolError& e) {
       spdlog::error("state service: answer dropped: {}", e.what());
-      out.outcome = Outcome::kBad;
+      out.outcome = RequestOutcome::kBad;
     }
   }
   return out;
 }
 }  // namespace
 
-bool LimitsInForce::on_too_many(Instant now) {
+bool EffectiveRateLimits::on_too_many(Instant now) {
   bool again = refused_ != Instant{} && now - refused_ < kRefusedAgain;
   // Refused soon after the higher limits were tried anew: they are not back.
   bool tried = try_again_ != Instant{} && !lowered_ && now - try_again_ < kRefusedAgain;
@@ -65,14 +65,14 @@
   return true;
 }
 
-bool LimitsInForce::on_time(Instant now) {
+bool EffectiveRateLimits::on_time(Instant now) {
   if (!lowered_ || now < try_again_) return false;
   lowered_ = false;
   try_again_ = now;
   return true;
 }
 
-void SizesInForce::lower(std::size_t& size, std::size_t to, Instant now) {
+void EffectiveSizeLimits::lower(std::size_t& size, std::size_t to, Instant now) {
   if (to >= size) return;
   size = to;
   if (now < try_again_) return;
@@ -80,16 +80,16 @@
   try_again_ = now + patience_;
 }
 
-void SizesInForce::on_time(Instant now) {
+void EffectiveSizeLimits::on_time(Instant now) {
   if (now < try_again_) return;
   txn_ops_ = most_ops_;
   value_bytes_ = most_value_bytes_;
 }
 
-void SizesInForce::on_refused(const wire::Txn& t, Instant now) {
+void EffectiveSizeLimits::on_refused(const protocol::Txn& t, Instant now) {
   if (t.writes.size() > 1) return lower(txn_ops_, t.writes.size() / 2, now);
   if (t.writes.empty() || !t.writes[0].value) return;
-  auto bytes = wire::dump(*t.writes[0].value).size();
+  auto bytes = protocol::dump(*t.writes[0].value).size();
   if (bytes <= kLeastValue || bytes > value_bytes_) return;
   lower(value_bytes_, std::max(kLeastValue, bytes / 2), now);
   // It was this value, not the number of changes, that the larger ones were refused for.
@@ -114,7 +114,7 @@
   request_share_ = requests;
   write_share_ = writes;
   set_rates(clock_.now());
-  pump();
+  send_queued();
 }
 
 void StoreClient::set_rates(Instant now) {
@@ -122,7 +122,7 @@
   writes_.set_rate(limits_.get().write_rps * write_share_, now);
 }
 
-void StoreClient::txn(wire::Txn t, Urgency u, std::function<void(TxnResult)> done, TxnOptions options) {
+void StoreClient::txn(protocol::Txn t, Urgency u, std::function<void(TxnResult)> done, TxnOptions options) {
   if (spdlog::should_log(spdlog::level::debug)) {
     std::map<std::string, int> kinds;
     for (const auto& w : t.writes)
@@ -131,33 +131,33 @@
   }
   Job job{"POST",
           "/txn",
-          wire::render_txn(t),
+          protocol::render_txn(t),
           static_cast<double>(t.writes.size()),
           {},
           std::move(options.on_sent),
           options.queue_wait};
   // With a hold it may have been refused for that.
   bool bare =
-      std::none_of(t.writes.begin(), t.writes.end(), [](const auto& w) { return w.hold.has_value(); });
+      std::none_of(t.writes.begin(), t.writes.end(), [](const auto& w) { return w.lease.has_value(); });
   job.done = [weak = weak_from_this(), bare, t = std::move(t), done = std::move(done)](const net::Result& r) {
     TxnResult out;
     if (!r.answered()) {
-      out.outcome = r.sent ? Outcome::kUnknown : Outcome::kRefused;
+      out.outcome = r.sent ? RequestOutcome::kUnknown : RequestOutcome::kRefused;
     } else if (r.status == 409) {
-      out.outcome = Outcome::kConflict;
+      out.outcome = RequestOutcome::kConflict;
     } else if (r.status == 503 || r.status == 429) {
-      out.outcome = Outcome::kRefused;
+      out.outcome = RequestOutcome::kRefused;
     } else if (r.status == 200) {
       try {
-        out.revision = wire::parse_revision(wire::parse_object(r.body));
-        out.outcome = Outcome::kOk;
-      } catch (const wire::WireError& e) {
+        out.revision = protocol::parse_revision(protocol::parse_object(r.body));
+        out.outcome = RequestOutcome::kOk;
+      } catch (const protocol::ProtocolError& e) {
         spdlog::error("state service: answer to a transaction dropped: {}", e.what());
-        out.outcome = Outcome::kUnknown;
+        out.outcome = RequestOutcome::kUnknown;
       }
     } else {
       spdlog::error("state service: a transaction was answered {}: {}", r.status, r.body.substr(0, 200));
-      out.outcome = Outcome::kBad;
+      out.outcome = RequestOutcome::kBad;
       if (auto me = weak.lock(); me && bare && too_large(r.status))
         me->sizes_.on_refused(t, me->clock_.now());
     }
@@ -172,16 +172,16 @@
   enqueue(std::move(job), u);
 }
 
-void StoreClient::hold(std::uint32_t ttl_ms, std::function<void(ReadResult)> done) {
-  Job job{"POST", "/holds", wire::render_hold(ttl_ms), 0, {}, {}};
+void StoreClient::grant_lease(std::uint32_t ttl_ms, std::function<void(ReadResult)> done) {
+  Job job{"POST", "/holds", protocol::render_lease(ttl_ms), 0, {}, {}};
   job.done = [done = std::move(done)](const net::Result& r) { done(to_read(r)); };
-  enqueue(std::move(job), Urgency::kRole);
+  enqueue(std::move(job), Urgency::kElection);
 }
 
-void StoreClient::renew(HoldId id, std::function<void(ReadResult)> done) {
-  Job job{"POST", wire::hold_target(id) + "/renew", "{}", 0, {}, {}};
+void StoreClient::renew(LeaseId id, std::function<void(ReadResult)> done) {
+  Job job{"POST", protocol::lease_target(id) + "/renew", "{}", 0, {}, {}};
   job.done = [done = std::move(done)](const net::Result& r) { done(to_read(r)); };
-  enqueue(std::move(job), Urgency::kRole);
+  enqueue(std::move(job), Urgency::kElection);
 }
 
 void StoreClient::enqueue(Job job, Urgency u) {
@@ -189,7 +189,7 @@
   job.deadline = clock_.now() + job.queue_wait;
   auto& queues = job.writes > 0 ? changes_ : reads_;
   queues[static_cast<std::size_t>(u)].push_back(std::move(job));
-  pump();
+  send_queued();
 }
 
 std::size_t StoreClient::spare_writes() const {
@@ -209,13 +209,13 @@
 
 // Reads don't wait behind changes that wait for the budget of changes: submissions that are refused during an
 // outage use that budget up, and every question would stand behind them (2 s in store_test).
-void StoreClient::pump() {
+void StoreClient::send_queued() {
   if (stopped_) return;
   std::optional<Instant> wake;
   bool changes_wait = false;
   std::vector<Job> late;
   for (std::size_t i = 0; i < kUrgencies; ++i) {
-    bool urgent = i == static_cast<std::size_t>(Urgency::kRole);
+    bool urgent = i == static_cast<std::size_t>(Urgency::kElection);
     if (auto at = send_ready(reads_[i], urgent, late)) {
       wake = std::min(wake.value_or(*at), *at);
       break;  // out of requests altogether: what is less urgent waits as well
@@ -229,7 +229,7 @@
   if (wake) {
     timer_.expires_at(*wake);
     timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-      if (auto me = weak.lock(); me && !ec) me->pump();
+      if (auto me = weak.lock(); me && !ec) me->send_queued();
     });
   }
   for (auto& j : late) j.done({});
@@ -323,4 +323,4 @@
   http_->stop();
 }
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/client.h
+++ b/src/state_store/client.h
@@ -1,4 +1,4 @@
-// Client of the state service. Requests wait here for their share of its limits, the most urgent first.
+// Client of the state store. Requests wait here for their share of its limits, the most urgent first.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -10,17 +10,17 @@
 #include <vector>
 
 #include "net/http_client.h"
-#include "store/access.h"
-#include "store/budget.h"
-#include "wire/store.h"
+#include "protocol/state_store.h"
+#include "state_store/access.h"
+#include "state_store/rate_limiter.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
 // NOLINTNEXTLINE(bugprone-exception-escape): the JSON library's move asserts its invariants, nothing more.
 struct ReadResult {
-  Outcome outcome = Outcome::kRefused;
+  RequestOutcome outcome = RequestOutcome::kRefused;
   int status = 0;
-  wire::Json body;
+  protocol::Json body;
 };
 
 struct StoreLimits {
@@ -32,9 +32,9 @@
 
 // Which of two limits is in force: the service lowers its own at some moment, without notice. Refusals for
 // their number (429) show it; from time to time the higher one is tried again, ever more rarely.
-class LimitsInForce {
+class EffectiveRateLimits {
  public:
-  LimitsInForce(StoreLimits now, StoreLimits next) : now_(now), next_(next) {}
+  EffectiveRateLimits(StoreLimits now, StoreLimits next) : now_(now), next_(next) {}
   const StoreLimits& get() const { return lowered_ ? next_ : now_; }
   // Each returns whether the limits in force have changed.
   bool on_too_many(Instant now);
@@ -51,15 +51,15 @@
 // The sizes that the service takes: those of the settings, less once it has refused a transaction for its
 // size. After a while those of the settings are tried again, ever more rarely: it may have been refused for
 // another reason.
-class SizesInForce {
+class EffectiveSizeLimits {
  public:
-  SizesInForce(std::size_t txn_ops, std::size_t value_bytes)
+  EffectiveSizeLimits(std::size_t txn_ops, std::size_t value_bytes)
       : most_ops_(txn_ops), txn_ops_(txn_ops), most_value_bytes_(value_bytes), value_bytes_(value_bytes) {}
   std::size_t txn_ops() const { return txn_ops_; }
   std::size_t value_bytes() const { return value_bytes_; }
   // A transaction was answered 400: the next ones are half as large. One with a single change can only be too
   // large by its value.
-  void on_refused(const wire::Txn& t, Instant now);
+  void on_refused(const protocol::Txn& t, Instant now);
   void on_time(Instant now);
 
  private:
@@ -70,7 +70,7 @@
   Duration patience_{};
 };
 
-class StoreClient : public TxnSink, public std::enable_shared_from_this<StoreClient> {
+class StoreClient : public TxnExecutor, public std::enable_shared_from_this<StoreClient> {
  public:
   // `next`: the limits that may come into force later.
   StoreClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& at, StoreLimits limits,
@@ -78,28 +78,29 @@
 
   struct TxnOptions {
     Duration queue_wait = kQueueWait;  // what can't be sent within this time is refused
-    std::function<void()> on_sent;     // called when it leaves this node: from then on it may be carried out
+    std::function<void()>
+        on_sent;  // called when it leaves this controller: from then on it may be carried out
   };
-  void txn(wire::Txn t, Urgency u, std::function<void(TxnResult)> done) override {
+  void txn(protocol::Txn t, Urgency u, std::function<void(TxnResult)> done) override {
     txn(std::move(t), u, std::move(done), {});
   }
-  void txn(wire::Txn t, Urgency u, std::function<void(TxnResult)> done, TxnOptions options);
+  void txn(protocol::Txn t, Urgency u, std::function<void(TxnResult)> done, TxnOptions options);
   void get(std::string target, Urgency u, std::function<void(ReadResult)> done);
-  void hold(std::uint32_t ttl_ms, std::function<void(ReadResult)> done);
-  void renew(HoldId id, std::function<void(ReadResult)> done);
+  void grant_lease(std::uint32_t ttl_ms, std::function<void(ReadResult)> done);
+  void renew(LeaseId id, std::function<void(ReadResult)> done);
 
-  // This node's part of the service's limits.
+  // This controller's part of the service's limits.
   void set_shares(double requests, double writes);
-  // The least time between two requests of a kind that may take half of this node's share of the service's
-  // limit.
+  // The least time between two requests of a kind that may take half of this controller's share of the
+  // service's limit.
   Duration fair_gap() const { return from_seconds(2 / std::max(1.0, limits_.get().rps * request_share_)); }
   // How many changes could be made now with half of a second's worth left for what is more urgent.
   std::size_t spare_writes() const;
   // What a transaction and a value may hold now.
-  const SizesInForce& sizes() const { return sizes_; }
+  const EffectiveSizeLimits& sizes() const { return sizes_; }
   Duration write_wait(Urgency u) const override;
-  // False while this node is refused or gets no answers to its reads, up to the next answer. Transactions
-  // without an answer don't count: the service may be well and only their answers lost.
+  // False while this controller is refused or gets no answers to its reads, up to the next answer.
+  // Transactions without an answer don't count: the service may be well and only their answers lost.
   bool available() const { return available_; }
   // After so long a transaction without an answer is more likely lost than slow: from the answers' smoothed
   // delay and its variation, as TCP sets its retransmission timeout (RFC 6298).
@@ -117,7 +118,7 @@
   };
   using Queue = std::deque<Job>;
   void enqueue(Job job, Urgency u);
-  void pump();
+  void send_queued();
   // Sends what the budget has room for; the earliest time at which there is room for the next, if any waits.
   std::optional<Instant> send_ready(Queue& queue, bool urgent, std::vector<Job>& late);
   void send(Job job);
@@ -127,10 +128,10 @@
 
   const Clock& clock_;
   std::shared_ptr<net::HttpClient> http_;
-  LimitsInForce limits_;
-  SizesInForce sizes_;
+  EffectiveRateLimits limits_;
+  EffectiveSizeLimits sizes_;
   double request_share_, write_share_;
-  Budget requests_, writes_;
+  RateLimiter requests_, writes_;
   std::array<Queue, kUrgencies> reads_, changes_;
   asio::steady_timer timer_;
   Instant answered_{};  // the last answer other than a refusal
@@ -140,4 +141,4 @@
   bool stopped_ = false;
 };
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/dependencies.cpp
+++ b/src/state_store/dependencies.cpp
@@ -1,31 +1,31 @@
-#include "store/dependencies.h"
+#include "state_store/dependencies.h"
 
 #include <algorithm>
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
-void Dependencies::on_record(const JobId& job, const std::vector<JobId>& awaits, const Lookup& ends) {
-  if (awaits.empty()) return;
+void Dependencies::on_record(const JobId& job, const std::vector<JobId>& depends_on, const Lookup& ends) {
+  if (depends_on.empty()) return;
   auto [it, fresh] = waiters_.try_emplace(job);
   if (!fresh) return;
   auto& waiter = it->second;
-  waiter.awaits = awaits;
+  waiter.depends_on = depends_on;
   waiter.ended = ends(job) != nullptr;
   std::optional<JobId> root;
-  for (const auto& awaited : awaits) {
-    ++effort_;
-    const auto* ending = ends(awaited);
-    if (ending && ending->end == End::kDone) {
-      waiter.since = std::max(waiter.since, ending->at);
+  for (const auto& dependency : depends_on) {
+    ++visited_count_;
+    const auto* terminal_record = ends(dependency);
+    if (terminal_record && terminal_record->end == TerminalState::kDone) {
+      waiter.since = std::max(waiter.since, terminal_record->at);
       continue;
     }
     ++waiter.open;
-    if (ending) {
-      root = awaited;
-    } else if (const auto* through = cancelled_by(awaited)) {
+    if (terminal_record) {
+      root = dependency;
+    } else if (const auto* through = cancelled_by(dependency)) {
       root = *through;
     } else {
-      dependents_[awaited].insert(job);
+      dependents_[dependency].insert(job);
     }
   }
   if (!root || waiter.ended) return;
@@ -38,9 +38,9 @@
 void Dependencies::on_record_dropped(const JobId& job) {
   auto it = waiters_.find(job);
   if (it == waiters_.end()) return;
-  for (const auto& awaited : it->second.awaits) {
-    ++effort_;
-    auto list = dependents_.find(awaited);
+  for (const auto& dependency : it->second.depends_on) {
+    ++visited_count_;
+    auto list = dependents_.find(dependency);
     if (list == dependents_.end()) continue;
     list->second.erase(job);
     if (list->second.empty()) dependents_.erase(list);
@@ -49,16 +49,16 @@
   waiters_.erase(it);
 }
 
-void Dependencies::on_end(const JobId& job, const Ending& ending) {
+void Dependencies::on_end(const JobId& job, const TerminalRecord& terminal_record) {
   unrecorded_.erase(job);
   if (auto own = waiters_.find(job); own != waiters_.end()) own->second.ended = true;
-  if (ending.end == End::kCancelled) return cancel_dependents(job, job);
+  if (terminal_record.end == TerminalState::kCancelled) return cancel_dependents(job, job);
   auto list = dependents_.extract(job);
   if (!list) return;
   for (const auto& dependent : list.mapped()) {
-    ++effort_;
+    ++visited_count_;
     auto& waiter = waiters_.at(dependent);
-    waiter.since = std::max(waiter.since, ending.at);
+    waiter.since = std::max(waiter.since, terminal_record.at);
     if (--waiter.open == 0) changed_.push_back(dependent);
   }
 }
@@ -71,7 +71,7 @@
     cancelled.pop_back();
     if (!list) continue;
     for (const auto& dependent : list.mapped()) {
-      ++effort_;
+      ++visited_count_;
       auto& waiter = waiters_.at(dependent);
       if (waiter.cancelled_by || waiter.ended) continue;
       waiter.cancelled_by = root;
@@ -109,4 +109,4 @@
   return std::exchange(changed_, {});
 }
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/dependencies.h
+++ b/src/state_store/dependencies.h
@@ -1,6 +1,6 @@
 // Which jobs wait for which, and what follows from how those ended. A job starts only after every job that it
 // awaits is done; it's cancelled as soon as one of them is, directly or through others. Both are functions of
-// records that are written once and never changed (`jobs/`, `ends/`): every node that has read the same
+// records that are written once and never changed (`jobs/`, `ends/`): every controller that has read the same
 // records comes to the same result, and no later record takes it back.
 #pragma once
 
@@ -11,21 +11,21 @@
 #include <unordered_map>
 #include <vector>
 
-#include "store/records.h"
+#include "state_store/records.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
 class Dependencies {
  public:
   // How a job ended, if that is recorded; null: it isn't.
-  using Lookup = std::function<const Ending*(const JobId&)>;
+  using Lookup = std::function<const TerminalRecord*(const JobId&)>;
 
   // The record of a job that awaits others was read. Repeating it changes nothing.
-  void on_record(const JobId& job, const std::vector<JobId>& awaits, const Lookup& ends);
+  void on_record(const JobId& job, const std::vector<JobId>& depends_on, const Lookup& ends);
   // The record was dropped, which happens only once the job's own end is recorded.
   void on_record_dropped(const JobId& job);
   // The end of any job was recorded.
-  void on_end(const JobId& job, const Ending& ending);
+  void on_end(const JobId& job, const TerminalRecord& terminal_record);
   void clear();
 
   // Whether some job that this one awaits isn't done yet.
@@ -34,16 +34,16 @@
   std::optional<WallMs> ready_since(const JobId& job) const;
   // The job whose recorded cancellation reaches this one through those that it awaits; null: none does.
   const JobId* cancelled_by(const JobId& job) const;
-  // Cancelled through others, without an end of their own in the state service yet.
+  // Cancelled through others, without an end of their own in the state store yet.
   const std::set<JobId>& unrecorded() const { return unrecorded_; }
   // Jobs whose wait ended, or that were cancelled through others, since the last call.
   std::vector<JobId> take_changed();
   // Jobs looked at so far: an event must cost no more than the jobs whose state it changes.
-  std::uint64_t effort() const { return effort_; }
+  std::uint64_t visited_count() const { return visited_count_; }
 
  private:
   struct Waiter {
-    std::vector<JobId> awaits;
+    std::vector<JobId> depends_on;
     std::size_t open = 0;  // of them, those that aren't done
     WallMs since;
     std::optional<JobId> cancelled_by;
@@ -57,7 +57,7 @@
   std::unordered_map<JobId, std::set<JobId>> dependents_;
   std::set<JobId> unrecorded_;
   std::vector<JobId> changed_;
-  std::uint64_t effort_ = 0;
+  std::uint64_t visited_count_ = 0;
 };
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/registry.cpp
+++ b/src/state_store/machine_registry.cpp
@@ -1,12 +1,12 @@
-#include "store/registry.h"
+#include "state_store/machine_registry.h"
 
 #include <algorithm>
 #include <set>
 
-#include "store/sizes.h"
-#include "store/txn_draft.h"
+#include "state_store/sizes.h"
+#include "state_store/txn_draft.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 namespace {
 
 std::size_t empty_bytes() {
@@ -133,66 +133,68 @@
 
 namespace {
 
-BucketPieces recorded_pieces(const View& view, PartId part, std::uint32_t bucket) {
+BucketPieces recorded_pieces(const StateView& view, ShardId shard, std::uint32_t bucket) {
   BucketPieces pieces;
-  for (const auto& [key, machines] : view.registry(part))
+  for (const auto& [key, machines] : view.registry(shard))
     if (key % kMachineBuckets == bucket) pieces[key / kMachineBuckets] = machines.value;
   return pieces;
 }
 
-// The highest version that all nodes know.
-std::uint32_t known_version(const View& view, const std::vector<NodeName>& nodes) {
+// The highest version that all controllers know.
+std::uint32_t known_version(const StateView& view, const std::vector<ControllerName>& controllers) {
   auto version = kFormatVersion;
-  while (version > 0 && !view.all_know(version, nodes)) --version;
+  while (version > 0 && !view.all_support(version, controllers)) --version;
   return version;
 }
 
 // The lowest version that reads all keys that hold machines now.
-std::uint32_t readable_since(const View::Registry& registry) {
+std::uint32_t readable_since(const StateView::Registry& registry) {
   std::uint32_t since = 0;
   for (const auto& [key, machines] : registry)
     if (!machines.value.empty()) since = std::max(since, registry_key_since(key));
   return since;
 }
 
-wire::Txn raise_role(PartId part, const Versioned<Role>& role, std::uint32_t since) {
+protocol::Txn raise_role(ShardId shard, const Versioned<Role>& role, std::uint32_t since) {
   auto raised = role.value;
   raised.readable_since = since;
-  return {{{part_role_key(part), role.version}}, {{part_role_key(part), to_json(raised), std::nullopt}}};
+  return {{{shard_role_key(shard), role.version}}, {{shard_role_key(shard), to_json(raised), std::nullopt}}};
 }
 
 }  // namespace
 
-std::vector<MachineRecord> registered_machines(const View& view, PartId part) {
+std::vector<MachineRecord> registered_machines(const StateView& view, ShardId shard) {
   std::vector<MachineRecord> all;
-  for (const auto& [key, machines] : view.registry(part))
+  for (const auto& [key, machines] : view.registry(shard))
     all.insert(all.end(), machines.value.begin(), machines.value.end());
   return all;
 }
 
-std::optional<wire::Txn> registry_txn(const View& view, PartId part, const MachinesByBucket& wanted,
-                                      const std::vector<NodeName>& nodes, const RegistryLimits& limits) {
-  const auto& role = view.part_role(part);
-  const auto max_pieces = readable_pieces(known_version(view, nodes));
-  auto since = readable_since(view.registry(part));
+std::optional<protocol::Txn> registry_txn(const StateView& view, ShardId shard,
+                                          const MachinesByBucket& wanted,
+                                          const std::vector<ControllerName>& controllers,
+                                          const RegistryLimits& limits) {
+  const auto& role = view.shard_role(shard);
+  const auto max_pieces = readable_pieces(known_version(view, controllers));
+  auto since = readable_since(view.registry(shard));
   TxnDraft draft(limits.txn_ops);
-  draft.require({part_role_key(part), role.version});
+  draft.require({shard_role_key(shard), role.version});
   bool full = false;
   for (auto bucket = wanted.begin(); bucket != wanted.end() && !full; ++bucket) {
-    auto planned = plan_bucket(recorded_pieces(view, part, bucket->first), bucket->second, limits.value_bytes,
-                               max_pieces);
+    auto planned = plan_bucket(recorded_pieces(view, shard, bucket->first), bucket->second,
+                               limits.value_bytes, max_pieces);
     for (const auto& [piece, machines] : planned) {
       auto number = bucket->first + piece * kMachineBuckets;
-      auto key = machines_key(part, number);
+      auto key = machines_key(shard, number);
       full =
-          !draft.add({{key, view.machines(part, number).version}}, {{key, to_json(machines), std::nullopt}});
+          !draft.add({{key, view.machines(shard, number).version}}, {{key, to_json(machines), std::nullopt}});
       if (full) break;
       since = std::max(since, registry_key_since(number));
     }
   }
-  if (since > role.value.readable_since) return raise_role(part, role, since);
+  if (since > role.value.readable_since) return raise_role(shard, role, since);
   if (draft.empty()) return std::nullopt;
   return draft.txn();
 }
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/registry.h
+++ b/src/state_store/machine_registry.h
@@ -1,5 +1,5 @@
-// The registry of a part: the machines that may run its tasks, in keys that a successor reads to know whom to
-// wait for. Any number of machines fits, whatever the limits of a value and of a transaction are.
+// The registry of a shard: the machines that may run its tasks, in keys that a successor reads to know whom
+// to wait for. Any number of machines fits, whatever the limits of a value and of a transaction are.
 #pragma once
 
 #include <cstddef>
@@ -8,10 +8,10 @@
 #include <utility>
 #include <vector>
 
-#include "store/view.h"
-#include "wire/store.h"
+#include "protocol/state_store.h"
+#include "state_store/state_view.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
 // Machines by bucket, see kMachineBuckets.
 using MachinesByBucket = std::map<std::uint32_t, std::vector<MachineRecord>>;
@@ -21,18 +21,20 @@
   std::size_t value_bytes = 0;  // of a key's value
 };
 
-// All machines in the part's registry, whichever version wrote them.
-std::vector<MachineRecord> registered_machines(const View& view, PartId part);
+// All machines in the shard's registry, whichever version wrote them.
+std::vector<MachineRecord> registered_machines(const StateView& view, ShardId shard);
 
 // The next transaction by which the registry of `part` comes to hold what is `wanted` of the buckets given;
 // none: nothing is to be written, or nothing more fits. What it can't take follows with the next one.
 //
-// Keys that an earlier version doesn't read are written only if `nodes` all know them; and a controller of
-// such a version that is started again later is kept from the part: it would not wait for the machines in
-// these keys, and start their tasks a second time. So the part's role is made unreadable for it in a
+// Keys that an earlier version doesn't read are written only if `controllers` all know them; and a controller
+// of such a version that is started again later is kept from the shard: it would not wait for the machines in
+// these keys, and start their tasks a second time. So the shard's role is made unreadable for it in a
 // transaction before.
-std::optional<wire::Txn> registry_txn(const View& view, PartId part, const MachinesByBucket& wanted,
-                                      const std::vector<NodeName>& nodes, const RegistryLimits& limits);
+std::optional<protocol::Txn> registry_txn(const StateView& view, ShardId shard,
+                                          const MachinesByBucket& wanted,
+                                          const std::vector<ControllerName>& controllers,
+                                          const RegistryLimits& limits);
 
 // The keys of one bucket of a registry, by piece (see kMachineBuckets).
 using BucketPieces = std::map<std::uint32_t, std::vector<MachineRecord>>;
@@ -46,4 +48,4 @@
     const BucketPieces& recorded, const std::vector<MachineRecord>& wanted, std::size_t max_bytes,
     std::uint32_t max_pieces);
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/open_txns.cpp
+++ b/src/state_store/pending_txns.cpp
@@ -1,22 +1,22 @@
-#include "store/open_txns.h"
+#include "state_store/pending_txns.h"
 
 #include <algorithm>
 #include <string_view>
 #include <unordered_map>
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 namespace {
 
-using ByKey = std::unordered_map<std::string_view, std::vector<const wire::Change*>>;
+using ByKey = std::unordered_map<std::string_view, std::vector<const protocol::Change*>>;
 
-bool holds(const ByKey& changes, const wire::Write& write, Revision at) {
+bool holds(const ByKey& changes, const protocol::Write& write, Revision at) {
   auto it = changes.find(write.key);
   if (it == changes.end()) return false;
   return std::any_of(it->second.begin(), it->second.end(),
                      [&](const auto* c) { return c->version == at && c->value == write.value; });
 }
 
-std::optional<Revision> revision_of(const wire::Txn& txn, Revision known, const ByKey& changes) {
+std::optional<Revision> revision_of(const protocol::Txn& txn, Revision known, const ByKey& changes) {
   if (txn.writes.empty()) return std::nullopt;
   auto first = changes.find(txn.writes.front().key);
   if (first == changes.end()) return std::nullopt;
@@ -31,19 +31,19 @@
 
 }  // namespace
 
-std::uint64_t OpenTxns::add(wire::Txn t, Done done) {
+std::uint64_t PendingTxns::add(protocol::Txn t, Done done) {
   open_[++last_] = {std::move(t), std::move(done), {}, {}};
   return last_;
 }
 
-void OpenTxns::sent(std::uint64_t id, Revision known, Instant now) {
+void PendingTxns::sent(std::uint64_t id, Revision known, Instant now) {
   auto it = open_.find(id);
   if (it == open_.end()) return;
   it->second.known = known;
   it->second.sent = now;
 }
 
-OpenTxns::Done OpenTxns::take(std::uint64_t id) {
+PendingTxns::Done PendingTxns::take(std::uint64_t id) {
   auto it = open_.find(id);
   if (it == open_.end()) return {};
   auto done = std::move(it->second.done);
@@ -51,14 +51,14 @@
   return done;
 }
 
-std::optional<Instant> OpenTxns::oldest_sent() const {
+std::optional<Instant> PendingTxns::oldest_sent() const {
   std::optional<Instant> oldest;
   for (const auto& [id, open] : open_)
     if (open.sent) oldest = std::min(oldest.value_or(*open.sent), *open.sent);
   return oldest;
 }
 
-std::vector<OpenTxns::Applied> OpenTxns::take_applied(const std::vector<wire::Change>& changes) {
+std::vector<PendingTxns::Applied> PendingTxns::take_applied(const std::vector<protocol::Change>& changes) {
   std::vector<Applied> applied;
   if (open_.empty() || changes.empty()) return applied;
   ByKey by_key;
@@ -76,4 +76,4 @@
   return applied;
 }
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/open_txns.h
+++ b/src/state_store/pending_txns.h
@@ -7,11 +7,11 @@
 #include <optional>
 #include <vector>
 
-#include "store/client.h"
+#include "state_store/client.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
-class OpenTxns {
+class PendingTxns {
  public:
   using Done = std::function<void(TxnResult)>;
   struct Applied {
@@ -20,8 +20,8 @@
   };
 
   // An id for the calls below. Nothing is called from within this class.
-  std::uint64_t add(wire::Txn t, Done done);
-  // It left this node at `now`, when everything up to `known` had been read.
+  std::uint64_t add(protocol::Txn t, Done done);
+  // It left this controller at `now`, when everything up to `known` had been read.
   void sent(std::uint64_t id, Revision known, Instant now);
   // Takes out a transaction that was answered; nothing if it was found to be applied before.
   Done take(std::uint64_t id);
@@ -30,11 +30,11 @@
   // Takes out those that these changes show as applied: every write of theirs is there, with its value, under
   // one revision later than what was known when they were sent. What isn't found may be applied later still,
   // so its absence proves nothing.
-  std::vector<Applied> take_applied(const std::vector<wire::Change>& changes);
+  std::vector<Applied> take_applied(const std::vector<protocol::Change>& changes);
 
  private:
   struct Open {
-    wire::Txn txn;
+    protocol::Txn txn;
     Done done;
     Revision known;
     std::optional<Instant> sent;
@@ -43,4 +43,4 @@
   std::uint64_t last_ = 0;
 };
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/budget.h
+++ b/src/state_store/rate_limiter.h
@@ -1,16 +1,16 @@
-// A token bucket for a limit that the whole service shares: each node keeps to its part of it.
+// A token bucket for a limit that the whole service shares: each controller keeps to its part of it.
 #pragma once
 
 #include <algorithm>
 
 #include "base/types.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
-class Budget {
+class RateLimiter {
  public:
   // `rate` a second, with bursts of `burst_s` seconds' worth.
-  Budget(double rate, double burst_s, Instant now)
+  RateLimiter(double rate, double burst_s, Instant now)
       : rate_(rate), burst_s_(burst_s), level_(rate * burst_s), at_(now) {}
 
   void set_rate(double rate, Instant now);
@@ -32,4 +32,4 @@
   Instant at_;
 };
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/sizes.h
+++ b/src/state_store/sizes.h
@@ -1,4 +1,4 @@
-// Values that fit the state service's limit. What was written under a higher limit stays readable; what is
+// Values that fit the state store's limit. What was written under a higher limit stays readable; what is
 // written from now on has to fit, and must never lose what is recorded already.
 #pragma once
 
@@ -6,12 +6,12 @@
 #include <optional>
 #include <vector>
 
-#include "store/records.h"
+#include "state_store/records.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
 // Bytes of the value as it's sent.
-std::size_t value_bytes(const wire::Json& value);
+std::size_t value_bytes(const protocol::Json& value);
 
 // As much of `wanted` as fits into `max_bytes`, always with all of `recorded` that `wanted` still holds. What
 // is left out counts as neither done nor returned until a later record, which is safe: sets of finished tasks
@@ -26,8 +26,8 @@
 // into further keys. None: it doesn't fit even so.
 struct JobValues {
   JobRecord record;
-  std::vector<AwaitsPiece> awaits;
+  std::vector<DependencyPiece> depends_on;
 };
 std::optional<JobValues> fit_job(JobRecord record, std::size_t max_bytes);
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/txn_draft.cpp
+++ b/src/state_store/txn_draft.cpp
@@ -1,9 +1,10 @@
-#include "store/txn_draft.h"
+#include "state_store/txn_draft.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
-bool TxnDraft::add(const std::vector<wire::Condition>& conditions, const std::vector<wire::Write>& writes) {
-  const auto bytes = wire::render_txn({conditions, writes}).size();
+bool TxnDraft::add(const std::vector<protocol::Condition>& conditions,
+                   const std::vector<protocol::Write>& writes) {
+  const auto bytes = protocol::render_txn({conditions, writes}).size();
   if (txn_.writes.size() + writes.size() > max_changes_) return false;
   if (txn_.conditions.size() + conditions.size() > max_changes_ * kConditionsPerChange) return false;
   if (bytes_ + bytes > kMaxTxnBytes) return false;
@@ -13,4 +14,4 @@
   return true;
 }
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/txn_draft.h
+++ b/src/state_store/txn_draft.h
@@ -1,12 +1,12 @@
-// A transaction that is made up step by step and keeps within what the state service takes.
+// A transaction that is made up step by step and keeps within what the state store takes.
 #pragma once
 
 #include <cstddef>
 #include <vector>
 
-#include "wire/store.h"
+#include "protocol/state_store.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
 // Bytes of a whole transaction. The protocol allows 64 KiB; the service may write the same text a little
 // longer.
@@ -22,16 +22,16 @@
   explicit TxnDraft(std::size_t max_changes) : max_changes_(max_changes) {}
 
   // Adds changes and what they are conditional on, all of them or none: false if they don't fit any more.
-  bool add(const std::vector<wire::Condition>& conditions, const std::vector<wire::Write>& writes);
+  bool add(const std::vector<protocol::Condition>& conditions, const std::vector<protocol::Write>& writes);
   // Conditions that hold for the transaction as a whole.
-  bool require(const wire::Condition& condition) { return add({condition}, {}); }
+  bool require(const protocol::Condition& condition) { return add({condition}, {}); }
   bool empty() const { return txn_.writes.empty(); }
-  const wire::Txn& txn() const { return txn_; }
+  const protocol::Txn& txn() const { return txn_; }
 
  private:
   std::size_t max_changes_;
   std::size_t bytes_ = 0;
-  wire::Txn txn_;
+  protocol::Txn txn_;
 };
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/src/store/mirror.h
+++ b/src/state_store/watch_cache.h
@@ -9,21 +9,21 @@
 #include <string>
 #include <vector>
 
-#include "store/client.h"
-#include "store/open_txns.h"
-#include "store/view.h"
+#include "state_store/client.h"
+#include "state_store/pending_txns.h"
+#include "state_store/state_view.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 
-class Mirror : public ViewSource, public std::enable_shared_from_this<Mirror> {
+class WatchCache : public StateReader, public std::enable_shared_from_this<WatchCache> {
  public:
   // `on_change` is called after changes were applied, with what they touched.
-  Mirror(asio::io_context& io, const Clock& clock, std::shared_ptr<StoreClient> client, Duration period,
-         std::function<void(const View::Touched&)> on_change);
+  WatchCache(asio::io_context& io, const Clock& clock, std::shared_ptr<StoreClient> client, Duration period,
+             std::function<void(const StateView::ChangeSet&)> on_change);
   void start();
   void stop();
 
-  const View& view() const override { return view_; }
+  const StateView& view() const override { return view_; }
   bool ready() const override { return ready_; }
   // The view holds all changes up to this one, and more while the content is loaded anew.
   Revision revision() const { return revision_; }
@@ -32,25 +32,25 @@
 
   // Calls while a read is under way share the next one.
   void sync(std::function<void(bool)> done) override;
-  bool answers() const override;
-  void commit(wire::Txn t, Urgency u, std::function<void(TxnResult)> done,
+  bool is_responsive() const override;
+  void commit(protocol::Txn t, Urgency u, std::function<void(TxnResult)> done,
               Duration queue_wait = kQueueWait) override;
   // Somebody wrote this revision: look soon unless it's known.
-  void nudge(Revision r);
-  void apply_own(const wire::Txn& t, Revision r) override;
-  // Ends that another controller has read: records of the state service like any other.
-  void apply_cancelled(const std::vector<wire::CancelledJob>& jobs);
+  void on_remote_change(Revision r);
+  void apply_own(const protocol::Txn& t, Revision r) override;
+  // Ends that another controller has read: records of the state store like any other.
+  void apply_cancelled(const std::vector<protocol::CancelledJob>& jobs);
 
  private:
   void load(const std::string& after);
   void read();
-  // This node dropped the key at a later revision.
-  bool dropped_later(const wire::Change& c) const;
+  // This controller dropped the key at a later revision.
+  bool deleted_later(const protocol::Change& c) const;
   void on_read(const ReadResult& r, Instant begun);
-  void apply_read(wire::Changes changes, Instant begun);
-  void look_for_late();
+  void apply_read(protocol::Changes changes, Instant begun);
+  void check_late_answers();
   void finish(bool ok);
-  void settle();
+  void publish_changes();
   void schedule(Duration d);
   // Reads as soon as the last read is long enough ago.
   void read_soon();
@@ -58,14 +58,15 @@
   const Clock& clock_;
   std::shared_ptr<StoreClient> client_;
   Duration period_;
-  std::function<void(const View::Touched&)> on_change_;
-  View view_;
+  std::function<void(const StateView::ChangeSet&)> on_change_;
+  StateView view_;
   asio::steady_timer timer_, late_timer_;
-  OpenTxns open_;
+  PendingTxns open_;
   Revision revision_;
-  Revision load_from_;                         // as of the first page of the last load
-  std::map<std::string, Revision> own_drops_;  // keys that this node dropped and no read has gone beyond
-  Revision nudged_;
+  Revision load_from_;  // as of the first page of the last load
+  std::map<std::string, Revision>
+      own_deletions_;  // keys that this controller dropped and no read has gone beyond
+  Revision announced_;
   Instant as_of_{};
   std::vector<std::function<void(bool)>> waiting_, served_;
   Instant begun_{};   // the last read
@@ -77,4 +78,4 @@
   bool stopped_ = false;
 };
 
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -11,13 +11,13 @@
 TEST(Admission, WhatCanNeverRunAndWhatCannotBeDecidedYet) {
   config::Settings settings;
   settings.teams = {{Team("blue"), 10, 20, 0, 0}, {Team("free"), 0, 0, 0, 0}};
-  wire::Catalogue catalogue;
+  protocol::Catalogue catalogue;
   catalogue[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, {Zone("a")}};
   catalogue[MachineType("g8")] = {MachineType("g8"), {8, 2, 64}, 10, 0.1, 1, 0.5, 20, {Zone("b")}};
-  using Kind = Verdict::Kind;
+  using Kind = AdmissionResult::Kind;
   struct Case {
     const char* what;
-    std::function<void(wire::JobSpec&)> change;
+    std::function<void(protocol::JobSpec&)> change;
     bool catalogue_known;
     Kind kind;
   };
@@ -44,7 +44,7 @@
        Kind::kAccept},
   };
   for (const auto& c : cases) {
-    wire::JobSpec s;
+    protocol::JobSpec s;
     s.team = Team("blue");
     s.tasks = 1;
     s.each = {1, 0, 1};
@@ -57,10 +57,11 @@
   return std::chrono::milliseconds(n);
 }
 
-// The users' endpoints before a stand-in of the state service.
+// The users' endpoints before a stand-in of the state store.
 struct ApiWorld : StoreWorld {
-  // Questions that still wait are answered while the endpoints are there, as node::Node does when it stops.
-  ~ApiWorld() { mirror->stop(); }
+  // Questions that still wait are answered while the endpoints are there, as controller::Controller does when
+  // it stops.
+  ~ApiWorld() { watch_cache->stop(); }
   ApiWorld() {
     settings.teams = {{Team("blue"), 0, 0, 0, 0}};
     catalogue[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, {Zone("a")}};
@@ -70,42 +71,43 @@
                      [](const JobId&) { return 0u; },
                      [] { return true; },
                      [this](std::uint32_t version) { return version <= known_by_all; }};
-    api = std::make_unique<Api>(io, clock, settings, client, mirror, hooks);
+    api = std::make_unique<Api>(io, clock, settings, client, watch_cache, hooks);
   }
-  struct Answer {
+  struct EstimateResponse {
     net::Response response;
     Duration after{};
   };
-  std::shared_ptr<std::optional<Answer>> send(const char* method, std::string path, std::string body = "") {
+  std::shared_ptr<std::optional<EstimateResponse>> send(const char* method, std::string path,
+                                                        std::string body = "") {
     net::Request r;
     r.method = method;
     r.path = std::move(path);
     r.body = std::move(body);
-    auto answer = std::make_shared<std::optional<Answer>>();
+    auto answer = std::make_shared<std::optional<EstimateResponse>>();
     api->handle(r, [this, answer, begun = clock.now()](net::Response x) {
       ASSERT_FALSE(*answer) << "answered twice";
-      *answer = Answer{std::move(x), clock.now() - begun};
+      *answer = EstimateResponse{std::move(x), clock.now() - begun};
     });
     return answer;
   }
-  Answer call(const char* method, std::string path, std::string body = "") {
+  EstimateResponse call(const char* method, std::string path, std::string body = "") {
     auto answer = send(method, std::move(path), std::move(body));
     run_until([&] { return answer->has_value(); });
-    return answer->value_or(Answer{});
+    return answer->value_or(EstimateResponse{});
   }
   static std::string job(const std::string& id) {
-    return wire::Json{{"ref", id},        {"berth", "c"},         {"crew", "blue"},
-                      {"shape", "batch"}, {"precedence", "high"}, {"lamps", 2},
-                      {"vcpus", 1.0},     {"cards", 0.0},         {"memoryGb", 1.0},
-                      {"cargo", "img"},   {"sizeGb", 0.5},        {"together", false},
-                      {"scatter", false}, {"driftwood", false},   {"reckonS", 1.0},
-                      {"markS", 0.0},     {"stowS", 0.0}}
+    return protocol::Json{{"ref", id},        {"berth", "c"},         {"crew", "blue"},
+                          {"shape", "batch"}, {"precedence", "high"}, {"lamps", 2},
+                          {"vcpus", 1.0},     {"cards", 0.0},         {"memoryGb", 1.0},
+                          {"cargo", "img"},   {"sizeGb", 0.5},        {"together", false},
+                          {"scatter", false}, {"driftwood", false},   {"reckonS", 1.0},
+                          {"markS", 0.0},     {"stowS", 0.0}}
         .dump();
   }
 
   config::Settings settings;
-  wire::Catalogue catalogue;
-  std::uint32_t known_by_all = store::kFormatVersion;
+  protocol::Catalogue catalogue;
+  std::uint32_t known_by_all = state_store::kFormatVersion;
   std::unique_ptr<Api> api;
 };
 
@@ -118,16 +120,16 @@
   w.settings.txn_ops = w.state.max_ops = 6;
   w.state.max_value = 2048;
   auto names = [](std::size_t n) {
-    wire::Json list = wire::Json::array();
+    protocol::Json list = protocol::Json::array();
     for (std::size_t i = 0; i < n; ++i) list.push_back("run-" + std::to_string(100000 + i));
     return list;
   };
   for (std::size_t i = 0; i < kMost; ++i)
-    w.state.put(store::end_key(JobId("run-" + std::to_string(100000 + i))),
-                wire::Json{{"end", "done"}, {"done", 1}});
-  auto join = [&](const std::string& id, wire::Json awaits) {
-    auto j = wire::Json::parse(ApiWorld::job(id));
-    j["awaits"] = std::move(awaits);
+    w.state.put(state_store::terminal_key(JobId("run-" + std::to_string(100000 + i))),
+                protocol::Json{{"end", "done"}, {"done", 1}});
+  auto join = [&](const std::string& id, protocol::Json depends_on) {
+    auto j = protocol::Json::parse(ApiWorld::job(id));
+    j["awaits"] = std::move(depends_on);
     return j.dump();
   };
   auto submit = [&](const std::string& body) {
@@ -135,7 +137,7 @@
       auto a = w.call("POST", "/v1/jobs", body).response;
       if (a.status != 503) return a.status;
       EXPECT_TRUE(a.retry_after_s);
-      EXPECT_EQ(w.state.keys.count(store::job_key(JobId("run-7"))), 0u);
+      EXPECT_EQ(w.state.keys.count(state_store::job_key(JobId("run-7"))), 0u);
       w.io.run_for(ms(100));
     }
     return 503;
@@ -143,25 +145,25 @@
   auto unknown = names(kMost);
   unknown.back() = "run-9";
   EXPECT_EQ(submit(join("run-7", unknown)), 422);
-  EXPECT_EQ(w.state.keys.count(store::awaits_key(JobId("run-7"), 0)), 0u);
+  EXPECT_EQ(w.state.keys.count(state_store::dependency_key(JobId("run-7"), 0)), 0u);
   // Until all controllers know of further keys only a list that fits into the record is taken.
   w.known_by_all = 1;
   EXPECT_EQ(submit(join("run-6", names(60))), 201);
   EXPECT_EQ(w.call("POST", "/v1/jobs", join("run-7", names(kMost))).response.status, 503);
   w.known_by_all = 0;
   EXPECT_EQ(w.call("POST", "/v1/jobs", join("run-8", names(1))).response.status, 503);
-  w.known_by_all = store::kFormatVersion;
+  w.known_by_all = state_store::kFormatVersion;
   EXPECT_EQ(submit(join("run-7", names(kMost))), 201);
   EXPECT_EQ(submit(join("run-7", names(kMost))), 200);
-  ASSERT_TRUE(w.mirror->view().job(JobId("run-7")));
-  EXPECT_EQ(w.mirror->view().job(JobId("run-7"))->record.spec->awaits.size(), kMost);
+  ASSERT_TRUE(w.watch_cache->view().job(JobId("run-7")));
+  EXPECT_EQ(w.watch_cache->view().job(JobId("run-7"))->record.spec->depends_on.size(), kMost);
   // What can't be stored however it's split can never run.
-  auto huge = wire::Json::parse(ApiWorld::job("run-5"));
+  auto huge = protocol::Json::parse(ApiWorld::job("run-5"));
   huge["hulls"] = std::vector<std::string>(700, "t4");
   EXPECT_EQ(submit(huge.dump()), 422);
 }
 
-// Found on the day "gap": thousands of requests waited in vain at nodes that were up.
+// Found on the day "gap": thousands of requests waited in vain at controllers that were up.
 TEST(Api, RequestsThatCannotBeAnsweredAreRefusedSoon) {
   struct Case {
     const char* what;
@@ -190,7 +192,7 @@
     ASSERT_EQ(w.call("POST", "/v1/jobs", ApiWorld::job("run-000001")).response.status, 201);
     c.fail(w.state);
     // All at once, before anything is known; then one by one, when it is.
-    std::vector<std::shared_ptr<std::optional<ApiWorld::Answer>>> first;
+    std::vector<std::shared_ptr<std::optional<ApiWorld::EstimateResponse>>> first;
     for (const auto& q : questions) first.push_back(w.send(q.method, q.path, q.body));
     for (auto& a : first) {
       w.run_until([&] { return a->has_value(); });
@@ -213,7 +215,7 @@
   ApiWorld w;
   ASSERT_EQ(w.call("POST", "/v1/jobs", ApiWorld::job("run-000001")).response.status, 201);
   w.state.down = true;
-  w.run_until([&] { return !w.mirror->answers(); });
+  w.run_until([&] { return !w.watch_cache->is_responsive(); });
   w.io.run_for(ms(2000));
   w.state.down = false;
   auto end = w.clock.now();
--- a/tests/base_test.cpp
+++ b/tests/base_test.cpp
@@ -65,7 +65,7 @@
 }
 
 TEST(Hash, IsTheSameEverywhere) {
-  // A change of this number would move machines between parts while two versions run side by side.
+  // A change of this number would move machines between shards while two versions run side by side.
   EXPECT_EQ(stable_hash("host-000231"), stable_hash(std::string("host-") + "000231"));
   EXPECT_EQ(stable_hash("a"), 17114084158190756429ull);
 }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -55,7 +55,7 @@
 
 TEST(Settings, GoodOnesAreReadAndUnknownFieldsIgnored) {
   auto s = parse_settings(good(), "s.toml");
-  EXPECT_EQ(s.node, NodeName("n0"));
+  EXPECT_EQ(s.controller, ControllerName("n0"));
   EXPECT_EQ(s.controllers(), 2u);
   EXPECT_EQ(s.team(Team("blue"))->cpus_max, 20);
   EXPECT_EQ(s.team(Team("red")), nullptr);
--- a/tests/contact_test.cpp
+++ b/tests/contact_test.cpp
@@ -1,13 +1,13 @@
 // Contact between an owner and its machines: who is probed, and how soon a machine that hangs is given up.
 #include <gtest/gtest.h>
 
-#include "part/part.h"
+#include "shard/shard_manager.h"
 
-namespace beaconsill::part {
+namespace beaconsill::shard {
 namespace {
 
-using wire::EndCause;
-using wire::TaskState;
+using protocol::EndCause;
+using protocol::TaskState;
 
 constexpr double kReport = 3, kLease = 17.5, kGrace = 12, kStep = 0.1, kTimeout = 2;
 // A report is late after 1.6 periods; a late machine has 3.9 s to answer, and the probes need some steps.
@@ -26,101 +26,102 @@
 };
 
 struct Worker {
-  wire::Report report;
-  double next = 0;      // report
-  double reported = 0;  // last time
+  protocol::WorkerHeartbeat heartbeat;
+  double next = 0;       // report
+  double confirmed = 0;  // last time
   double lease_from = 0;
   Trouble trouble = Trouble::kNone;
 };
 
 // An owner with some machines of a zone, in steps of simulated time.
 struct Fleet {
-  explicit Fleet(int machines) : part(PartId(0), Term(5), params(), at(0)) {
-    auto catalogue = std::make_shared<wire::Catalogue>();
+  explicit Fleet(int machines) : shard(ShardId(0), Term(5), params(), at(0)) {
+    auto catalogue = std::make_shared<protocol::Catalogue>();
     (*catalogue)[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, {Zone("a")}};
-    part.set_catalogue(catalogue);
-    std::vector<store::MachineRecord> records;
+    shard.set_catalogue(catalogue);
+    std::vector<state_store::MachineRecord> records;
     for (int i = 0; i < machines; ++i) {
       Worker w;
-      w.report.machine = MachineName("m" + std::to_string(i));
-      w.report.address = "127.0.0.1:1";
-      w.report.type = MachineType("t4");
-      w.report.zone = Zone("a");
-      w.report.session = Session(1);
-      w.report.token = Token::first_of(Term(5));
+      w.heartbeat.machine = MachineName("m" + std::to_string(i));
+      w.heartbeat.address = "127.0.0.1:1";
+      w.heartbeat.type = MachineType("t4");
+      w.heartbeat.zone = Zone("a");
+      w.heartbeat.incarnation = Incarnation(1);
+      w.heartbeat.token = Token::first_of(Term(5));
       w.next = kReport * i / machines;
-      records.push_back({w.report.machine, w.report.type, w.report.zone, false, w.report.address, false});
-      workers[w.report.machine] = w;
+      records.push_back(
+          {w.heartbeat.machine, w.heartbeat.type, w.heartbeat.zone, false, w.heartbeat.address, false});
+      workers[w.heartbeat.machine] = w;
     }
-    part.on_registry(records, at(0));
+    shard.on_registry(records, at(0));
   }
 
-  static PartParams params() {
-    PartParams p;
-    p.report_period = from_seconds(kReport);
+  static ShardParams params() {
+    ShardParams p;
+    p.heartbeat_period = from_seconds(kReport);
     p.lease = from_seconds(kLease);
     p.cancel_limit = from_seconds(47.5);
     p.grace = from_seconds(kGrace);
     return p;
   }
 
-  wire::Report next_report(Worker& w) {
-    w.report.sequence = Sequence(w.report.sequence.value() + 1);
-    return w.report;
+  protocol::WorkerHeartbeat next_report(Worker& w) {
+    w.heartbeat.sequence = Sequence(w.heartbeat.sequence.value() + 1);
+    return w.heartbeat;
   }
 
   void step() {
     now += kStep;
     for (auto& [name, w] : workers) {
       if (now - w.lease_from > kLease && w.trouble != Trouble::kHangs) {
-        w.report.session = Session(w.report.session.value() + 1);
-        w.report.tasks.clear();
+        w.heartbeat.incarnation = Incarnation(w.heartbeat.incarnation.value() + 1);
+        w.heartbeat.tasks.clear();
         w.lease_from = now;
       }
       if (now < w.next || w.trouble == Trouble::kHangs || w.trouble == Trouble::kMute) continue;
-      part.on_report(next_report(w), at(now));
-      w.reported = now;
-      if (!part.find_machine(name)) continue;
-      part.answer(name, at(now));
+      shard.on_worker_heartbeat(next_report(w), at(now));
+      w.confirmed = now;
+      if (!shard.find_machine(name)) continue;
+      shard.answer(name, at(now));
       if (w.trouble != Trouble::kDeaf) w.lease_from = now;
       w.next = now + (w.trouble == Trouble::kDeaf ? 5 : w.trouble == Trouble::kCommandsCut ? 10 : kReport);
     }
-    part.tick(at(now), at(now), at(now));
-    for (auto& b : part.take_batches(at(now))) {
+    shard.tick(at(now), at(now), at(now));
+    for (auto& b : shard.take_command_batches(at(now))) {
       auto& w = workers.at(b.machine);
       if (b.commands.empty()) ++probes[b.machine];
       if (w.trouble != Trouble::kNone && w.trouble != Trouble::kMute) {
         timeouts.emplace(now + kTimeout, b);
         continue;
       }
-      w.report.token = std::max(w.report.token, b.token);
+      w.heartbeat.token = std::max(w.heartbeat.token, b.token);
       for (const auto& c : b.commands)
-        if (c.op == wire::Command::Op::kStart)
-          w.report.tasks.push_back({c.task, c.attempt, TaskState::kRunning, EndCause::kDone, false});
-      part.on_commands(b, Part::CommandResult::kExecuted, next_report(w), at(now));
+        if (c.op == protocol::Command::Op::kStart)
+          w.heartbeat.tasks.push_back({c.task, c.attempt, TaskState::kRunning, EndCause::kDone, false});
+      shard.on_commands(b, ShardManager::CommandResult::kExecuted, next_report(w), at(now));
     }
     while (!timeouts.empty() && timeouts.begin()->first <= now) {
       auto b = timeouts.extract(timeouts.begin()).mapped();
-      part.on_commands(b, Part::CommandResult::kNoAnswer, std::nullopt, at(now));
+      shard.on_commands(b, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(now));
     }
-    for (auto& name : part.take_deletions(at(now))) {
-      deleted[name] = now - workers.at(name).reported;
-      part.on_deleted(name, at(now));
+    for (auto& name : shard.take_machines_to_delete(at(now))) {
+      deleted[name] = now - workers.at(name).confirmed;
+      shard.on_deleted(name, at(now));
     }
   }
   // So many tasks that every machine gets some.
   void grant_tasks() {
-    wire::JobSpec spec;
+    protocol::JobSpec spec;
     spec.id = JobId("run-1");
     spec.tasks = static_cast<std::uint32_t>(4 * workers.size());
     spec.each = {1, 0, 1};
     spec.image = ImageName("image");
-    job.record = {std::make_shared<const wire::JobSpec>(spec), WallMs(0)};
+    job.record = {std::make_shared<const protocol::JobSpec>(spec), WallMs(0)};
     job.created = job.grants.version = Revision(1);
     job.grants.value.last = Generation(1);
     job.grants.value.chunks = {
-        {Generation(1), PartId(0), Term(5), Ranges::span(0, spec.tasks), std::nullopt, false, {}}};
-    part.on_job(spec.id, &job, std::nullopt, at(now));
+        {Generation(1), ShardId(0), Term(5), Ranges::span(0, spec.tasks), std::nullopt, false, {}}};
+    shard.on_job(spec.id, &job, std::nullopt, at(now));
   }
   void run_until(double t) {
     while (now < t) step();
@@ -129,12 +130,12 @@
     for (int i = first; i < last; ++i) workers.at(MachineName("m" + std::to_string(i))).trouble = t;
   }
 
-  Part part;
-  store::Job job;
+  ShardManager shard;
+  state_store::Job job;
   double now = 0;
   std::map<MachineName, Worker> workers;
   std::map<MachineName, int> probes;
-  std::multimap<double, Part::Batch> timeouts;
+  std::multimap<double, ShardManager::Batch> timeouts;
   std::map<MachineName, double> deleted;  // how long after the last report
 };
 
@@ -199,21 +200,22 @@
     if (name != MachineName("m0")) others += n - before[name];
   EXPECT_GE(others, 1);
   EXPECT_LE(others, 5);
-  EXPECT_FALSE(f.part.machines().at(MachineName("m0")).usable(at(35)));
+  EXPECT_FALSE(f.shard.machines().at(MachineName("m0")).usable(at(35)));
 }
 
-// What had no answer while this node stood still proves nothing: the machine has its time to answer anew.
+// What had no answer while this controller stood still proves nothing: the machine has its time to answer
+// anew.
 TEST(Contact, StandingStillIsNotHeldAgainstAMachine) {
   Fleet f(12);
   f.run_until(30);
   f.trouble(0, 1, Trouble::kHangs);
   f.run_until(36);
-  f.now = 44;  // the node's, not the workers': they have waited meanwhile
-  f.part.on_stood_still(at(f.now));
+  f.now = 44;  // the controller's, not the workers': they have waited meanwhile
+  f.shard.on_process_pause(at(f.now));
   f.trouble(0, 1, Trouble::kNone);
   for (auto& [name, w] : f.workers) {
     w.next = w.lease_from = f.now;
-    w.reported = f.now;
+    w.confirmed = f.now;
   }
   f.workers.at(MachineName("m0")).next = f.now + 3;
   f.run_until(80);
@@ -228,46 +230,46 @@
   f.grant_tasks();
   f.run_until(31);
   auto& w = f.workers.at(MachineName("m0"));
-  ASSERT_FALSE(w.report.tasks.empty());
+  ASSERT_FALSE(w.heartbeat.tasks.empty());
   f.run_until(35);
   f.trouble(0, 1, Trouble::kHangs);
   double t = 35;
   std::vector<MachineName> marked;
   for (; marked.empty() && t < 60; t += kStep) {
     for (auto& [name, x] : f.workers)
-      if (name != MachineName("m0")) f.part.on_report(f.next_report(x), at(t));
-    marked = f.part.take_deletions(at(t));
+      if (name != MachineName("m0")) f.shard.on_worker_heartbeat(f.next_report(x), at(t));
+    marked = f.shard.take_machines_to_delete(at(t));
   }
   ASSERT_EQ(marked, std::vector{MachineName("m0")});
-  f.part.on_job(JobId("run-1"), &f.job, store::End::kCancelled, at(t));
-  for (const auto& b : f.part.take_batches(at(t))) EXPECT_NE(b.machine, MachineName("m0"));
+  f.shard.on_job(JobId("run-1"), &f.job, state_store::TerminalState::kCancelled, at(t));
+  for (const auto& b : f.shard.take_command_batches(at(t))) EXPECT_NE(b.machine, MachineName("m0"));
   // The answer to a probe comes first, so that its report is none that ends a long pause.
-  Part::Batch probe{MachineName("m0"), w.report.address, Session(1), w.report.token, {}};
-  f.part.on_commands(probe, Part::CommandResult::kExecuted, f.next_report(w), at(t));
-  f.part.on_report(f.next_report(w), at(t + 0.1));
-  auto answer = f.part.answer(MachineName("m0"), at(t + 0.1));
-  EXPECT_EQ(answer.commands.size(), w.report.tasks.size());
-  for (const auto& c : answer.commands) EXPECT_EQ(c.op, wire::Command::Op::kStop);
+  ShardManager::Batch probe{MachineName("m0"), w.heartbeat.address, Incarnation(1), w.heartbeat.token, {}};
+  f.shard.on_commands(probe, ShardManager::CommandResult::kExecuted, f.next_report(w), at(t));
+  f.shard.on_worker_heartbeat(f.next_report(w), at(t + 0.1));
+  auto answer = f.shard.answer(MachineName("m0"), at(t + 0.1));
+  EXPECT_EQ(answer.commands.size(), w.heartbeat.tasks.size());
+  for (const auto& c : answer.commands) EXPECT_EQ(c.op, protocol::Command::Op::kStop);
 }
 
 // A machine recorded as sick keeps what runs there through a takeover as well: before it has reported to the
 // new owner it is not known to be empty.
 TEST(Contact, ASickMachineIsNotTakenForEmptyBeforeItHasReported) {
   for (bool runs : {true, false}) {
-    Part part(PartId(0), Term(5), Fleet::params(), at(0));
-    part.on_registry({{MachineName("m1"), MachineType("t4"), Zone("a"), false, "127.0.0.1:1", true}}, at(0));
-    EXPECT_TRUE(part.take_deletions(at(0.1)).empty());
-    wire::Report r;
+    ShardManager shard(ShardId(0), Term(5), Fleet::params(), at(0));
+    shard.on_registry({{MachineName("m1"), MachineType("t4"), Zone("a"), false, "127.0.0.1:1", true}}, at(0));
+    EXPECT_TRUE(shard.take_machines_to_delete(at(0.1)).empty());
+    protocol::WorkerHeartbeat r;
     r.machine = MachineName("m1");
     r.type = MachineType("t4");
     r.zone = Zone("a");
-    r.session = Session(1);
+    r.incarnation = Incarnation(1);
     r.sequence = Sequence(1);
     r.token = Token::first_of(Term(5));
     if (runs)
       r.tasks.push_back({{JobId("run-1"), 0}, Attempt(1), TaskState::kRunning, EndCause::kDone, false});
-    part.on_report(r, at(0.2));
-    EXPECT_EQ(part.take_deletions(at(0.3)).empty(), runs);
+    shard.on_worker_heartbeat(r, at(0.2));
+    EXPECT_EQ(shard.take_machines_to_delete(at(0.3)).empty(), runs);
   }
 }
 
@@ -276,14 +278,14 @@
 TEST(Contact, NoMoreAreMarkedForDeletionWhileARequestIsUnanswered) {
   Fleet f(250);
   f.run_until(kReport + 1);
-  for (const auto& [name, w] : f.workers) f.part.release(name);
-  auto first = f.part.take_deletions(at(5));
-  EXPECT_EQ(first.size(), wire::kMaxDelete);
-  EXPECT_TRUE(f.part.take_deletions(at(5.1)).empty());
-  for (std::size_t i = 0; i < 30; ++i) f.part.on_deleted(first[i], at(5.2));
-  f.part.on_delete_failed(first[30], at(5.2));
-  EXPECT_EQ(f.part.take_deletions(at(5.3)).size(), 31u);
+  for (const auto& [name, w] : f.workers) f.shard.release(name);
+  auto first = f.shard.take_machines_to_delete(at(5));
+  EXPECT_EQ(first.size(), protocol::kMaxDelete);
+  EXPECT_TRUE(f.shard.take_machines_to_delete(at(5.1)).empty());
+  for (std::size_t i = 0; i < 30; ++i) f.shard.on_deleted(first[i], at(5.2));
+  f.shard.on_delete_failed(first[30], at(5.2));
+  EXPECT_EQ(f.shard.take_machines_to_delete(at(5.3)).size(), 31u);
 }
 
 }  // namespace
-}  // namespace beaconsill::part
+}  // namespace beaconsill::shard
--- a/tests/controller_meetings_node_test.cpp
+++ b/tests/controller_meetings_node_test.cpp
@@ -1,4 +1,4 @@
-// Meetings of troubles at a controller and its state service: transactions that are carried out late or whose
+// Meetings of troubles at a controller and its state store: transactions that are carried out late or whose
 // answer is lost, and requests of users at that moment. docs/meetings-controllers.md lists the meetings.
 #include <gtest/gtest.h>
 
@@ -6,7 +6,7 @@
 
 #include "api/api.h"
 #include "base/log.h"
-#include "node/node.h"
+#include "controller/controller.h"
 #include "standins.h"
 
 namespace beaconsill {
@@ -19,7 +19,7 @@
 
 config::Settings settings(const standin::State& state, const standin::Cloud& cloud) {
   config::Settings s;
-  s.node = NodeName("n0");
+  s.controller = ControllerName("n0");
   s.zone = Zone("east");
   s.cloud = standin::text(cloud.server->local());
   s.state = standin::text(state.doors[0]->local());
@@ -101,8 +101,8 @@
     s.peer_listen = standin::text(peers.local_endpoint());
     users.close();
     peers.close();
-    node = std::make_unique<node::Node>(io, clock, s, config::parse_policy("", "test", s));
-    node->start();
+    controller = std::make_unique<controller::Controller>(io, clock, s, config::parse_policy("", "test", s));
+    controller->start();
     for (const char* name : {"host-0", "host-1"}) {
       workers.push_back(std::make_unique<standin::Worker>(io, name, "east", std::vector{at},
                                                           std::vector<std::string>{"n0"}));
@@ -111,7 +111,7 @@
   }
   ~OneController() {
     for (auto& w : workers) w->stop();
-    node->stop();
+    controller->stop();
     // Handlers that are queued are not cancelled any more: they run while the stand-ins are still there.
     io.poll();
   }
@@ -133,7 +133,7 @@
   }
 
   net::Tcp::endpoint at;
-  std::unique_ptr<node::Node> node;
+  std::unique_ptr<controller::Controller> controller;
   std::vector<std::unique_ptr<standin::Worker>> workers;
 };
 
@@ -155,7 +155,7 @@
   w.run_for(std::chrono::milliseconds(1500));
   auto written_over = w.state.keys.find("beaconsill/grants/run-000001");
   if (written_over != w.state.keys.end()) {
-    EXPECT_TRUE(store::parse_grants(written_over->second.first).chunks.empty());
+    EXPECT_TRUE(state_store::parse_grants(written_over->second.first).chunks.empty());
   }
   EXPECT_EQ(w.started(), 4);
 }
@@ -200,8 +200,8 @@
   }
 }
 
-// An earlier process of a node had written that it's alive; carried out late, that ties the key to a hold
-// that runs out. The node has to write it anew, or it could never take a role again.
+// An earlier process of a controller had written that it's alive; carried out late, that ties the key to a
+// hold that runs out. The controller has to write it anew, or it could never take a role again.
 TEST(Meetings, ANodeWhoseAliveKeyWentWritesItAgain) {
   OneController w;
   ASSERT_TRUE(w.healthy());
@@ -223,88 +223,90 @@
   }
 }
 
-// A node's view of the state service, without the rest of the node.
+// A controller's view of the state store, without the rest of the controller.
 struct Viewer : Loop {
   Viewer() {
-    store = std::make_shared<store::StoreClient>(io, clock, state.doors[0]->local(),
-                                                 store::StoreLimits{1000, 500}, store::StoreLimits{1000, 500},
-                                                 1.0);
-    mirror = std::make_shared<store::Mirror>(io, clock, store, std::chrono::milliseconds(100),
-                                             [](const store::View::Touched&) {});
-    mirror->start();
-    ready = run_until([&] { return mirror->ready(); });
+    store = std::make_shared<state_store::StoreClient>(io, clock, state.doors[0]->local(),
+                                                       state_store::StoreLimits{1000, 500},
+                                                       state_store::StoreLimits{1000, 500}, 1.0);
+    watch_cache = std::make_shared<state_store::WatchCache>(io, clock, store, std::chrono::milliseconds(100),
+                                                            [](const state_store::StateView::ChangeSet&) {});
+    watch_cache->start();
+    ready = run_until([&] { return watch_cache->ready(); });
   }
   ~Viewer() {
-    mirror->stop();
+    watch_cache->stop();
     store->stop();
   }
   bool read_to(std::uint64_t revision) {
-    return run_until([&] { return mirror->revision() >= Revision(revision); });
+    return run_until([&] { return watch_cache->revision() >= Revision(revision); });
   }
   static Json record(const char* id) {
-    wire::JobSpec s;
+    protocol::JobSpec s;
     s.id = JobId(id);
     s.job_class = "c";
     s.team = Team("blue");
     s.tasks = 1;
     s.image = ImageName("i");
-    return store::to_json(store::JobRecord{std::make_shared<const wire::JobSpec>(s), WallMs(5)});
+    return state_store::to_json(
+        state_store::JobRecord{std::make_shared<const protocol::JobSpec>(s), WallMs(5)});
   }
 
-  std::shared_ptr<store::StoreClient> store;
-  std::shared_ptr<store::Mirror> mirror;
+  std::shared_ptr<state_store::StoreClient> store;
+  std::shared_ptr<state_store::WatchCache> watch_cache;
   bool ready = false;
 };
 
 const JobId kJob("run-000001");
 
-// The answer to a node's own transaction comes after reads that saw the key dropped again. Were it taken for
-// news, the job would be back for good, and the leader's tidying would fail on it for ever.
+// The answer to a controller's own transaction comes after reads that saw the key dropped again. Were it
+// taken for news, the job would be back for good, and the leader's tidying would fail on it for ever.
 TEST(Meetings, ALateAnswerDoesNotBringADroppedKeyBack) {
   Viewer v;
   ASSERT_TRUE(v.ready);
-  v.state.set(store::job_key(kJob), Viewer::record("run-000001"));
+  v.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
   auto created = v.state.revision();
-  v.state.remove(store::job_key(kJob));
+  v.state.remove(state_store::job_key(kJob));
   ASSERT_TRUE(v.read_to(v.state.revision()));
-  wire::Txn own;
-  own.writes = {{store::job_key(kJob), Viewer::record("run-000001"), std::nullopt}};
-  v.mirror->apply_own(own, Revision(created));
-  EXPECT_EQ(v.mirror->view().job(kJob), nullptr);
-  EXPECT_TRUE(v.mirror->view().jobs().empty());
+  protocol::Txn own;
+  own.writes = {{state_store::job_key(kJob), Viewer::record("run-000001"), std::nullopt}};
+  v.watch_cache->apply_own(own, Revision(created));
+  EXPECT_EQ(v.watch_cache->view().job(kJob), nullptr);
+  EXPECT_TRUE(v.watch_cache->view().jobs().empty());
 }
 
-// A read that was answered before this node dropped a key arrives after it.
+// A read that was answered before this controller dropped a key arrives after it.
 TEST(Meetings, AnOlderReadDoesNotBringADroppedKeyBack) {
   Viewer v;
   ASSERT_TRUE(v.ready);
   ASSERT_TRUE(v.read_to(v.state.revision()));
-  v.state.set(store::job_key(kJob), Viewer::record("run-000001"));
+  v.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
   v.state.trouble = [](const standin::Request& r) {
     return r.path == "/watch" ? Trouble::kAnswerKept : Trouble::kNone;
   };
   ASSERT_TRUE(v.run_until([&] { return v.state.kept() > 0; }));
   v.state.trouble = nullptr;
-  v.state.remove(store::job_key(kJob));
-  wire::Txn own;
-  own.writes = {{store::job_key(kJob), std::nullopt, std::nullopt}};
-  v.mirror->apply_own(own, Revision(v.state.revision()));
-  auto before = v.mirror->revision();
+  v.state.remove(state_store::job_key(kJob));
+  protocol::Txn own;
+  own.writes = {{state_store::job_key(kJob), std::nullopt, std::nullopt}};
+  v.watch_cache->apply_own(own, Revision(v.state.revision()));
+  auto before = v.watch_cache->revision();
   v.state.answer_kept();
-  ASSERT_TRUE(v.run_until([&] { return v.mirror->revision() > before; }));
-  EXPECT_EQ(v.mirror->view().job(kJob), nullptr);
+  ASSERT_TRUE(v.run_until([&] { return v.watch_cache->revision() > before; }));
+  EXPECT_EQ(v.watch_cache->view().job(kJob), nullptr);
 }
 
 // Users at the moment at which the answer to a submission or a cancellation is on its way.
 struct Users : Viewer {
-  // Questions that still wait are answered while the endpoints are there, as node::Node does when it stops.
-  ~Users() { mirror->stop(); }
+  // Questions that still wait are answered while the endpoints are there, as controller::Controller does when
+  // it stops.
+  ~Users() { watch_cache->stop(); }
   Users()
       : config(settings(state, cloud)),
-        api(io, clock, config, store, mirror,
+        api(io, clock, config, store, watch_cache,
             {[this] { return &types; }, [](Revision) {},
              [this](const JobId& id) {
-               asked = mirror->view().ending(id).version;
+               asked = watch_cache->view().terminal_record(id).version;
                return acknowledged;
              },
              [](const JobId&) { return 0u; }, [] { return true; }}) {
@@ -324,16 +326,17 @@
   std::string bearing(const net::Response& r) { return Json::parse(r.body).value("bearing", ""); }
 
   config::Settings config;
-  wire::Catalogue types;
+  protocol::Catalogue types;
   // Of the cancellation whose disclosure was asked for.
   Revision asked;
   bool acknowledged = true;
   api::Api api;
 };
 
-// Another node has read the job, and told its user how it ended, before the answer to its creation is here.
+// Another controller has read the job, and told its user how it ended, before the answer to its creation is
+// here.
 TEST(Meetings, ASubmissionIsNotAnsweredOlderThanItsEnd) {
-  for (auto end : {store::End::kDone, store::End::kCancelled}) {
+  for (auto end : {state_store::TerminalState::kDone, state_store::TerminalState::kCancelled}) {
     Users u;
     ASSERT_TRUE(u.ready);
     u.state.trouble = [](const standin::Request& r) {
@@ -341,22 +344,22 @@
     };
     auto answer = u.send("POST", "/v1/jobs", job("run-000001", "standard"));
     ASSERT_TRUE(u.run_until([&] { return u.state.kept() == 1; }));
-    u.state.set(store::end_key(kJob), store::to_json(store::Ending{end, 1}));
+    u.state.set(state_store::terminal_key(kJob), state_store::to_json(state_store::TerminalRecord{end, 1}));
     ASSERT_TRUE(u.read_to(u.state.revision()));
     u.state.answer_kept();
     ASSERT_TRUE(u.run_until([&] { return answer->has_value(); }));
-    EXPECT_EQ(u.bearing(**answer), end == store::End::kDone ? "done" : "withdrawn");
+    EXPECT_EQ(u.bearing(**answer), end == state_store::TerminalState::kDone ? "done" : "withdrawn");
   }
 }
 
-// A cancellation, a question and a repeated submission meet the record of the end, which no node has read
-// yet: each is answered by it. Nor does it matter whether the job's own key has been dropped since.
+// A cancellation, a question and a repeated submission meet the record of the end, which no controller has
+// read yet: each is answered by it. Nor does it matter whether the job's own key has been dropped since.
 TEST(Meetings, RequestsMeetTheEndOfAJob) {
   struct Case {
     const char* what;
     const char* method;
     const char* path;
-    bool known_before;  // the node has read the job
+    bool known_before;  // the controller has read the job
     bool dropped;
   };
   const Case cases[] = {
@@ -372,12 +375,13 @@
   for (const auto& c : cases) {
     Users u;
     ASSERT_TRUE(u.ready);
-    u.state.set(store::job_key(kJob), Viewer::record("run-000001"));
+    u.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
     if (c.known_before) {
       ASSERT_TRUE(u.read_to(u.state.revision()));
     }
-    u.state.set(store::end_key(kJob), store::to_json(store::Ending{store::End::kDone, 1}));
-    if (c.dropped) u.state.remove(store::job_key(kJob));
+    u.state.set(state_store::terminal_key(kJob),
+                state_store::to_json(state_store::TerminalRecord{state_store::TerminalState::kDone, 1}));
+    if (c.dropped) u.state.remove(state_store::job_key(kJob));
     auto body = std::string_view(c.path) == "/v1/jobs" ? job("run-000001", "standard") : "";
     auto answer = u.send(c.method, c.path, body);
     ASSERT_TRUE(u.run_until([&] { return answer->has_value(); })) << c.what;
@@ -409,8 +413,9 @@
       u.acknowledged = acknowledged;
       ASSERT_TRUE(u.ready);
       if (!c.fits) u.types.clear();
-      u.state.set(store::job_key(kJob), Viewer::record("run-000001"));
-      u.state.set(store::end_key(kJob), store::to_json(store::Ending{store::End::kCancelled, 0}));
+      u.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
+      u.state.set(state_store::terminal_key(kJob), state_store::to_json(state_store::TerminalRecord{
+                                                       state_store::TerminalState::kCancelled, 0}));
       auto end = u.state.revision();
       if (c.known_before) {
         ASSERT_TRUE(u.read_to(end));
@@ -429,7 +434,7 @@
 TEST(Meetings, ACancellationWhoseAnswerIsLost) {
   Users u;
   ASSERT_TRUE(u.ready);
-  u.state.set(store::job_key(kJob), Viewer::record("run-000001"));
+  u.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
   ASSERT_TRUE(u.read_to(u.state.revision()));
   u.state.trouble = [](const standin::Request& r) {
     return writes(r, "beaconsill/ends/") ? Trouble::kAnswerKept : Trouble::kNone;
@@ -438,7 +443,7 @@
   ASSERT_TRUE(u.run_until([&] { return answer->has_value(); }));
   EXPECT_EQ((*answer)->status, 200);
   EXPECT_EQ(u.bearing(**answer), "withdrawn");
-  EXPECT_EQ(u.asked, u.mirror->view().ending(kJob).version);
+  EXPECT_EQ(u.asked, u.watch_cache->view().terminal_record(kJob).version);
 }
 
 }  // namespace
--- a/tests/controller_meetings_sim_test.cpp
+++ b/tests/controller_meetings_sim_test.cpp
@@ -26,8 +26,8 @@
 
 // Users repeat a cancellation that is refused: until the other controllers have acknowledged it, or the state
 // service is there again.
-void cancel_and_ask(World& w, double at_s, const char* id, int node) {
-  for (double d : {0.0, 1.5, 4.0, 15.0, 30.0, 50.0}) w.cancel(at_s + d, JobId(id), node);
+void cancel_and_ask(World& w, double at_s, const char* id, int controller) {
+  for (double d : {0.0, 1.5, 4.0, 15.0, 30.0, 50.0}) w.cancel(at_s + d, JobId(id), controller);
   w.poll_all(at_s + 0.01, JobId(id));
   w.poll_all(at_s + 0.5, JobId(id));
   w.poll_all(at_s + 3, JobId(id));
--- a/tests/disclosure_test.cpp
+++ b/tests/disclosure_test.cpp
@@ -2,16 +2,16 @@
 #include <gtest/gtest.h>
 
 #include "disclosure_model.h"
-#include "store/records.h"
-#include "store/view.h"
+#include "state_store/records.h"
+#include "state_store/state_view.h"
 
-namespace beaconsill::part {
+namespace beaconsill::shard {
 namespace {
 
 using namespace std::chrono_literals;
-using wire::CancelledJob;
+using protocol::CancelledJob;
 
-const NodeName kPeer("b");
+const ControllerName kPeer("b");
 const Instant kStart = Instant(1000s);
 constexpr Duration kPromise = 8s;
 constexpr Duration kInTouch = 1700ms;
@@ -20,53 +20,58 @@
   return {Revision(revision), JobId("run-" + std::to_string(revision)), 0};
 }
 
-// One node with one peer; what the peer says is made by hand.
+// One controller with one peer; what the peer says is made by hand.
 struct Fixture {
   explicit Fixture(Instant started = kStart, std::size_t max_listed = 128)
-      : disclosure({kPromise, kInTouch, max_listed}, {kPeer}, started) {}
-  CancellationDisclosure::Known known() const { return {ready, read_until, jobs}; }
-  wire::Disclosure send(Duration at) { return disclosure.outgoing(kPeer, ++sequence, known(), kStart + at); }
+      : cancellation_sync({kPromise, kInTouch, max_listed}, {kPeer}, started) {}
+  CancellationBarrier::Known known() const { return {ready, read_until, jobs}; }
+  protocol::CancellationSync send(Duration at) {
+    return cancellation_sync.outgoing(kPeer, ++sequence, known(), kStart + at);
+  }
   // A heartbeat of the peer that echoes the one of this number.
-  bool hear(Duration at, std::uint64_t echo, std::optional<wire::Disclosure> d, Revision told = {}) {
-    wire::Heartbeat h;
-    h.told = told;
+  bool hear(Duration at, std::uint64_t echo, std::optional<protocol::CancellationSync> d,
+            Revision acknowledged_until = {}) {
+    protocol::Heartbeat h;
+    h.acknowledged_until = acknowledged_until;
     h.sequence = 1;
     h.echo = echo;
-    h.disclosure = std::move(d);
-    return disclosure.on_heartbeat(kPeer, h, known(), kStart + at);
+    h.cancellation_sync = std::move(d);
+    return cancellation_sync.on_heartbeat(kPeer, h, known(), kStart + at);
   }
   // The peer is in touch and has read everything up to this revision.
   void in_touch(Duration at, Revision peer_read = {}) {
     send(at);
-    hear(at, sequence, wire::Disclosure{true, peer_read, 8s, true, {}});
+    hear(at, sequence, protocol::CancellationSync{true, peer_read, 8s, true, {}});
     send(at);  // with a promise, now that the peer is known to be there
   }
   bool may(std::uint64_t revision, Duration at) const {
-    return disclosure.may_disclose(cancelled(revision), known(), kStart + at);
+    return cancellation_sync.may_acknowledge(cancelled(revision), known(), kStart + at);
+  }
+  Duration known_until(Duration at) const {
+    return cancellation_sync.known_until(ready, kStart + at) - kStart;
   }
-  Duration known_until(Duration at) const { return disclosure.known_until(ready, kStart + at) - kStart; }
 
-  CancellationDisclosure disclosure;
+  CancellationBarrier cancellation_sync;
   std::set<CancelledJob> jobs;
   bool ready = true;
   Revision read_until{100};
   std::uint64_t sequence = 0;
 };
 
-wire::Disclosure says(bool ready, bool complete, std::chrono::milliseconds promise = 8s) {
-  return {ready, Revision(), promise, complete, {}};
+protocol::CancellationSync says(bool ready, bool complete, std::chrono::milliseconds read_lease = 8s) {
+  return {ready, Revision(), read_lease, complete, {}};
 }
 
-TEST(Disclosure, WaitsForTheAcknowledgementOfAPeerInTouch) {
+TEST(CancellationSync, WaitsForTheAcknowledgementOfAPeerInTouch) {
   Fixture f;
   f.in_touch(20s);
   f.jobs = {cancelled(101), cancelled(102)};
   EXPECT_FALSE(f.may(101, 20s));
-  EXPECT_TRUE(f.disclosure.lacks_some(kPeer, f.known()));
+  EXPECT_TRUE(f.cancellation_sync.lacks_cancellations(kPeer, f.known()));
   auto sent = f.send(20s);
   EXPECT_EQ(sent.cancelled, (std::vector{cancelled(101), cancelled(102)}));
   EXPECT_TRUE(sent.complete);
-  EXPECT_EQ(sent.promise, 8s);
+  EXPECT_EQ(sent.read_lease, 8s);
   EXPECT_FALSE(f.may(101, 20s));
   // The echo of an earlier heartbeat acknowledges nothing.
   f.hear(20s, f.sequence - 1, says(true, true));
@@ -74,11 +79,11 @@
   f.hear(20s, f.sequence, says(true, true));
   EXPECT_TRUE(f.may(101, 20s));
   EXPECT_TRUE(f.may(102, 20s));
-  EXPECT_FALSE(f.disclosure.lacks_some(kPeer, f.known()));
+  EXPECT_FALSE(f.cancellation_sync.lacks_cancellations(kPeer, f.known()));
   EXPECT_TRUE(f.send(20s).cancelled.empty());
 }
 
-TEST(Disclosure, WhatThePeerHasReadOrListsItselfNeedsNoAcknowledgement) {
+TEST(CancellationSync, WhatThePeerHasReadOrListsItselfNeedsNoAcknowledgement) {
   Fixture f;
   f.in_touch(20s);
   f.jobs = {cancelled(101), cancelled(102), cancelled(103)};
@@ -92,24 +97,24 @@
   EXPECT_EQ(f.send(20s).cancelled, (std::vector{cancelled(102)}));
 }
 
-TEST(Disclosure, WaitsForThePromiseToAPeerOutOfTouchToEnd) {
+TEST(CancellationSync, WaitsForThePromiseToAPeerOutOfTouchToEnd) {
   Fixture f;
   f.in_touch(20s);
   f.jobs = {cancelled(101)};
-  EXPECT_EQ(f.send(21s).promise, 8s);
-  EXPECT_EQ(f.send(22s).promise, 0s);  // it has echoed nothing for too long
+  EXPECT_EQ(f.send(21s).read_lease, 8s);
+  EXPECT_EQ(f.send(22s).read_lease, 0s);  // it has echoed nothing for too long
   EXPECT_FALSE(f.may(101, 29s));
   EXPECT_TRUE(f.may(101, 29s + 1ms));
 }
 
-TEST(Disclosure, KeepsThePromisesOfAnEarlierProcess) {
+TEST(CancellationSync, KeepsThePromisesOfAnEarlierProcess) {
   Fixture f;
   f.jobs = {cancelled(101)};
   EXPECT_FALSE(f.may(101, 8s));
   EXPECT_TRUE(f.may(101, 8s + 1ms));
 }
 
-TEST(Disclosure, NothingIsDisclosedOrListedBeforeAllIsRead) {
+TEST(CancellationSync, NothingIsDisclosedOrListedBeforeAllIsRead) {
   Fixture f;
   f.in_touch(20s);
   f.ready = false;
@@ -120,21 +125,21 @@
   EXPECT_EQ(sent.read_until, Revision());
   EXPECT_TRUE(sent.cancelled.empty());
   EXPECT_FALSE(f.may(101, 100s));
-  EXPECT_EQ(f.disclosure.known_until(false, kStart + 20s), Instant{});
+  EXPECT_EQ(f.cancellation_sync.known_until(false, kStart + 20s), Instant{});
 }
 
-TEST(Disclosure, APeerThatIsNotReadyGetsNeitherPromiseNorCancellations) {
+TEST(CancellationSync, APeerThatIsNotReadyGetsNeitherPromiseNorCancellations) {
   Fixture f;
   f.jobs = {cancelled(101)};
   f.send(20s);
   f.hear(20s, f.sequence, says(false, false));
   auto sent = f.send(20s);
-  EXPECT_EQ(sent.promise, 0s);
+  EXPECT_EQ(sent.read_lease, 0s);
   EXPECT_TRUE(sent.cancelled.empty());
   EXPECT_FALSE(sent.complete);
 }
 
-TEST(Disclosure, MoreThanOneMessageHoldsGoPageByPage) {
+TEST(CancellationSync, MoreThanOneMessageHoldsGoPageByPage) {
   Fixture f(kStart, 2);
   f.in_touch(20s);
   f.jobs = {cancelled(101), cancelled(102), cancelled(103)};
@@ -151,7 +156,7 @@
 }
 
 // Seen in a read that comes late: a record older than one that is acknowledged.
-TEST(Disclosure, AcknowledgementsAreOfEachRecordByItself) {
+TEST(CancellationSync, AcknowledgementsAreOfEachRecordByItself) {
   Fixture f;
   f.in_touch(20s);
   f.jobs = {cancelled(105)};
@@ -162,11 +167,11 @@
   EXPECT_FALSE(f.may(101, 20s));
 }
 
-TEST(Disclosure, NewsLastAsLongAsThePromiseFromTheEchoedHeartbeat) {
+TEST(CancellationSync, NewsLastAsLongAsThePromiseFromTheEchoedHeartbeat) {
   struct Case {
     const char* what;
-    std::optional<wire::Disclosure> first, second;  // heard at 0 s and 3 s, of heartbeats sent then
-    Duration heard, expected;                       // the second; what is known in the end
+    std::optional<protocol::CancellationSync> first, second;  // heard at 0 s and 3 s, of heartbeats sent then
+    Duration last_contact, expected;                          // the second; what is known in the end
   };
   const auto in_full = from_seconds(8 * 0.999);
   const Case cases[] = {
@@ -185,32 +190,32 @@
     f.send(0s);
     f.hear(0s, 1, c.first);
     f.send(3s);
-    if (c.second) f.hear(c.heard, 2, c.second);
+    if (c.second) f.hear(c.last_contact, 2, c.second);
     EXPECT_EQ(f.known_until(1000s), c.expected) << c.what;
     EXPECT_EQ(f.known_until(1s), 1s) << c.what;
   }
 }
 
-TEST(Disclosure, WithoutAnEchoNothingIsConcluded) {
+TEST(CancellationSync, WithoutAnEchoNothingIsConcluded) {
   Fixture f;
   f.send(0s);
   f.hear(0s, 77, says(true, true));
-  EXPECT_EQ(f.disclosure.known_until(true, kStart + 1s), Instant{});
+  EXPECT_EQ(f.cancellation_sync.known_until(true, kStart + 1s), Instant{});
   f.hear(0s, 1, says(true, true));
   EXPECT_EQ(f.known_until(1s), 1s);
-  f.disclosure.forget_sent(kPeer);
+  f.cancellation_sync.forget_sent(kPeer);
   f.hear(20s, 1, says(true, true));
   EXPECT_LT(f.known_until(20s), 8s);
 }
 
 // Versions before disclosures tell users without asking, and echo without reading.
-TEST(Disclosure, AnEarlierVersionIsTakenAtItsToldRevision) {
+TEST(CancellationSync, AnEarlierVersionIsTakenAtItsToldRevision) {
   Fixture f;
   f.jobs = {cancelled(101)};
   f.send(20s);
   f.hear(20s, 1, std::nullopt, Revision(100));
   EXPECT_EQ(f.known_until(21s), 20s);
-  EXPECT_EQ(f.send(22s).promise, 0s);
+  EXPECT_EQ(f.send(22s).read_lease, 0s);
   // It has told users of more than is known here.
   f.hear(22s, 2, std::nullopt, Revision(101));
   EXPECT_EQ(f.known_until(23s), 20s);
@@ -223,7 +228,7 @@
   EXPECT_EQ(f.known_until(25s), 24s);
 }
 
-TEST(Disclosure, AnEarlierVersionAcknowledgesNothingAndEndsTheCoverOfANewerOne) {
+TEST(CancellationSync, AnEarlierVersionAcknowledgesNothingAndEndsTheCoverOfANewerOne) {
   Fixture f;
   f.in_touch(20s);
   f.jobs = {cancelled(101)};
@@ -235,25 +240,26 @@
   EXPECT_EQ(f.known_until(22s), 21s);  // it doesn't keep the promises of the newer one
 }
 
-TEST(Disclosure, OnlyNodesThatHaveReadEverythingListEverything) {
+TEST(CancellationSync, OnlyNodesThatHaveReadEverythingListEverything) {
   Fixture f;
   f.send(0s);
   f.hear(0s, 1, says(false, true));
-  EXPECT_EQ(f.disclosure.known_until(true, kStart), Instant{});
+  EXPECT_EQ(f.cancellation_sync.known_until(true, kStart), Instant{});
   f.ready = false;
   f.hear(0s, 1, says(true, true));
-  EXPECT_EQ(f.disclosure.known_until(true, kStart), Instant{});
+  EXPECT_EQ(f.cancellation_sync.known_until(true, kStart), Instant{});
 }
 
-TEST(View, IndexesCancelledEnds) {
-  store::View v;
-  auto put = [&](const char* job, store::End end, std::uint64_t revision) {
-    v.apply({store::end_key(JobId(job)), store::to_json(store::Ending{end, 3}), Revision(revision)});
+TEST(StateView, IndexesCancelledEnds) {
+  state_store::StateView v;
+  auto put = [&](const char* job, state_store::TerminalState end, std::uint64_t revision) {
+    v.apply({state_store::terminal_key(JobId(job)), state_store::to_json(state_store::TerminalRecord{end, 3}),
+             Revision(revision)});
   };
-  put("run-2", store::End::kCancelled, 7);
-  put("run-1", store::End::kCancelled, 5);
-  put("run-3", store::End::kDone, 6);
-  put("run-2", store::End::kCancelled, 7);
+  put("run-2", state_store::TerminalState::kCancelled, 7);
+  put("run-1", state_store::TerminalState::kCancelled, 5);
+  put("run-3", state_store::TerminalState::kDone, 6);
+  put("run-2", state_store::TerminalState::kCancelled, 7);
   const std::set<CancelledJob> expected{{Revision(5), JobId("run-1"), 3}, {Revision(7), JobId("run-2"), 3}};
   EXPECT_EQ(v.cancelled(), expected);
   v.clear();
@@ -310,4 +316,4 @@
 }
 
 }  // namespace
-}  // namespace beaconsill::part
+}  // namespace beaconsill::shard
