--- a/tests/encoding_samples_peer_test.cpp
+++ b/tests/encoding_samples_peer_test.cpp
@@ -2,15 +2,15 @@
 // production (commit 60b8ce84) that have fewer fields. A change of an encoding fails here.
 #include <gtest/gtest.h>
 
-#include "wire/peer.h"
+#include "protocol/peer.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 namespace {
 
 // A message body beside the bytes of the message, in hexadecimal, a Cap'n Proto word a group.
 struct Sample {
   const char* name;
-  PeerBody body;
+  PeerPayload body;
   const char* words;
 };
 
@@ -34,8 +34,8 @@
   return bytes;
 }
 
-std::string encode(const PeerBody& body) {
-  return to_words(encode_peer({NodeName("n1"), body}));
+std::string encode(const PeerPayload& body) {
+  return to_words(encode_peer({ControllerName("n1"), body}));
 }
 
 // What decoding and encoding the sample again gives; empty if it isn't understood.
@@ -56,19 +56,20 @@
 }
 
 Heartbeat heartbeat_with_disclosure() {
-  const Disclosure disclosure{true,
-                              Revision(30),
-                              std::chrono::milliseconds(7500),
-                              true,
-                              {{Revision(31), JobId("run-1"), 4}, {Revision(40), JobId("run-000412"), 0}}};
-  return {Revision(5), {{PartId(1), Term(9)}, {PartId(2), Term(41)}}, 11, 12, true, disclosure};
+  const CancellationSync cancellation_sync{
+      true,
+      Revision(30),
+      std::chrono::milliseconds(7500),
+      true,
+      {{Revision(31), JobId("run-1"), 4}, {Revision(40), JobId("run-000412"), 0}}};
+  return {Revision(5), {{ShardId(1), Term(9)}, {ShardId(2), Term(41)}}, 11, 12, true, cancellation_sync};
 }
 
 Heartbeat heartbeat_without_disclosure() {
-  return {Revision(UINT64_MAX), {{PartId(1), Term(9)}}, 11, 12, true, std::nullopt};
+  return {Revision(UINT64_MAX), {{ShardId(1), Term(9)}}, 11, 12, true, std::nullopt};
 }
 
-Shape shape_of(Priority priority) {
+ResourceRequest request_of(Priority priority) {
   return {{1, 0.5, 2},
           std::vector<MachineType>{MachineType("g8"), MachineType("g16")},
           Zone("a"),
@@ -78,12 +79,12 @@
           7};
 }
 
-Answer answer() {
-  return {4, PartId(2), Term(3), Revision(6), {{{Zone("a"), 1, 2, 3, 4}, {Zone("b"), 5, 6, 7, 8}}, {}}};
+EstimateResponse answer() {
+  return {4, ShardId(2), Term(3), Revision(6), {{{Zone("a"), 1, 2, 3, 4}, {Zone("b"), 5, 6, 7, 8}}, {}}};
 }
 
 Summary summary() {
-  return {PartId(1),
+  return {ShardId(1),
           Term(2),
           Revision(3),
           {{MachineName("host-1"), MachineType("g8"), Zone("a"), true, {1, 2, 3.5}, 4.5, false}},
@@ -92,8 +93,9 @@
           true};
 }
 
-Outcomes outcomes(Verdict verdict) {
-  return {PartId(1), Term(4), {{JobId("run-1"), tasks("0-6,9"), {{Generation(3), tasks("10-12")}}, verdict}}};
+ProgressReport progress_report(JobHealth verdict) {
+  return {
+      ShardId(1), Term(4), {{JobId("run-1"), tasks("0-6,9"), {{Generation(3), tasks("10-12")}}, verdict}}};
 }
 
 TEST(HeartbeatEncoding, Samples) {
@@ -113,31 +115,31 @@
 }
 
 TEST(NudgeEncoding, Samples) {
-  expect_samples({{"all fields", Nudge{Revision(8)},
+  expect_samples({{"all fields", ChangeNotification{Revision(8)},
                    "0000000006000000 0000000001000200 0100000000000000 050000001a000000 0400000001000000 "
                    "6e31000000000000 0800000000000000"}});
 }
 
 TEST(AskEncoding, Samples) {
   expect_samples({
-      {"all fields", Ask{4, {shape_of(Priority::kHigh)}},
+      {"all fields", EstimateRequest{4, {request_of(Priority::kHigh)}},
        "0000000015000000 0000000001000200 0200000000000000 050000001a000000 0400000001000100 "
        "6e31000000000000 0400000000000000 010000003f000000 0400000004000300 000000000000f03f "
        "000000000000e03f 0000000000000040 0202000007000000 0900000016000000 1500000012000000 "
        "150000003a000000 050000001a000000 0500000022000000 6738000000000000 6731360000000000 "
        "6100000000000000 696d672d30370000"},
-      {"any type, no zone", Ask{4, {Shape{}}},
+      {"any type, no zone", EstimateRequest{4, {ResourceRequest{}}},
        "0000000010000000 0000000001000200 0200000000000000 050000001a000000 0400000001000100 "
        "6e31000000000000 0400000000000000 010000003f000000 0400000004000300 0000000000000000 "
        "0000000000000000 0000000000000000 0101000000000000 0000000000000000 0000000000000000 "
        "010000000a000000 0000000000000000"},
-      {"lowest priority", Ask{4, {shape_of(Priority::kLow)}},
+      {"lowest priority", EstimateRequest{4, {request_of(Priority::kLow)}},
        "0000000015000000 0000000001000200 0200000000000000 050000001a000000 0400000001000100 "
        "6e31000000000000 0400000000000000 010000003f000000 0400000004000300 000000000000f03f "
        "000000000000e03f 0000000000000040 0200000007000000 0900000016000000 1500000012000000 "
        "150000003a000000 050000001a000000 0500000022000000 6738000000000000 6731360000000000 "
        "6100000000000000 696d672d30370000"},
-      {"highest priority", Ask{4, {shape_of(Priority::kProduction)}},
+      {"highest priority", EstimateRequest{4, {request_of(Priority::kProduction)}},
        "0000000015000000 0000000001000200 0200000000000000 050000001a000000 0400000001000100 "
        "6e31000000000000 0400000000000000 010000003f000000 0400000004000300 000000000000f03f "
        "000000000000e03f 0000000000000040 0203000007000000 0900000016000000 1500000012000000 "
@@ -166,28 +168,28 @@
 }
 
 TEST(ReleaseEncoding, Samples) {
-  expect_samples({{"two machines", Release{{MachineName("host-1"), MachineName("host-2")}},
+  expect_samples({{"two machines", ReleaseMachines{{MachineName("host-1"), MachineName("host-2")}},
                    "000000000a000000 0000000001000200 0500000000000000 050000001a000000 0400000000000100 "
                    "6e31000000000000 0100000016000000 050000003a000000 050000003a000000 686f73742d310000 "
                    "686f73742d320000"}});
 }
 
 TEST(GoneEncoding, Samples) {
-  expect_samples({{"two machines", Gone{{MachineName("host-1"), MachineName("host-2")}},
+  expect_samples({{"two machines", TerminatedMachines{{MachineName("host-1"), MachineName("host-2")}},
                    "000000000a000000 0000000001000200 0600000000000000 050000001a000000 0400000000000100 "
                    "6e31000000000000 0100000016000000 050000003a000000 050000003a000000 686f73742d310000 "
                    "686f73742d320000"}});
 }
 
 TEST(RelayEncoding, Samples) {
-  expect_samples({{"all fields", Relay{5, R"({"beacon":"host-1"})"},
+  expect_samples({{"all fields", RelayedHeartbeat{5, R"({"beacon":"host-1"})"},
                    "000000000a000000 0000000001000200 0700000000000000 050000001a000000 0400000001000100 "
                    "6e31000000000000 0500000000000000 01000000a2000000 7b22626561636f6e 223a22686f73742d "
                    "31227d0000000000"}});
 }
 
 TEST(RelayedEncoding, Samples) {
-  expect_samples({{"all fields", Relayed{5, 421, R"({"keeper":"n2"})"},
+  expect_samples({{"all fields", RelayedReply{5, 421, R"({"keeper":"n2"})"},
                    "000000000a000000 0000000001000200 0800000000000000 050000001a000000 0400000002000100 "
                    "6e31000000000000 0500000000000000 a501000000000000 0100000082000000 7b226b6565706572 "
                    "223a226e32227d00"}});
@@ -195,17 +197,17 @@
 
 TEST(OutcomesEncoding, Samples) {
   expect_samples({
-      {"no verdict", outcomes(Verdict::kNone),
+      {"no verdict", progress_report(JobHealth::kNone),
        "0000000013000000 0000000001000200 0900000000000000 050000001a000000 0400000002000100 "
        "6e31000000000000 0100000000000000 0400000000000000 0100000027000000 0400000001000300 "
        "0000000000000000 0900000032000000 0900000032000000 0900000017000000 72756e2d31000000 "
        "302d362c39000000 0400000001000100 0300000000000000 0100000032000000 31302d3132000000"},
-      {"the job fails", outcomes(Verdict::kFails),
+      {"the job fails", progress_report(JobHealth::kFails),
        "0000000013000000 0000000001000200 0900000000000000 050000001a000000 0400000002000100 "
        "6e31000000000000 0100000000000000 0400000000000000 0100000027000000 0400000001000300 "
        "0100000000000000 0900000032000000 0900000032000000 0900000017000000 72756e2d31000000 "
        "302d362c39000000 0400000001000100 0300000000000000 0100000032000000 31302d3132000000"},
-      {"the job works", outcomes(Verdict::kWorks),
+      {"the job works", progress_report(JobHealth::kWorks),
        "0000000013000000 0000000001000200 0900000000000000 050000001a000000 0400000002000100 "
        "6e31000000000000 0100000000000000 0400000000000000 0100000027000000 0400000001000300 "
        "0200000000000000 0900000032000000 0900000032000000 0900000017000000 72756e2d31000000 "
@@ -242,11 +244,11 @@
       "0400000001000100 0300000000000000 0100000032000000 31302d3132000000";
   const auto message = decode_peer(from_words(words));
   ASSERT_TRUE(message);
-  const auto& decoded = std::get<Outcomes>(message->body);
+  const auto& decoded = std::get<ProgressReport>(message->body);
   ASSERT_EQ(decoded.jobs.size(), 1u);
-  EXPECT_EQ(decoded.jobs.front().verdict, Verdict::kNone);
-  EXPECT_EQ(encode(decoded), encode(outcomes(Verdict::kNone)));
+  EXPECT_EQ(decoded.jobs.front().verdict, JobHealth::kNone);
+  EXPECT_EQ(encode(decoded), encode(progress_report(JobHealth::kNone)));
 }
 
 }  // namespace
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/tests/encoding_samples_records_test.cpp
+++ b/tests/encoding_samples_records_test.cpp
@@ -1,16 +1,16 @@
-// Samples of the keys and values that this program stores in the state service, written down byte by byte,
+// Samples of the keys and values that this program stores in the state store, written down byte by byte,
 // and of the values that the version in production (commit 60b8ce84) stores. A change of an encoding fails
 // here.
 #include <gtest/gtest.h>
 
-#include "store/records.h"
+#include "state_store/records.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 namespace {
 
-using wire::dump;
-using wire::Json;
-using wire::parse_json;
+using protocol::dump;
+using protocol::Json;
+using protocol::parse_json;
 
 // A value beside the bytes that it's stored as.
 template <class Value>
@@ -38,14 +38,14 @@
   const JobId job("run-7");
   for (const auto& c : {
            Case{"job", job_key(job), "beaconsill/jobs/run-7"},
-           Case{"end", end_key(job), "beaconsill/ends/run-7"},
-           Case{"awaited jobs", awaits_key(job, 3), "beaconsill/awaits/run-7/3"},
+           Case{"end", terminal_key(job), "beaconsill/ends/run-7"},
+           Case{"awaited jobs", dependency_key(job, 3), "beaconsill/awaits/run-7/3"},
            Case{"grants", grants_key(job), "beaconsill/grants/run-7"},
-           Case{"progress", progress_key(PartId(2), job), "beaconsill/progress/2/run-7"},
-           Case{"registry", machines_key(PartId(2), 33), "beaconsill/machines/2/33"},
-           Case{"role of a part", part_role_key(PartId(2)), "beaconsill/roles/part/2"},
+           Case{"progress", progress_key(ShardId(2), job), "beaconsill/progress/2/run-7"},
+           Case{"registry", machines_key(ShardId(2), 33), "beaconsill/machines/2/33"},
+           Case{"role of a part", shard_role_key(ShardId(2)), "beaconsill/roles/part/2"},
            Case{"role of the leader", leader_role_key(), "beaconsill/roles/leader"},
-           Case{"liveness", alive_key(NodeName("n1")), "beaconsill/alive/n1"},
+           Case{"liveness", alive_key(ControllerName("n1")), "beaconsill/alive/n1"},
            Case{"versions", versions_key(), "beaconsill/versions"},
            Case{"prefix of all keys", std::string(kPrefix), "beaconsill/"},
        })
@@ -71,15 +71,15 @@
     EXPECT_EQ(registry_key_since(c.key), c.since) << c.key;
 }
 
-std::shared_ptr<const wire::JobSpec> job_that_awaits(std::vector<JobId> awaits) {
-  wire::JobSpec job;
+std::shared_ptr<const protocol::JobSpec> job_that_awaits(std::vector<JobId> depends_on) {
+  protocol::JobSpec job;
   job.id = JobId("run-7");
   job.job_class = "serve";
   job.team = Team("speech");
   job.tasks = 1;
   job.image = ImageName("img-01");
-  job.awaits = std::move(awaits);
-  return std::make_shared<const wire::JobSpec>(std::move(job));
+  job.depends_on = std::move(depends_on);
+  return std::make_shared<const protocol::JobSpec>(std::move(job));
 }
 
 TEST(StoredJob, Samples) {
@@ -113,32 +113,32 @@
       R"("crew":"speech","driftwood":false,"lamps":1,"markS":0.0,"memoryGb":0.0,"precedence":"standard",)"
       R"("reckonS":0.0,"ref":"run-7","scatter":false,"shape":"batch","sizeGb":0.0,"stowS":0.0,)"
       R"("together":false,"vcpus":0.0}})"));
-  EXPECT_EQ(record.awaits_keys, 0u);
-  EXPECT_EQ(record.spec->awaits, std::vector{JobId("run-1")});
+  EXPECT_EQ(record.dependency_keys, 0u);
+  EXPECT_EQ(record.spec->depends_on, std::vector{JobId("run-1")});
   EXPECT_EQ(record.submitted, WallMs(1700000000123));
 }
 
 TEST(StoredAwaitedJobs, Samples) {
-  expect_samples<AwaitsPiece>(
+  expect_samples<DependencyPiece>(
       {
           {"two jobs",
            {{JobId("run-1"), JobId("run-2")}, WallMs(1700000000123)},
            R"({"at":1700000000123,"awaits":["run-1","run-2"]})"},
           {"none", {{}, WallMs(5)}, R"({"at":5,"awaits":[]})"},
       },
-      parse_awaits_piece);
+      parse_dependency_piece);
 }
 
 TEST(StoredEnd, Samples) {
-  expect_samples<Ending>(
+  expect_samples<TerminalRecord>(
       {
           {"done, at a known time",
-           {End::kDone, 48, WallMs(1700000000123)},
+           {TerminalState::kDone, 48, WallMs(1700000000123)},
            R"({"at":1700000000123,"done":48,"end":"done"})"},
-          {"done, at an unknown time", {End::kDone, 48}, R"({"done":48,"end":"done"})"},
-          {"cancelled", {End::kCancelled, 3}, R"({"done":3,"end":"cancelled"})"},
+          {"done, at an unknown time", {TerminalState::kDone, 48}, R"({"done":48,"end":"done"})"},
+          {"cancelled", {TerminalState::kCancelled, 3}, R"({"done":3,"end":"cancelled"})"},
       },
-      parse_ending);
+      parse_terminal_record);
 }
 
 Ranges tasks(const char* text) {
@@ -146,11 +146,11 @@
 }
 
 Chunk chunk_with_all_fields(Priority priority) {
-  return {Generation(9), PartId(2), Term(41), tasks("0-47,50"), Zone("a"), true, Attempt(6), priority};
+  return {Generation(9), ShardId(2), Term(41), tasks("0-47,50"), Zone("a"), true, Attempt(6), priority};
 }
 
 TEST(StoredGrants, Samples) {
-  const Chunk smallest{Generation(8), PartId(0), Term(3), tasks("7")};
+  const Chunk smallest{Generation(8), ShardId(0), Term(3), tasks("7")};
   expect_samples<Grants>(
       {
           {"all optional fields",
@@ -185,7 +185,7 @@
   expected.priority.reset();
   EXPECT_EQ(grants.chunks, std::vector{expected});
   EXPECT_EQ(grants.last, Generation(9));
-  EXPECT_FALSE(grants.recall);
+  EXPECT_FALSE(grants.revoke);
 }
 
 TEST(StoredProgress, Samples) {
@@ -202,9 +202,9 @@
 TEST(StoredRole, Samples) {
   expect_samples<Role>(
       {
-          {"that every version reads", {NodeName("n1"), Term(41), 0}, R"({"node":"n1","term":41})"},
-          {"that version 1 reads", {NodeName("n1"), Term(41), 1}, R"({"holder":"n1","term":41})"},
-          {"that version 2 reads", {NodeName("n1"), Term(41), 2}, R"({"owner":"n1","term":41})"},
+          {"that every version reads", {ControllerName("n1"), Term(41), 0}, R"({"node":"n1","term":41})"},
+          {"that version 1 reads", {ControllerName("n1"), Term(41), 1}, R"({"holder":"n1","term":41})"},
+          {"that version 2 reads", {ControllerName("n1"), Term(41), 2}, R"({"owner":"n1","term":41})"},
       },
       parse_role);
 }
@@ -216,7 +216,7 @@
   };
   for (const auto& c : {Case{R"({"node":"n1","term":41})", 0}, Case{R"({"holder":"n1","term":41})", 1}}) {
     const auto role = parse_role(parse_json(c.stored));
-    EXPECT_EQ(role.node, NodeName("n1")) << c.stored;
+    EXPECT_EQ(role.controller, ControllerName("n1")) << c.stored;
     EXPECT_EQ(role.term, Term(41)) << c.stored;
     EXPECT_EQ(role.readable_since, c.readable_since) << c.stored;
   }
@@ -239,7 +239,9 @@
 TEST(StoredVersions, Samples) {
   expect_samples<Versions>(
       {
-          {"of two controllers", {{NodeName("n1"), 2}, {NodeName("n2"), 0}}, R"({"shown":{"n1":2,"n2":0}})"},
+          {"of two controllers",
+           {{ControllerName("n1"), 2}, {ControllerName("n2"), 0}},
+           R"({"shown":{"n1":2,"n2":0}})"},
           {"of none", {}, R"({"shown":{}})"},
       },
       parse_versions);
@@ -260,4 +262,4 @@
 }
 
 }  // namespace
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/tests/encoding_samples_test.cpp
+++ b/tests/encoding_samples_test.cpp
@@ -1,15 +1,15 @@
-// Samples of the JSON that this program exchanges with users, workers, the cloud and the state service,
+// Samples of the JSON that this program exchanges with users, workers, the cloud and the state store,
 // written down byte by byte. A change of an encoding fails here. Stored records and messages between
 // controllers have samples of their own in encoding_samples_records_test.cpp and
 // encoding_samples_peer_test.cpp.
 #include <gtest/gtest.h>
 
-#include "wire/api.h"
-#include "wire/cloud.h"
-#include "wire/store.h"
-#include "wire/worker.h"
+#include "protocol/api.h"
+#include "protocol/cloud.h"
+#include "protocol/state_store.h"
+#include "protocol/worker.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 namespace {
 
 // A rendered message beside the bytes that it must consist of.
@@ -43,7 +43,7 @@
   job.checkpoint_s = 30;
   job.save_s = 4.5;
   job.deadline_s = 900;
-  job.awaits = {JobId("run-1"), JobId("run-2")};
+  job.depends_on = {JobId("run-1"), JobId("run-2")};
   return job;
 }
 
@@ -163,14 +163,15 @@
                                R"({"dousingS":10.0,"lamp":"run-2/0","launch":1,"signal":"kill"},)"
                                R"({"lamp":"run-3/12","launch":3,"signal":"clear"}])";
   expect_samples({
-      {"commands", render_commands(token, Session(5), one_command_of_each_kind()),
+      {"commands", render_commands(token, Incarnation(5), one_command_of_each_kind()),
        R"({"helm":42991617,"signals":)" + commands + R"(,"watch":5})"},
-      {"no commands", render_commands(token, Session(5), {}), R"({"helm":42991617,"signals":[],"watch":5})"},
-      {"answer to a report", render_report_answer(token, one_command_of_each_kind()),
+      {"no commands", render_commands(token, Incarnation(5), {}),
+       R"({"helm":42991617,"signals":[],"watch":5})"},
+      {"answer to a report", render_heartbeat_response(token, one_command_of_each_kind()),
        R"({"helm":42991617,"signals":)" + commands + "}"},
-      {"answer to a report without commands", render_report_answer(token, {}),
+      {"answer to a report without commands", render_heartbeat_response(token, {}),
        R"({"helm":42991617,"signals":[]})"},
-      {"redirect", render_redirect(NodeName("n2")), R"({"keeper":"n2"})"},
+      {"redirect", render_redirect(ControllerName("n2")), R"({"keeper":"n2"})"},
       {"redirect to an unknown owner", render_redirect(std::nullopt), "{}"},
   });
 }
@@ -181,18 +182,18 @@
     R"("lamps":[{"lamp":"run-000398/3","launch":4,"bearing":"ended","cause":"halted","stored":true}]})";
 
 TEST(WorkerReportEncoding, ParsesAllFields) {
-  const auto report = parse_report(parse_object(kReportWithAllFields));
-  EXPECT_EQ(report.machine, MachineName("host-1"));
-  EXPECT_EQ(report.address, "10.1.0.2:9000");
-  EXPECT_EQ(report.type, MachineType("g8"));
-  EXPECT_EQ(report.zone, Zone("a"));
-  EXPECT_TRUE(report.spot);
-  EXPECT_EQ(report.session, Session(2));
-  EXPECT_EQ(report.sequence, Sequence(88));
-  EXPECT_EQ(report.token, Token(42991617));
-  EXPECT_EQ(report.notice_s, 12.5);
-  ASSERT_EQ(report.tasks.size(), 1u);
-  const auto& task = report.tasks.front();
+  const auto heartbeat = parse_worker_heartbeat(parse_object(kReportWithAllFields));
+  EXPECT_EQ(heartbeat.machine, MachineName("host-1"));
+  EXPECT_EQ(heartbeat.address, "10.1.0.2:9000");
+  EXPECT_EQ(heartbeat.type, MachineType("g8"));
+  EXPECT_EQ(heartbeat.zone, Zone("a"));
+  EXPECT_TRUE(heartbeat.spot);
+  EXPECT_EQ(heartbeat.incarnation, Incarnation(2));
+  EXPECT_EQ(heartbeat.sequence, Sequence(88));
+  EXPECT_EQ(heartbeat.token, Token(42991617));
+  EXPECT_EQ(heartbeat.notice_s, 12.5);
+  ASSERT_EQ(heartbeat.tasks.size(), 1u);
+  const auto& task = heartbeat.tasks.front();
   EXPECT_EQ(task.task, (TaskId{JobId("run-000398"), 3}));
   EXPECT_EQ(task.attempt, Attempt(4));
   EXPECT_EQ(task.state, TaskState::kEnded);
@@ -201,19 +202,19 @@
 }
 
 TEST(WorkerReportEncoding, OptionalFieldsMayBeAbsent) {
-  const auto report = parse_report(parse_object(
+  const auto heartbeat = parse_worker_heartbeat(parse_object(
       R"({"beacon":"host-1","address":"10.1.0.2:9000","hull":"g8","harbour":"a","driftwood":false,)"
       R"("watch":1,"tally":1,"helm":0,"lamps":[{"lamp":"run-1/0","launch":1,"bearing":"running"}]})"));
-  EXPECT_FALSE(report.notice_s);
-  ASSERT_EQ(report.tasks.size(), 1u);
-  EXPECT_FALSE(report.tasks.front().saved);
+  EXPECT_FALSE(heartbeat.notice_s);
+  ASSERT_EQ(heartbeat.tasks.size(), 1u);
+  EXPECT_FALSE(heartbeat.tasks.front().saved);
 }
 
 // The only task of the full sample, with one field replaced.
-TaskReport task_with(const char* field, const char* value) {
-  auto report = parse_object(kReportWithAllFields);
-  report["lamps"][0][field] = value;
-  return parse_report(report).tasks.at(0);
+TaskStatus task_with(const char* field, const char* value) {
+  auto heartbeat = parse_object(kReportWithAllFields);
+  heartbeat["lamps"][0][field] = value;
+  return parse_worker_heartbeat(heartbeat).tasks.at(0);
 }
 
 TEST(WorkerReportEncoding, ParsesEveryTaskState) {
@@ -232,11 +233,11 @@
     const char* name;
     EndCause cause;
   };
-  for (const auto& c :
-       {Case{"done", EndCause::kDone}, Case{"halted", EndCause::kStopped},
-        Case{"mates_gone", EndCause::kPeersGone}, Case{"alone", EndCause::kAlone},
-        Case{"error", EndCause::kError}, Case{"full", EndCause::kNoRoom}, Case{"in_use", EndCause::kBusy},
-        Case{"unknown", EndCause::kUnknown}, Case{"cause_of_a_later_version", EndCause::kError}})
+  for (const auto& c : {Case{"done", EndCause::kDone}, Case{"halted", EndCause::kStopped},
+                        Case{"mates_gone", EndCause::kPeersGone}, Case{"alone", EndCause::kAlone},
+                        Case{"error", EndCause::kError}, Case{"full", EndCause::kNoCapacityLeft},
+                        Case{"in_use", EndCause::kBusy}, Case{"unknown", EndCause::kUnknown},
+                        Case{"cause_of_a_later_version", EndCause::kError}})
     EXPECT_EQ(task_with("cause", c.name).cause, c.cause) << c.name;
 }
 
@@ -301,7 +302,7 @@
 
 TEST(StateServiceRequestEncoding, Renders) {
   const Txn transaction{{{"beaconsill/jobs/run-1", Revision()}, {"beaconsill/roles/leader", Revision(17)}},
-                        {{"beaconsill/alive/n1", Json{{"up", true}}, HoldId(7)},
+                        {{"beaconsill/alive/n1", Json{{"up", true}}, LeaseId(7)},
                          {"beaconsill/jobs/run-1", Json{{"at", 5}}, std::nullopt},
                          {"beaconsill/jobs/run-2", std::nullopt, std::nullopt}}};
   expect_samples({
@@ -310,8 +311,8 @@
        R"("writes":[{"moorage":7,"set":"beaconsill/alive/n1","v":{"up":true}},)"
        R"({"set":"beaconsill/jobs/run-1","v":{"at":5}},{"drop":"beaconsill/jobs/run-2"}]})"},
       {"empty transaction", render_txn({}), R"({"when":[],"writes":[]})"},
-      {"new hold", render_hold(6000), R"({"ttlMs":6000})"},
-      {"a hold", hold_target(HoldId(7)), "/holds/7"},
+      {"new hold", render_lease(6000), R"({"ttlMs":6000})"},
+      {"a hold", lease_target(LeaseId(7)), "/holds/7"},
       {"first page", page_target("beaconsill/", "", 500), "/store?under=beaconsill/&page=500"},
       {"next page", page_target("beaconsill/", "beaconsill/jobs/run-1", 500),
        "/store?under=beaconsill/&page=500&after=beaconsill/jobs/run-1"},
@@ -359,8 +360,8 @@
 }
 
 TEST(StateServiceResponseEncoding, ParsesAHold) {
-  EXPECT_EQ(parse_hold(parse_object(R"({"moorage":7})")), HoldId(7));
+  EXPECT_EQ(parse_lease(parse_object(R"({"moorage":7})")), LeaseId(7));
 }
 
 }  // namespace
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/tests/lead_capacity_test.cpp
+++ b/tests/lead_capacity_test.cpp
@@ -1,12 +1,12 @@
 // Which machines are rented and returned.
-#include "lead/capacity.h"
 #include "lead_bench.h"
+#include "scheduler/autoscaler.h"
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 namespace {
 
-std::shared_ptr<const wire::Catalogue> catalogue() {
-  auto c = std::make_shared<wire::Catalogue>();
+std::shared_ptr<const protocol::Catalogue> catalogue() {
+  auto c = std::make_shared<protocol::Catalogue>();
   (*c)[MachineType("big")] = {MachineType("big"), {32, 0, 64}, 10, 0.1, 4, 1, 30, {Zone("a")}};
   (*c)[MachineType("small")] = {MachineType("small"),  {4, 0, 16}, 10, 0.1, 0.4, 0.2, 20,
                                 {Zone("a"), Zone("b")}};
@@ -14,27 +14,27 @@
 }
 
 std::vector<Demand> demand(std::uint32_t tasks, bool spot = false) {
-  wire::Shape s;
+  protocol::ResourceRequest s;
   s.each = {1, 0, 1};
   s.spot = spot;
   s.wanted = tasks;
   return {{s, std::chrono::seconds(5)}};
 }
 
-Capacity capacity() {
-  Capacity c({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64}, "t7-");
+Autoscaler capacity() {
+  Autoscaler c({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64}, "t7-");
   c.set_catalogue(catalogue());
   return c;
 }
 
-using S = wire::MachineState;
+using S = protocol::MachineState;
 
-wire::ListedMachine listed(const std::string& name, S state, double age_s, const char* type = "small",
-                           const char* zone = "a") {
+protocol::ListedMachine listed(const std::string& name, S state, double age_s, const char* type = "small",
+                               const char* zone = "a") {
   return {MachineName(name), "", MachineType(type), Zone(zone), false, state, age_s};
 }
 
-TEST(Capacity, RentsWhatIsMissingOnceAndUnderAnEverNewName) {
+TEST(Autoscaler, RentsWhatIsMissingOnceAndUnderAnEverNewName) {
   auto c = capacity();
   auto r = c.rent(demand(10), at(0));
   ASSERT_TRUE(r);
@@ -54,7 +54,7 @@
 }
 
 // Found on a grown day: at a request for each job, it took 60 s until all machines were rented.
-TEST(Capacity, RentsForAllThatWaitsAtOnce) {
+TEST(Autoscaler, RentsForAllThatWaitsAtOnce) {
   auto c = capacity();
   auto waiting = demand(10);
   for (int i = 0; i < 4; ++i) waiting.push_back(waiting[0]);
@@ -64,7 +64,7 @@
   EXPECT_EQ(r->count, 10u);
 }
 
-TEST(Capacity, RefusedKindsAreLeftAloneForAWhile) {
+TEST(Autoscaler, RefusedKindsAreLeftAloneForAWhile) {
   auto c = capacity();
   auto r = c.rent(demand(4), at(0));
   c.on_refused(*r, at(0));
@@ -73,32 +73,33 @@
   EXPECT_NE(std::tie(second->type, second->zone), std::tie(r->type, r->zone));
 }
 
-TEST(Capacity, IdleMachinesAreReturnedLaterWhileThereAreJobs) {
+TEST(Autoscaler, IdleMachinesAreReturnedLaterWhileThereAreJobs) {
   struct Case {
     double idle;
-    bool demand, jobs, returned;
+    bool demand, jobs, released;
   };
   for (const auto& c :
        {Case{10, false, false, false}, Case{30, false, false, true}, Case{30, false, true, false},
         Case{70, false, true, true}, Case{70, true, true, false}}) {
-    Capacity cap({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64}, "t7-");
-    std::map<PartId, wire::Summary> s;
-    s[PartId(0)].machines = {{MachineName("m"), MachineType("t"), Zone("a"), false, {4, 0, 8}, c.idle, true}};
-    EXPECT_EQ(!cap.surplus(s, c.demand, c.jobs).empty(), c.returned) << c.idle << c.demand << c.jobs;
+    Autoscaler cap({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64}, "t7-");
+    std::map<ShardId, protocol::Summary> s;
+    s[ShardId(0)].machines = {
+        {MachineName("m"), MachineType("t"), Zone("a"), false, {4, 0, 8}, c.idle, true}};
+    EXPECT_EQ(!cap.idle_instances(s, c.demand, c.jobs).empty(), c.released) << c.idle << c.demand << c.jobs;
   }
 }
 
-TEST(Capacity, MachinesThatNeverBootOrFailedAreDeletedOnce) {
+TEST(Autoscaler, MachinesThatNeverBootOrFailedAreDeletedOnce) {
   auto c = capacity();
   c.on_list({listed("slow", S::kBooting, 60), listed("never", S::kBooting, 500),
              listed("failed", S::kFailed, 9), listed("up", S::kRunning, 900)},
             at(0));
-  EXPECT_EQ(c.dead(at(0)), (std::vector{MachineName("failed"), MachineName("never")}));
-  EXPECT_TRUE(c.dead(at(1)).empty());
+  EXPECT_EQ(c.failed_instances(at(0)), (std::vector{MachineName("failed"), MachineName("never")}));
+  EXPECT_TRUE(c.failed_instances(at(1)).empty());
 }
 
 // Orders what is asked for, and says how many machines were ordered.
-std::uint32_t order(Capacity& c, std::uint32_t tasks, double t) {
+std::uint32_t order(Autoscaler& c, std::uint32_t tasks, double t) {
   static int names = 0;
   std::uint32_t ordered = 0;
   while (auto r = c.rent(demand(tasks), at(t))) {
@@ -111,7 +112,7 @@
 }
 
 // A new leader knows what is on order from a list alone, and the list lags.
-TEST(Capacity, ANewLeaderOrdersNothingAnewThatIsOnOrder) {
+TEST(Autoscaler, ANewLeaderOrdersNothingAnewThatIsOnOrder) {
   auto c = capacity();
   c.on_takeover(at(0));
   EXPECT_EQ(order(c, 8, 0), 0u);
@@ -124,9 +125,9 @@
 }
 
 // Nothing comes up: what is late is ordered anew, but never more than twice of what is needed is on order.
-TEST(Capacity, OrdersStayBoundedWhileNothingComesUp) {
+TEST(Autoscaler, OrdersStayBoundedWhileNothingComesUp) {
   auto c = capacity();
-  std::map<std::string, std::pair<double, wire::ListedMachine>> cloud;
+  std::map<std::string, std::pair<double, protocol::ListedMachine>> cloud;
   int names = 0;
   std::size_t most = 0;
   for (double t = 0; t < 1200; t += 1) {
@@ -140,13 +141,13 @@
       }
       c.on_rented(*r, machines, at(t));
     }
-    std::vector<wire::ListedMachine> list;
+    std::vector<protocol::ListedMachine> list;
     for (auto& [name, m] : cloud) {
       m.second.age_s = t - m.first;
       list.push_back(m.second);
     }
     c.on_list(list, at(t));
-    for (auto& name : c.dead(at(t))) cloud.erase(name.value());
+    for (auto& name : c.failed_instances(at(t))) cloud.erase(name.value());
     most = std::max(most, cloud.size());
   }
   EXPECT_GE(most, 10u);
@@ -155,7 +156,7 @@
 }
 
 // How long a machine is waited for follows what was seen lately, or none would come up while all are slow.
-TEST(Capacity, MachinesAreWaitedForByWhatWasSeenLately) {
+TEST(Autoscaler, MachinesAreWaitedForByWhatWasSeenLately) {
   struct Case {
     double booted_s;  // that others took lately; 0: none did
     int given_up;     // before
@@ -174,25 +175,26 @@
     }
     for (int i = 0; i < x.given_up; ++i) {
       c.on_list({listed("lost" + std::to_string(i), S::kBooting, 1000)}, at(t));
-      EXPECT_EQ(c.dead(at(t)).size(), 1u);
+      EXPECT_EQ(c.failed_instances(at(t)).size(), 1u);
     }
     c.on_list({listed("h1", S::kBooting, x.age_s)}, at(t));
-    EXPECT_EQ(c.dead(at(t)).empty(), x.waited_for) << x.booted_s << ' ' << x.given_up << ' ' << x.age_s;
+    EXPECT_EQ(c.failed_instances(at(t)).empty(), x.waited_for)
+        << x.booted_s << ' ' << x.given_up << ' ' << x.age_s;
   }
 }
 
-TEST(Capacity, TheNeedGoesElsewhereThanWhereMachinesNeverCameUp) {
+TEST(Autoscaler, TheNeedGoesElsewhereThanWhereMachinesNeverCameUp) {
   auto c = capacity();
   auto first = c.rent(demand(4), at(0));
   ASSERT_TRUE(first);
   c.on_rented(*first, {MachineName("h1")}, at(0));
   c.on_list({listed("h1", S::kBooting, 70, first->type.value().c_str(), first->zone.value().c_str())},
             at(70));
-  EXPECT_EQ(c.dead(at(70)).size(), 1u);
+  EXPECT_EQ(c.failed_instances(at(70)).size(), 1u);
   auto next = c.rent(demand(4), at(71));
   ASSERT_TRUE(next);
   EXPECT_NE(std::tie(next->type, next->zone), std::tie(first->type, first->zone));
 }
 
 }  // namespace
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/tests/lead_queue_test.cpp
+++ b/tests/lead_queue_test.cpp
@@ -1,7 +1,7 @@
-// The split among parts, and in which order jobs are served.
+// The split among shards, and in which order jobs are served.
 #include "lead_bench.h"
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 namespace {
 
 TEST(Split, ByProportionsNeverMoreThanTheRoom) {
@@ -21,11 +21,11 @@
       {5, {0, 7, 0}, {0, 5, 0}},
   };
   for (const auto& c : cases) {
-    std::vector<Room> rooms;
+    std::vector<ShardCapacity> rooms;
     for (std::size_t i = 0; i < c.rooms.size(); ++i)
-      rooms.push_back({PartId(static_cast<std::uint32_t>(i)), std::nullopt, c.rooms[i]});
+      rooms.push_back({ShardId(static_cast<std::uint32_t>(i)), std::nullopt, c.rooms[i]});
     std::vector<std::uint32_t> got(c.rooms.size());
-    for (const auto& s : split(c.tasks, rooms)) got[s.part.value()] = s.tasks;
+    for (const auto& s : apportion(c.tasks, rooms)) got[s.shard.value()] = s.tasks;
     EXPECT_EQ(got, c.shares) << c.tasks;
   }
 }
@@ -140,7 +140,7 @@
 TEST(Queue, TheLargestBeginUnderSteadyOverload) {
   Bench b;
   auto timed = [](double deadline) {
-    return [deadline](wire::JobSpec& s) {
+    return [deadline](protocol::JobSpec& s) {
       s.job_class = "day";
       s.estimate_s = 1;
       s.deadline_s = deadline;
@@ -153,12 +153,12 @@
       auto id = "run-" + std::to_string(++n);
       b.job(id.c_str(), 6, timed(5));
       b.jobs[id].record.submitted = WallMs(static_cast<std::int64_t>(t * 1000));
-      b.show(id.c_str(), t);
+      b.publish(id.c_str(), t);
     }
     if (t == 20) {
       b.job("run-999", 4000, timed(400));
       b.jobs["run-999"].record.submitted = WallMs(20000);
-      b.show("run-999", t);
+      b.publish("run-999", t);
     }
     auto g = b.round(t, {{0, room(10)}, {1, {}}}, false, t);
     b.record(g, t);
@@ -167,9 +167,9 @@
     // What was granted is done by the next round.
     for (auto& x : g) {
       auto& j = b.jobs[x.job.value()];
-      for (auto& chunk : j.grants.value.chunks) j.progress[PartId(0)].value.done.add(chunk.tasks);
-      j.progress[PartId(0)].version = Revision(++b.revision);
-      b.show(x.job.value().c_str(), t);
+      for (auto& chunk : j.grants.value.chunks) j.progress[ShardId(0)].value.done.add(chunk.tasks);
+      j.progress[ShardId(0)].version = Revision(++b.revision);
+      b.publish(x.job.value().c_str(), t);
     }
   }
   ASSERT_TRUE(begun);
@@ -181,14 +181,14 @@
 TEST(Queue, ArraysGiveWayToAnOverdueGang) {
   for (double wall : {50.0, 150.0, 400.0}) {
     Bench b;
-    b.job("run-1", 8, [](wire::JobSpec& s) { s.kind = JobKind::kGang; });
+    b.job("run-1", 8, [](protocol::JobSpec& s) { s.kind = JobKind::kGang; });
     b.job("run-2", 100);
     b.jobs["run-2"].record.submitted = WallMs(static_cast<std::int64_t>(wall * 1000));
-    b.show("run-2", 0);
+    b.publish("run-2", 0);
     auto g = b.round(1, {{0, room(4)}, {1, {}}}, false, wall);
     EXPECT_EQ(g.empty(), wall == 150.0) << wall;
   }
 }
 
 }  // namespace
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/tests/lead_wait_test.cpp
+++ b/tests/lead_wait_test.cpp
@@ -1,9 +1,9 @@
 // Nobody waits for long while there is room for it: what stands before it in the queue may need other room.
 #include <gtest/gtest.h>
 
-#include "lead/lead.h"
+#include "scheduler/scheduler.h"
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 namespace {
 
 constexpr double kLongest = 90;  // that a job may be left waiting while there is room for it
@@ -12,21 +12,21 @@
   return Instant{} + from_seconds(1000 + s);
 }
 
-// A leader of one part. What is bound to the zone "full" finds no room; all else finds some.
+// A leader of one shard. What is bound to the zone "full" finds no room; all else finds some.
 struct Queue {
-  Queue() : lead(params(), {}, {}) { lead.on_terms({{PartId(0), Term(1)}}); }
+  Queue() : scheduler(params(), {}, {}) { scheduler.on_terms({{ShardId(0), Term(1)}}); }
 
-  static LeadParams params() {
-    LeadParams p;
+  static SchedulerParams params() {
+    SchedulerParams p;
     p.reply_wait = std::chrono::seconds(2);
-    p.report_period = std::chrono::seconds(3);
+    p.heartbeat_period = std::chrono::seconds(3);
     p.longest_wait = std::chrono::seconds(150);
     return p;
   }
 
   void submit(int n, JobKind kind, std::optional<Zone> zone, std::uint32_t tasks, double memory_gb,
               double t) {
-    wire::JobSpec s;
+    protocol::JobSpec s;
     s.id = JobId("run-" + std::to_string(1000 + n));
     s.kind = kind;
     s.tasks = tasks;
@@ -35,34 +35,37 @@
     s.priority = kind == JobKind::kService ? Priority::kHigh : Priority::kNormal;
     s.estimate_s = 20;
     auto& job = jobs[s.id];
-    job.record = {std::make_shared<const wire::JobSpec>(s), WallMs(static_cast<std::int64_t>(t * 1000))};
+    job.record = {std::make_shared<const protocol::JobSpec>(s), WallMs(static_cast<std::int64_t>(t * 1000))};
     job.created = Revision(1);
-    lead.on_job(s.id, &job, std::nullopt, at(t));
+    scheduler.on_job(s.id, &job, std::nullopt, at(t));
   }
 
   void step(double t) {
-    auto ask = lead.begin_round(at(t), WallMs(static_cast<std::int64_t>(t * 1000)), {PartId(0)});
-    if (!ask) return;
-    std::vector<wire::ShapeRoom> rooms;
-    for (const auto& s : ask->shapes)
-      rooms.push_back(s.zone == Zone("full") ? wire::ShapeRoom{} : wire::ShapeRoom{{Zone("a"), 4, 0, 0, 0}});
-    lead.on_answer({ask->round, PartId(0), Term(1), Revision(revision), rooms}, at(t));
-    auto grants = lead.decide(at(t), {{PartId(0), Term(1)}});
+    auto estimate_request =
+        scheduler.begin_round(at(t), WallMs(static_cast<std::int64_t>(t * 1000)), {ShardId(0)});
+    if (!estimate_request) return;
+    std::vector<protocol::CapacityByZone> rooms;
+    for (const auto& s : estimate_request->resource_requests)
+      rooms.push_back(s.zone == Zone("full") ? protocol::CapacityByZone{}
+                                             : protocol::CapacityByZone{{Zone("a"), 4, 0, 0, 0}});
+    scheduler.on_estimate_response({estimate_request->round, ShardId(0), Term(1), Revision(revision), rooms},
+                                   at(t));
+    auto grants = scheduler.decide(at(t), {{ShardId(0), Term(1)}});
     if (!grants || grants->empty()) return;
-    lead.on_granted(*grants, Revision(++revision), at(t));
+    scheduler.on_granted(*grants, Revision(++revision), at(t));
     for (const auto& g : *grants) {
       granted.try_emplace(g.job, t);
       auto& job = jobs[g.job];
       job.grants = {g.grants, Revision(revision)};
       // What was granted is done by the next round.
-      for (const auto& c : g.grants.chunks) job.progress[PartId(0)].value.done.add(c.tasks);
-      job.progress[PartId(0)].version = Revision(++revision);
-      lead.on_job(g.job, &job, std::nullopt, at(t));
+      for (const auto& c : g.grants.chunks) job.progress[ShardId(0)].value.done.add(c.tasks);
+      job.progress[ShardId(0)].version = Revision(++revision);
+      scheduler.on_job(g.job, &job, std::nullopt, at(t));
     }
   }
 
-  Lead lead;
-  std::map<JobId, store::Job> jobs;
+  Scheduler scheduler;
+  std::map<JobId, state_store::Job> jobs;
   std::map<JobId, double> granted;
   std::uint64_t revision = 10;
 };
@@ -72,8 +75,8 @@
     const char* what;
     JobKind kind;  // of those that stand before it and find no room
     int before;
-    bool shapes;     // each of them has a shape of its own
-    double every_s;  // a service comes so often; 0: none do
+    bool resource_requests;  // each of them has a shape of its own
+    double every_s;          // a service comes so often; 0: none do
   };
   const Case cases[] = {
       {"a few", JobKind::kArray, 5, false, 0},
@@ -86,7 +89,8 @@
   for (const auto& c : cases) {
     Queue q;
     for (int i = 0; i < c.before; ++i)
-      q.submit(i, c.kind, Zone("full"), c.kind == JobKind::kGang ? 100 : 1, c.shapes ? 1 + i : 1, 0);
+      q.submit(i, c.kind, Zone("full"), c.kind == JobKind::kGang ? 100 : 1, c.resource_requests ? 1 + i : 1,
+               0);
     int n = 500;
     double next = c.every_s;
     JobId waits("run-1400");
@@ -105,4 +109,4 @@
 }
 
 }  // namespace
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/tests/meetings_lead_test.cpp
+++ b/tests/meetings_lead_test.cpp
@@ -1,13 +1,13 @@
-// Meetings of troubles at the leader: limits, cancellations and messages of owners while parts change hands.
+// Meetings of troubles at the leader: limits, cancellations and messages of owners while shards change hands.
 // See docs/meetings.md.
 #include <gtest/gtest.h>
 
-#include "lead/lead.h"
+#include "scheduler/scheduler.h"
 
-namespace beaconsill::lead {
+namespace beaconsill::scheduler {
 namespace {
 
-using store::End;
+using state_store::TerminalState;
 
 Instant at(double s) {
   return Instant{} + from_seconds(1000 + s);
@@ -15,72 +15,74 @@
 
 constexpr double kLimit = 10;
 
-// A leader of two parts under term 1, with one team at a limit of ten CPUs and one without a limit.
+// A leader of two shards under term 1, with one team at a limit of ten CPUs and one without a limit.
 struct Leader {
   Leader()
-      : lead({std::chrono::seconds(2), std::chrono::seconds(1), std::chrono::seconds(100), {}, 8},
-             {{Team("blue"), 0, kLimit, 0, 0}, {Team("free"), 0, 0, 0, 0}}, {}) {
+      : scheduler({std::chrono::seconds(2), std::chrono::seconds(1), std::chrono::seconds(100), {}, 8},
+                  {{Team("blue"), 0, kLimit, 0, 0}, {Team("free"), 0, 0, 0, 0}}, {}) {
     terms(1, 1);
   }
   void terms(std::uint64_t first, std::uint64_t second) {
-    now_terms = {{PartId(0), Term(first)}, {PartId(1), Term(second)}};
-    for (const auto& id : lead.on_terms(now_terms)) show(id.value().c_str());
+    now_terms = {{ShardId(0), Term(first)}, {ShardId(1), Term(second)}};
+    for (const auto& id : scheduler.on_terms(now_terms)) publish(id.value().c_str());
   }
   void job(const char* id, std::uint32_t tasks, const char* team = "blue", bool one_zone = false) {
-    wire::JobSpec s;
+    protocol::JobSpec s;
     s.id = JobId(id);
     s.team = Team(team);
     s.tasks = tasks;
     s.each = {1, 0, 1};
     s.one_zone = one_zone;
-    jobs[id].record = {std::make_shared<const wire::JobSpec>(s), WallMs(0)};
+    jobs[id].record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
     jobs[id].created = Revision(1);
-    show(id);
+    publish(id);
   }
-  void show(const char* id) {
+  void publish(const char* id) {
     auto e = ends.find(id);
-    lead.on_job(JobId(id), &jobs[id], e == ends.end() ? std::nullopt : std::optional(e->second), at(t));
+    scheduler.on_job(JobId(id), &jobs[id], e == ends.end() ? std::nullopt : std::optional(e->second), at(t));
   }
-  void end(const char* id, End e) {
+  void end(const char* id, TerminalState e) {
     ends[id] = e;
-    show(id);
+    publish(id);
   }
-  // The owner of the part tells that the tasks of the job's chunk were returned.
-  void returned(const char* id, std::uint32_t part, std::uint64_t term, Ranges tasks) {
+  // The owner of the shard tells that the tasks of the job's chunk were returned.
+  void released(const char* id, std::uint32_t shard, std::uint64_t term, Ranges tasks) {
     for (const auto& c : jobs[id].grants.value.chunks)
-      if (c.part == PartId(part))
-        lead.on_outcomes({PartId(part), Term(term), {{JobId(id), {}, {{c.generation, tasks}}}}}, at(t));
-    show(id);
+      if (c.shard == ShardId(shard))
+        scheduler.on_progress_report({ShardId(shard), Term(term), {{JobId(id), {}, {{c.generation, tasks}}}}},
+                                     at(t));
+    publish(id);
   }
-  // A round in which each part has so much room in these zones.
-  std::vector<Lead::Grant> round(std::map<std::uint32_t, wire::ShapeRoom> rooms) {
+  // A round in which each shard has so much room in these zones.
+  std::vector<Scheduler::Grant> round(std::map<std::uint32_t, protocol::CapacityByZone> rooms) {
     t += 5;
-    auto ask = lead.begin_round(at(t), WallMs(0), {PartId(0), PartId(1)});
-    if (!ask) return {};
+    auto estimate_request = scheduler.begin_round(at(t), WallMs(0), {ShardId(0), ShardId(1)});
+    if (!estimate_request) return {};
     for (auto& [p, room] : rooms)
-      lead.on_answer({ask->round, PartId(p), now_terms.at(PartId(p)), Revision(revision),
-                      std::vector(ask->shapes.size(), room)},
-                     at(t));
-    return lead.decide(at(t + 3), now_terms).value_or(std::vector<Lead::Grant>{});
+      scheduler.on_estimate_response(
+          {estimate_request->round, ShardId(p), now_terms.at(ShardId(p)), Revision(revision),
+           std::vector(estimate_request->resource_requests.size(), room)},
+          at(t));
+    return scheduler.decide(at(t + 3), now_terms).value_or(std::vector<Scheduler::Grant>{});
   }
-  void applied(const std::vector<Lead::Grant>& grants) {
+  void applied(const std::vector<Scheduler::Grant>& grants) {
     ++revision;
-    lead.on_granted(grants, Revision(revision), at(t));
+    scheduler.on_granted(grants, Revision(revision), at(t));
     for (const auto& g : grants) {
       jobs[g.job.value()].grants = {g.grants, Revision(revision)};
-      show(g.job.value().c_str());
+      publish(g.job.value().c_str());
     }
   }
 
-  Lead lead;
-  std::map<PartId, Term> now_terms;
-  std::map<std::string, store::Job> jobs;
-  std::map<std::string, End> ends;
+  Scheduler scheduler;
+  std::map<ShardId, Term> now_terms;
+  std::map<std::string, state_store::Job> jobs;
+  std::map<std::string, TerminalState> ends;
   std::uint64_t revision = 10;
   double t = 0;
 };
 
-wire::ShapeRoom room(std::uint32_t free, const char* zone = "east") {
+protocol::CapacityByZone room(std::uint32_t free, const char* zone = "east") {
   return {{Zone(zone), free, 0, 0, 0}};
 }
 
@@ -91,13 +93,13 @@
   struct Case {
     const char* what;
     const char* team;    // of the next job
-    bool recorded;       // the return is in the state service
+    bool recorded;       // the return is in the state store
     std::uint64_t term;  // under which it was told
-    std::set<PartId> rests_on;
+    std::set<ShardId> depends_on_shards;
     std::uint32_t granted;
   };
   const Case cases[] = {
-      {"told only", "blue", false, 1, {PartId(0)}, 10},
+      {"told only", "blue", false, 1, {ShardId(0)}, 10},
       {"recorded as well", "blue", true, 1, {}, 10},
       {"told under a term that isn't the part's", "blue", false, 2, {}, 0},
       {"another team's job", "free", false, 1, {}, 10},
@@ -106,13 +108,13 @@
     Leader l;
     l.job("run-1", 10);
     l.applied(l.round({{0, room(10)}, {1, {}}}));
-    l.end("run-1", End::kCancelled);
+    l.end("run-1", TerminalState::kCancelled);
     l.job("run-2", 10, c.team);
-    l.returned("run-1", 0, c.term, Ranges::span(0, 10));
+    l.released("run-1", 0, c.term, Ranges::span(0, 10));
     if (c.recorded) {
       auto g = l.jobs["run-1"].grants.value.last;
-      l.jobs["run-1"].progress[PartId(0)] = {{{}, {{g, Ranges::span(0, 10)}}}, Revision(20)};
-      l.show("run-1");
+      l.jobs["run-1"].progress[ShardId(0)] = {{{}, {{g, Ranges::span(0, 10)}}}, Revision(20)};
+      l.publish("run-1");
     }
     auto g = l.round({{0, room(10)}, {1, room(10)}});
     std::uint32_t granted = 0;
@@ -120,7 +122,7 @@
       for (const auto& chunk : x.grants.chunks) granted += chunk.tasks.count();
     EXPECT_EQ(granted, c.granted) << c.what;
     if (!g.empty()) {
-      EXPECT_EQ(g[0].rests_on, c.rests_on) << c.what;
+      EXPECT_EQ(g[0].depends_on_shards, c.depends_on_shards) << c.what;
     }
   }
 }
@@ -130,17 +132,17 @@
   Leader l;
   l.job("run-1", 4);
   l.applied(l.round({{0, room(4)}, {1, {}}}));
-  l.end("run-1", End::kCancelled);
-  EXPECT_TRUE(l.lead.drained().empty());
-  l.returned("run-1", 0, 1, Ranges::span(0, 4));
-  EXPECT_EQ(l.lead.drained(), std::vector{JobId("run-1")});
-  EXPECT_EQ(l.lead.returned_by_message(JobId("run-1")), std::set{PartId(0)});
-  // The part changes hands: its next owner has to tell anew.
+  l.end("run-1", TerminalState::kCancelled);
+  EXPECT_TRUE(l.scheduler.collectable().empty());
+  l.released("run-1", 0, 1, Ranges::span(0, 4));
+  EXPECT_EQ(l.scheduler.collectable(), std::vector{JobId("run-1")});
+  EXPECT_EQ(l.scheduler.released_by_message(JobId("run-1")), std::set{ShardId(0)});
+  // The shard changes hands: its next owner has to tell anew.
   l.terms(2, 1);
-  EXPECT_TRUE(l.lead.drained().empty());
-  EXPECT_TRUE(l.lead.returned_by_message(JobId("run-1")).empty());
-  l.returned("run-1", 0, 2, Ranges::span(0, 4));
-  EXPECT_EQ(l.lead.drained(), std::vector{JobId("run-1")});
+  EXPECT_TRUE(l.scheduler.collectable().empty());
+  EXPECT_TRUE(l.scheduler.released_by_message(JobId("run-1")).empty());
+  l.released("run-1", 0, 2, Ranges::span(0, 4));
+  EXPECT_EQ(l.scheduler.collectable(), std::vector{JobId("run-1")});
 }
 
 // The ledger adds up again whatever comes in between: a job that is gone rests on nobody's message.
@@ -149,19 +151,19 @@
   for (int n = 0; n < 3; ++n) {
     l.job("run-1", 10);
     l.applied(l.round({{0, room(10)}, {1, {}}}));
-    l.end("run-1", End::kCancelled);
-    l.returned("run-1", 0, 1, Ranges::span(0, 6));
-    l.returned("run-1", 0, 1, Ranges::span(0, 10));
-    l.show("run-1");
-    l.lead.on_job(JobId("run-1"), nullptr, End::kCancelled, at(l.t));
+    l.end("run-1", TerminalState::kCancelled);
+    l.released("run-1", 0, 1, Ranges::span(0, 6));
+    l.released("run-1", 0, 1, Ranges::span(0, 10));
+    l.publish("run-1");
+    l.scheduler.on_job(JobId("run-1"), nullptr, TerminalState::kCancelled, at(l.t));
     l.jobs.erase("run-1");
     l.ends.erase("run-1");
     l.job("run-2", 10);
     auto g = l.round({{0, room(10)}, {1, {}}});
     ASSERT_EQ(g.size(), 1u);
-    EXPECT_TRUE(g[0].rests_on.empty());
-    l.lead.on_granted(g, std::nullopt, at(l.t));
-    l.lead.on_job(JobId("run-2"), nullptr, std::nullopt, at(l.t));
+    EXPECT_TRUE(g[0].depends_on_shards.empty());
+    l.scheduler.on_granted(g, std::nullopt, at(l.t));
+    l.scheduler.on_job(JobId("run-2"), nullptr, std::nullopt, at(l.t));
     l.jobs.erase("run-2");
   }
 }
@@ -172,7 +174,7 @@
   struct Case {
     const char* what;
     std::vector<std::uint64_t> told;  // terms, in the order in which the messages come
-    std::uint64_t term;               // the part's, as the leader knows it at the end
+    std::uint64_t term;               // the shard's, as the leader knows it at the end
     bool free;
   };
   const Case cases[] = {
@@ -189,13 +191,13 @@
     for (auto term : c.told) {
       if (!first || term == c.term) l.terms(c.term, 1);
       first = false;
-      l.returned("run-1", 0, term, Ranges::span(0, 10));
+      l.released("run-1", 0, term, Ranges::span(0, 10));
     }
     l.terms(c.term, 1);
     auto g = l.round({{0, {}}, {1, room(10)}});
     EXPECT_EQ(!g.empty(), c.free) << c.what;
     if (!g.empty()) {
-      EXPECT_EQ(g[0].rests_on, std::set{PartId(0)}) << c.what;
+      EXPECT_EQ(g[0].depends_on_shards, std::set{ShardId(0)}) << c.what;
     }
   }
 }
@@ -205,7 +207,7 @@
 TEST(OneZone, WhatWasLostFollowsWhatIsLeft) {
   struct Case {
     const char* what;
-    Ranges returned;  // of the four tasks in zone "east"
+    Ranges released;  // of the four tasks in zone "east"
     const char* zone;
     std::uint32_t granted;
   };
@@ -218,13 +220,13 @@
     Leader l;
     l.job("run-1", 4, "free", true);
     l.applied(l.round({{0, room(8)}, {1, {}}}));
-    l.returned("run-1", 0, 1, c.returned);
+    l.released("run-1", 0, 1, c.released);
     auto g = l.round({{0, {}}, {1, room(8, c.zone)}});
     std::uint32_t granted = 0;
     for (const auto& x : g) {
-      EXPECT_EQ(x.rests_on, std::set{PartId(0)}) << c.what;
+      EXPECT_EQ(x.depends_on_shards, std::set{ShardId(0)}) << c.what;
       for (const auto& chunk : x.grants.chunks)
-        if (chunk.part == PartId(1)) {
+        if (chunk.shard == ShardId(1)) {
           granted += chunk.tasks.count();
           EXPECT_EQ(chunk.zone, Zone(c.zone)) << c.what;
         }
@@ -234,4 +236,4 @@
 }
 
 }  // namespace
-}  // namespace beaconsill::lead
+}  // namespace beaconsill::scheduler
--- a/tests/meetings_part_test.cpp
+++ b/tests/meetings_part_test.cpp
@@ -1,17 +1,17 @@
-// Meetings of troubles at the owner of a part: late copies of reports, hand-overs, machines that are heard or
-// reached one way only, and cancellations in between. See docs/meetings.md.
+// Meetings of troubles at the owner of a shard: late copies of reports, hand-overs, machines that are heard
+// or reached one way only, and cancellations in between. See docs/meetings.md.
 #include <gtest/gtest.h>
 
-#include "part/part.h"
+#include "shard/shard_manager.h"
 
-namespace beaconsill::part {
+namespace beaconsill::shard {
 namespace {
 
-using store::End;
-using wire::Command;
-using wire::EndCause;
-using wire::TaskState;
-using CommandResult = Part::CommandResult;
+using protocol::Command;
+using protocol::EndCause;
+using protocol::TaskState;
+using state_store::TerminalState;
+using CommandResult = ShardManager::CommandResult;
 
 constexpr std::uint64_t kTerm = 5;
 const JobId kJob("run-1");
@@ -20,32 +20,32 @@
   return Instant{} + from_seconds(1000 + s);
 }
 
-PartParams params() {
-  PartParams p;
-  p.report_period = std::chrono::seconds(1);
+ShardParams params() {
+  ShardParams p;
+  p.heartbeat_period = std::chrono::seconds(1);
   p.lease = std::chrono::seconds(10);
   p.cancel_limit = std::chrono::seconds(40);
   p.grace = std::chrono::seconds(5);
   return p;
 }
 
-// A part with machines `a` and `b` in zone "east" and `c` in zone "west". The test composes the reports.
+// A shard with machines `a` and `b` in zone "east" and `c` in zone "west". The test composes the reports.
 struct Owner {
   using Names = std::vector<const char*>;
   // `registered`: none if the registry hasn't been read yet.
   explicit Owner(const std::optional<Names>& registered = Names{"a", "b", "c"})
-      : part(PartId(0), Term(kTerm), params(), at(0)) {
-    auto types = std::make_shared<wire::Catalogue>();
+      : shard(ShardId(0), Term(kTerm), params(), at(0)) {
+    auto types = std::make_shared<protocol::Catalogue>();
     (*types)[MachineType("t4")] = {MachineType("t4"),           {4, 0, 16}, 10, 0.1, 1, 0.5, 20,
                                    {Zone("east"), Zone("west")}};
-    part.set_catalogue(types);
+    shard.set_catalogue(types);
     for (const char* name : {"a", "b", "c"}) {
       auto& r = workers[name];
       r.machine = MachineName(name);
       r.address = "127.0.0.1:1";
       r.type = MachineType("t4");
       r.zone = Zone(name[0] == 'c' ? "west" : "east");
-      r.session = Session(1);
+      r.incarnation = Incarnation(1);
       r.sequence = Sequence(100);
       r.token = Token::first_of(Term(kTerm - 1));
     }
@@ -53,37 +53,38 @@
   }
 
   void registry(const std::vector<const char*>& names, double t = 0) {
-    std::vector<store::MachineRecord> all;
+    std::vector<state_store::MachineRecord> all;
     for (const char* name : names) {
       const auto& r = workers.at(name);
       all.push_back({r.machine, r.type, r.zone, r.spot, r.address});
     }
-    part.on_registry(all, at(t));
+    shard.on_registry(all, at(t));
   }
-  static wire::TaskReport task(std::uint32_t index, std::uint64_t attempt,
-                               TaskState state = TaskState::kRunning) {
+  static protocol::TaskStatus task(std::uint32_t index, std::uint64_t attempt,
+                                   TaskState state = TaskState::kRunning) {
     return {{kJob, index}, Attempt(attempt), state, EndCause::kDone, false};
   }
   // A copy of a report that was sent before any other of this owner's time.
-  bool late_copy(const char* name, std::vector<wire::TaskReport> tasks, double t, std::uint64_t session = 1) {
+  bool late_copy(const char* name, std::vector<protocol::TaskStatus> tasks, double t,
+                 std::uint64_t incarnation = 1) {
     auto r = workers.at(name);
-    r.session = Session(session);
+    r.incarnation = Incarnation(incarnation);
     r.sequence = Sequence(7);
     r.tasks = std::move(tasks);
-    return part.on_report(r, at(t));
+    return shard.on_worker_heartbeat(r, at(t));
   }
   // The worker has seen this owner's term and reports.
-  bool report(const char* name, double t) {
+  bool heartbeat(const char* name, double t) {
     auto& r = workers.at(name);
-    r.token = std::max(r.token, Token::first_of(part.term()));
+    r.token = std::max(r.token, Token::first_of(shard.term()));
     r.sequence = Sequence(r.sequence.value() + 1);
-    bool taken = part.on_report(r, at(t));
-    if (taken) part.answer(r.machine, at(t));
+    bool taken = shard.on_worker_heartbeat(r, at(t));
+    if (taken) shard.answer(r.machine, at(t));
     return taken;
   }
   void grant(std::uint32_t tasks, std::uint64_t term, double t, std::optional<Zone> zone = std::nullopt,
              std::optional<Zone> job_zone = std::nullopt) {
-    wire::JobSpec s;
+    protocol::JobSpec s;
     s.id = kJob;
     s.team = Team("blue");
     s.tasks = tasks;
@@ -91,18 +92,18 @@
     s.image = ImageName("img");
     s.estimate_s = 20;
     s.zone = job_zone;
-    job.record = {std::make_shared<const wire::JobSpec>(s), WallMs(0)};
+    job.record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
     job.created = Revision(1);
     auto g = Generation(job.grants.value.last.value() + 1);
-    job.grants.value = {{{g, PartId(0), Term(term), Ranges::span(0, tasks), zone, false, {}}}, g};
+    job.grants.value = {{{g, ShardId(0), Term(term), Ranges::span(0, tasks), zone, false, {}}}, g};
     job.grants.version = Revision(++revision);
-    part.on_job(kJob, &job, std::nullopt, at(t));
+    shard.on_job(kJob, &job, std::nullopt, at(t));
   }
-  void cancel(double t) { part.on_job(kJob, &job, End::kCancelled, at(t)); }
-  void tick(double t) { part.tick(at(t), at(t), at(t)); }
-  std::vector<Part::Batch> batches(double t) { return part.take_batches(at(t)); }
+  void cancel(double t) { shard.on_job(kJob, &job, TerminalState::kCancelled, at(t)); }
+  void tick(double t) { shard.tick(at(t), at(t), at(t)); }
+  std::vector<ShardManager::Batch> batches(double t) { return shard.take_command_batches(at(t)); }
   // Of these batches, the commands of one kind, as "machine task".
-  static std::vector<std::string> commands(const std::vector<Part::Batch>& batches, Command::Op op) {
+  static std::vector<std::string> commands(const std::vector<ShardManager::Batch>& batches, Command::Op op) {
     std::vector<std::string> out;
     for (const auto& b : batches)
       for (const auto& c : b.commands)
@@ -110,7 +111,7 @@
     return out;
   }
   // The worker carries a batch out; its answer is returned, not handed over.
-  wire::Report carry_out(const Part::Batch& b) {
+  protocol::WorkerHeartbeat carry_out(const ShardManager::Batch& b) {
     auto& w = workers.at(b.machine.value());
     w.token = std::max(w.token, b.token);
     w.sequence = Sequence(w.sequence.value() + 1);
@@ -131,20 +132,20 @@
   void answer_all(double t) {
     for (auto& b : batches(t)) {
       auto answer = carry_out(b);
-      part.on_commands(b, CommandResult::kExecuted, answer, at(t));
+      shard.on_commands(b, CommandResult::kExecuted, answer, at(t));
     }
   }
   // All machines are heard under this term.
   void settle_all(double t) {
-    for (auto& [name, r] : workers) report(name.c_str(), t);
+    for (auto& [name, r] : workers) heartbeat(name.c_str(), t);
     answer_all(t);
     tick(t);
     answer_all(t);
   }
 
-  std::map<std::string, wire::Report> workers;
-  Part part;
-  store::Job job;
+  std::map<std::string, protocol::WorkerHeartbeat> workers;
+  ShardManager shard;
+  state_store::Job job;
   std::uint64_t revision = 10;
 };
 
@@ -170,7 +171,7 @@
     o.workers["b"].tasks = {Owner::task(0, 12)};
     auto old_one = [&] { o.late_copy("a", {Owner::task(0, 11)}, 0.5); };
     if (c.old_one_first) old_one();
-    o.report("b", 0.6);
+    o.heartbeat("b", 0.6);
     if (!c.old_one_first) old_one();
     std::vector<std::string> stops, starts;
     for (double t = 0.7; t < 4; t += 0.5) {
@@ -179,13 +180,13 @@
         for (const auto& s : Owner::commands({b}, Command::Op::kStop)) stops.push_back(s);
         for (const auto& s : Owner::commands({b}, Command::Op::kStart)) starts.push_back(s);
       }
-      o.report("b", t);
-      if (c.registered.size() > 1) o.report("a", t);
+      o.heartbeat("b", t);
+      if (c.registered.size() > 1) o.heartbeat("a", t);
     }
     EXPECT_EQ(stops, std::vector<std::string>{}) << c.what;
     EXPECT_EQ(starts, std::vector<std::string>{}) << c.what;
     // The old machine's end frees nothing that b holds.
-    o.part.on_deleted(MachineName("a"), at(5));
+    o.shard.on_deleted(MachineName("a"), at(5));
     o.tick(5.2);
     EXPECT_EQ(Owner::commands(o.batches(5.2), Command::Op::kStart), std::vector<std::string>{}) << c.what;
   }
@@ -197,8 +198,8 @@
   o.grant(1, kTerm - 1, 0);
   o.workers["a"].tasks = {Owner::task(0, 11)};
   o.workers["b"].tasks = {Owner::task(0, 12)};
-  o.report("a", 0.5);
-  o.report("b", 0.6);
+  o.heartbeat("a", 0.5);
+  o.heartbeat("b", 0.6);
   o.tick(0.7);
   EXPECT_EQ(Owner::commands(o.batches(0.7), Command::Op::kStop).size(), 1u);
 }
@@ -211,39 +212,39 @@
   o.grant(2, kTerm, 0.2);
   o.tick(0.3);
   o.answer_all(0.3);
-  std::string mute;
+  std::string own_heartbeat_timeout;
   for (auto& [name, r] : o.workers)
-    if (!r.tasks.empty()) mute = name;
-  ASSERT_FALSE(mute.empty());
+    if (!r.tasks.empty()) own_heartbeat_timeout = name;
+  ASSERT_FALSE(own_heartbeat_timeout.empty());
   // From 1 s on it can't report; the others do.
   for (double t = 1; t < 4.6; t += 0.5) {
     for (auto& [name, r] : o.workers)
-      if (name != mute) o.report(name.c_str(), t);
+      if (name != own_heartbeat_timeout) o.heartbeat(name.c_str(), t);
     o.tick(t);
     o.answer_all(t);
   }
-  auto before = o.workers[mute].tasks.size();
+  auto before = o.workers[own_heartbeat_timeout].tasks.size();
   o.cancel(4.6);
   o.tick(4.6);
   auto batches = o.batches(4.6);
   EXPECT_EQ(Owner::commands(batches, Command::Op::kStop).size(), before);
   for (auto& b : batches) {
     auto answer = o.carry_out(b);
-    o.part.on_commands(b, CommandResult::kExecuted, answer, at(4.6));
+    o.shard.on_commands(b, CommandResult::kExecuted, answer, at(4.6));
   }
-  for (const auto& t : o.workers[mute].tasks) EXPECT_EQ(t.state, TaskState::kEnded);
-  EXPECT_EQ(o.part.running(kJob), 0u);
+  for (const auto& t : o.workers[own_heartbeat_timeout].tasks) EXPECT_EQ(t.state, TaskState::kEnded);
+  EXPECT_EQ(o.shard.running(kJob), 0u);
 }
 
 TEST(MuteMachine, GetsNoNewTasks) {
   Owner o(Owner::Names{"a"});
-  o.report("a", 0.1);
+  o.heartbeat("a", 0.1);
   o.tick(4.5);
   o.grant(1, kTerm, 4.5);
   o.tick(4.6);
   EXPECT_EQ(Owner::commands(o.batches(4.6), Command::Op::kStart), std::vector<std::string>{});
-  o.report("a", 4.7);
-  o.report("a", 4.8);
+  o.heartbeat("a", 4.7);
+  o.heartbeat("a", 4.8);
   o.tick(4.9);
   o.answer_all(4.9);  // it's called on, and hears
   o.tick(5.0);
@@ -254,13 +255,13 @@
 // nothing starts on a machine that a successor wouldn't wait for.
 TEST(FastBoot, NothingStartsBeforeTheMachineIsSeenRegistered) {
   Owner o(Owner::Names{});
-  o.report("a", 0.5);  // up before anything was written of it
+  o.heartbeat("a", 0.5);  // up before anything was written of it
   o.grant(1, kTerm, 0.6);
   for (double t = 0.7; t < 1.5; t += 0.2) {
-    o.report("a", t);
+    o.heartbeat("a", t);
     o.tick(t);
     EXPECT_EQ(Owner::commands(o.batches(t), Command::Op::kStart), std::vector<std::string>{}) << t;
-    EXPECT_FALSE(o.part.unregistered().empty()) << t;
+    EXPECT_FALSE(o.shard.unregistered_machines().empty()) << t;
   }
   o.registry({"a"}, 1.6);
   o.grant(1, kTerm, 1.6);
@@ -272,14 +273,14 @@
 TEST(FastBoot, ASuccessorWaitsForTheRegisteredMachines) {
   Owner o(Owner::Names{"a", "b"});
   o.grant(1, kTerm - 1, 0);
-  o.report("a", 0.5);
-  o.report("c", 0.5);  // not registered
+  o.heartbeat("a", 0.5);
+  o.heartbeat("c", 0.5);  // not registered
   o.tick(0.6);
-  EXPECT_FALSE(o.part.rebuilt());
+  EXPECT_FALSE(o.shard.is_reconciled());
   EXPECT_EQ(Owner::commands(o.batches(0.6), Command::Op::kStart), std::vector<std::string>{});
-  o.report("b", 0.7);
+  o.heartbeat("b", 0.7);
   o.tick(0.8);
-  EXPECT_TRUE(o.part.rebuilt());
+  EXPECT_TRUE(o.shard.is_reconciled());
   EXPECT_EQ(Owner::commands(o.batches(0.8), Command::Op::kStart).size(), 1u);
 }
 
@@ -289,7 +290,7 @@
   for (int copy_at = 0; copy_at < 4; ++copy_at) {
     Owner o(Owner::Names{"a", "b"});
     o.grant(2, kTerm - 1, 0);
-    for (const char* m : {"a", "b"}) o.workers[m].session = Session(2);
+    for (const char* m : {"a", "b"}) o.workers[m].incarnation = Incarnation(2);
     int started = 0;
     for (int step = 0; step < 4; ++step) {
       double t = 0.5 + step;
@@ -299,18 +300,18 @@
       }
       // The first calls are made under a session that is over.
       if (step > 0)
-        for (const char* m : {"a", "b"}) o.report(m, t + 0.1);
+        for (const char* m : {"a", "b"}) o.heartbeat(m, t + 0.1);
       o.tick(t + 0.2);
       for (auto& b : o.batches(t + 0.2)) {
-        bool known = b.session == o.workers.at(b.machine.value()).session;
+        bool known = b.incarnation == o.workers.at(b.machine.value()).incarnation;
         started += known ? static_cast<int>(Owner::commands({b}, Command::Op::kStart).size()) : 0;
         auto answer = known ? o.carry_out(b) : o.workers.at(b.machine.value());
-        o.part.on_commands(b, known ? CommandResult::kExecuted : CommandResult::kRejected, answer,
-                           at(t + 0.2));
+        o.shard.on_commands(b, known ? CommandResult::kExecuted : CommandResult::kRejected, answer,
+                            at(t + 0.2));
       }
     }
     EXPECT_EQ(started, 2) << copy_at;
-    EXPECT_EQ(o.part.running(kJob), 2u) << copy_at;
+    EXPECT_EQ(o.shard.running(kJob), 2u) << copy_at;
   }
 }
 
@@ -322,13 +323,13 @@
   o.tick(0.3);
   auto sent = o.batches(0.3);
   ASSERT_EQ(sent.size(), 1u);
-  o.part.on_commands(sent[0], CommandResult::kNoAnswer, std::nullopt, at(0.4));
+  o.shard.on_commands(sent[0], CommandResult::kNoAnswer, std::nullopt, at(0.4));
   // Until then it may be there.
-  for (const char* m : {"a", "b"}) o.report(m, 0.5);
+  for (const char* m : {"a", "b"}) o.heartbeat(m, 0.5);
   o.tick(0.6);
   EXPECT_EQ(Owner::commands(o.batches(0.6), Command::Op::kStart), std::vector<std::string>{});
-  o.workers[sent[0].machine.value()].session = Session(2);
-  for (const char* m : {"a", "b"}) o.report(m, 0.7);
+  o.workers[sent[0].machine.value()].incarnation = Incarnation(2);
+  for (const char* m : {"a", "b"}) o.heartbeat(m, 0.7);
   o.tick(0.8);
   EXPECT_EQ(Owner::commands(o.batches(0.8), Command::Op::kStart).size(), 1u);
 }
@@ -355,7 +356,7 @@
       what += std::string(names.at(e)) + " ";
       if (e == Event::kGrant) o.grant(2, kTerm - 1, t);
       if (e == Event::kCancel) o.cancel(t);
-      if (e == Event::kReport) o.report("a", t);
+      if (e == Event::kReport) o.heartbeat("a", t);
       if (e == Event::kRegistry) o.registry({"a"}, t);
       cancelled |= e == Event::kCancel;
       o.tick(t + 0.05);
@@ -363,23 +364,23 @@
         if (cancelled)
           for (auto& s : Owner::commands({b}, Command::Op::kStart)) starts.push_back(s);
         auto answer = o.carry_out(b);
-        o.part.on_commands(b, CommandResult::kExecuted, answer, at(t + 0.05));
+        o.shard.on_commands(b, CommandResult::kExecuted, answer, at(t + 0.05));
       }
       t += 0.6;
     }
     for (int i = 0; i < 8; ++i, t += 0.5) {
-      o.report("a", t);
+      o.heartbeat("a", t);
       o.tick(t + 0.1);
       for (auto& s : Owner::commands(o.batches(t + 0.1), Command::Op::kStart)) starts.push_back(s);
-      o.part.take_batches(at(t + 0.2));
+      o.shard.take_command_batches(at(t + 0.2));
     }
     EXPECT_EQ(starts, std::vector<std::string>{}) << what;
     for (const auto& x : o.workers["a"].tasks) EXPECT_EQ(x.state, TaskState::kEnded) << what;
-    EXPECT_TRUE(o.part.finished_with(kJob)) << what;
+    EXPECT_TRUE(o.shard.holds_no_tasks_of(kJob)) << what;
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-// A cancellation that falls between placing a task and sending its command: it never leaves the node.
+// A cancellation that falls between placing a task and sending its command: it never leaves the controller.
 TEST(CancelInHandOver, WhatWasPlacedButNotSentIsNotStarted) {
   Owner o;
   o.settle_all(0.1);
@@ -388,7 +389,7 @@
   o.cancel(0.3);
   EXPECT_EQ(Owner::commands(o.batches(0.3), Command::Op::kStart), std::vector<std::string>{});
   o.tick(0.5);
-  EXPECT_TRUE(o.part.finished_with(kJob));
+  EXPECT_TRUE(o.shard.holds_no_tasks_of(kJob));
 }
 
 // "Controllers hand over and back": commands of the owner before this one, held up on their way, are refused
@@ -408,7 +409,7 @@
     if (before) {
       EXPECT_TRUE(late());
     }
-    o.report("a", 0.5);
+    o.heartbeat("a", 0.5);
     if (!before) {
       EXPECT_FALSE(late());
     }
@@ -418,4 +419,4 @@
 }
 
 }  // namespace
-}  // namespace beaconsill::part
+}  // namespace beaconsill::shard
--- a/tests/meetings_sim_test.cpp
+++ b/tests/meetings_sim_test.cpp
@@ -16,16 +16,17 @@
   std::function<void(World&)> script;
 };
 
-wire::JobSpec zone_array(const char* id, std::uint32_t tasks, const char* zone) {
+protocol::JobSpec zone_array(const char* id, std::uint32_t tasks, const char* zone) {
   auto s = array_job(id, tasks);
   s.zone = Zone(zone);
   return s;
 }
 // As users do, who repeat what wasn't answered: a scripted request is sent once.
-void submit(World& w, double at_s, const wire::JobSpec& job, int node, std::optional<double> run_s = {}) {
-  for (double d : {0.0, 1.0, 2.5, 4.0}) w.submit(at_s + d, job, node++ % kControllers, run_s);
+void submit(World& w, double at_s, const protocol::JobSpec& job, int controller,
+            std::optional<double> run_s = {}) {
+  for (double d : {0.0, 1.0, 2.5, 4.0}) w.submit(at_s + d, job, controller++ % kControllers, run_s);
 }
-// Nodes end and come back; 0.4 s is within the hold of their presence.
+// Controllers end and come back; 0.4 s is within the hold of their presence.
 void end_node(World& w, double at_s, Who who, double for_s) {
   w.trouble({.at_s = at_s, .kind = TroubleKind::kNodeEnds, .for_s = for_s, .who = who});
 }
@@ -106,10 +107,11 @@
      [](World& w) {
        submit(w, 2, array_job("run-1", 12), 0, kLong_s);
        submit(w, 2, service_job("run-2", 6, "green"), 1);
-       for (int i = 0; i < 6; ++i) end_node(w, 10 + 3.0 * i, Who::node(i % kControllers), i % 2 ? 0.4 : 4);
-       end_node(w, 32, Who::node(0), 0.5);
-       end_node(w, 32.2, Who::node(1), 12);
-       end_node(w, 32.4, Who::node(2), 14);
+       for (int i = 0; i < 6; ++i)
+         end_node(w, 10 + 3.0 * i, Who::controller(i % kControllers), i % 2 ? 0.4 : 4);
+       end_node(w, 32, Who::controller(0), 0.5);
+       end_node(w, 32.2, Who::controller(1), 12);
+       end_node(w, 32.4, Who::controller(2), 14);
        w.cancel(33.5, JobId("run-1"), 0);
        look_closely(w, 33.5, JobId("run-1"));
      }},
--- a/tests/meetings_store_test.cpp
+++ b/tests/meetings_store_test.cpp
@@ -1,27 +1,27 @@
-// Meetings of troubles at the view of the state service: answers that are lost or come late, while others
+// Meetings of troubles at the view of the state store: answers that are lost or come late, while others
 // read and write. See docs/meetings.md.
 #include <gtest/gtest.h>
 
-#include "store/view.h"
+#include "state_store/state_view.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 namespace {
 
-using wire::Change;
-using wire::Json;
+using protocol::Change;
+using protocol::Json;
 
 const JobId kJob("run-1");
-const PartId kPart(0);
-const NodeName kNode("n0");
+const ShardId kPart(0);
+const ControllerName kNode("n0");
 
 Json job() {
-  wire::JobSpec s;
+  protocol::JobSpec s;
   s.id = kJob;
   s.job_class = "c";
   s.team = Team("blue");
   s.tasks = 4;
   s.image = ImageName("i");
-  return to_json(JobRecord{std::make_shared<const wire::JobSpec>(s), WallMs(5)});
+  return to_json(JobRecord{std::make_shared<const protocol::JobSpec>(s), WallMs(5)});
 }
 Json grants() {
   return to_json(
@@ -42,26 +42,26 @@
   const char* what;
   std::string key;
   Json value;
-  std::function<bool(const View&)> held;
+  std::function<bool(const StateView&)> held;
 };
 std::vector<Kind> kinds() {
   return {
-      {"job", job_key(kJob), job(), [](const View& v) { return v.job(kJob) != nullptr; }},
+      {"job", job_key(kJob), job(), [](const StateView& v) { return v.job(kJob) != nullptr; }},
       {"grants", grants_key(kJob), grants(),
-       [](const View& v) { return v.jobs().contains(kJob) && v.jobs().at(kJob).grants.exists(); }},
+       [](const StateView& v) { return v.jobs().contains(kJob) && v.jobs().at(kJob).grants.exists(); }},
       {"progress", progress_key(kPart, kJob), to_json(Progress{Ranges::span(0, 1), {}}),
-       [](const View& v) { return v.jobs().contains(kJob) && !v.jobs().at(kJob).progress.empty(); }},
+       [](const StateView& v) { return v.jobs().contains(kJob) && !v.jobs().at(kJob).progress.empty(); }},
       {"registry", machines_key(kPart, 3), machines(),
-       [](const View& v) { return v.machines(kPart, 3).exists(); }},
-      {"presence", alive_key(kNode), Json{{"up", true}}, [](const View& v) { return v.alive(kNode); }},
+       [](const StateView& v) { return v.machines(kPart, 3).exists(); }},
+      {"presence", alive_key(kNode), Json{{"up", true}}, [](const StateView& v) { return v.alive(kNode); }},
   };
 }
 
-// "A transaction is carried out at once and only its answer is lost, while other nodes read what it wrote",
-// and its writer, that hears of it late: a read has seen the key come and go by then.
+// "A transaction is carried out at once and only its answer is lost, while other controllers read what it
+// wrote", and its writer, that hears of it late: a read has seen the key come and go by then.
 TEST(LateAnswer, NeverBringsBackWhatAReadHasSeenDeleted) {
   for (const auto& k : kinds()) {
-    View v;
+    StateView v;
     v.apply_all({set(k.key, k.value, 10), drop(k.key, 12)});
     v.complete_to(Revision(12));
     v.apply(set(k.key, k.value, 10));  // the writer's own answer
@@ -79,10 +79,10 @@
       std::vector<Change> gone{set(k.key, k.value, 10), drop(k.key, 12)};
       std::vector<Change> back{drop(k.key, 10), set(k.key, k.value, 12)};
       if (backwards) std::reverse(gone.begin(), gone.end()), std::reverse(back.begin(), back.end());
-      View v;
+      StateView v;
       v.apply_all(gone);
       EXPECT_FALSE(k.held(v)) << k.what << backwards;
-      View w;
+      StateView w;
       w.apply(set(k.key, k.value, 5));
       w.apply_all(back);
       EXPECT_TRUE(k.held(w)) << k.what << backwards;
@@ -90,15 +90,15 @@
   }
 }
 
-// A load anew, after more changes than the state service keeps: what was dropped meanwhile is gone through by
+// A load anew, after more changes than the state store keeps: what was dropped meanwhile is gone through by
 // leader and owners like every other change.
 TEST(LoadAnew, WhatDoesNotComeBackIsTouched) {
-  View v;
+  StateView v;
   for (const auto& k : kinds()) v.apply(set(k.key, k.value, 10));
   v.complete_to(Revision(10));
-  v.take_touched();
+  v.take_changes();
   v.clear();
-  auto touched = v.take_touched();
+  auto touched = v.take_changes();
   EXPECT_TRUE(touched.jobs.contains(kJob));
   EXPECT_TRUE(touched.machines.contains(kPart));
   EXPECT_TRUE(touched.roles);
@@ -107,23 +107,24 @@
   EXPECT_NE(v.job(kJob), nullptr);
 }
 
-// Users ask at all nodes within milliseconds: an end stands whatever arrives afterwards, in any order, also
-// once the job's other keys were dropped.
+// Users ask at all controllers within milliseconds: an end stands whatever arrives afterwards, in any order,
+// also once the job's other keys were dropped.
 TEST(CloseLooks, AnEndStandsWhateverArrivesAfterwards) {
-  const std::vector<Change> changes{set(job_key(kJob), job(), 10), set(grants_key(kJob), grants(), 11),
-                                    set(end_key(kJob), to_json(Ending{End::kCancelled, 0}), 12),
-                                    drop(grants_key(kJob), 13), drop(job_key(kJob), 13)};
+  const std::vector<Change> changes{
+      set(job_key(kJob), job(), 10), set(grants_key(kJob), grants(), 11),
+      set(terminal_key(kJob), to_json(TerminalRecord{TerminalState::kCancelled, 0}), 12),
+      drop(grants_key(kJob), 13), drop(job_key(kJob), 13)};
   std::vector<std::size_t> order{0, 1, 2, 3, 4};
   do {
-    View v;
+    StateView v;
     bool ended = false;
     for (auto i : order) {
       v.apply(changes[i]);
       ended |= i == 2;
-      EXPECT_EQ(v.end(kJob), ended ? std::optional(End::kCancelled) : std::nullopt);
+      EXPECT_EQ(v.end(kJob), ended ? std::optional(TerminalState::kCancelled) : std::nullopt);
     }
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
 }  // namespace
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -119,7 +119,7 @@
   auto a = client(), b = client(), w = client();
   std::vector<int> statuses;
   std::optional<int> retry;
-  auto ask = [&](auto& c, const char* path) {
+  auto estimate_request = [&](auto& c, const char* path) {
     bool got = false;
     c->request("GET", path, "", std::chrono::seconds(5), [&](Result r) {
       statuses.push_back(r.status);
@@ -128,10 +128,10 @@
     });
     run_until(e.io, [&] { return got; });
   };
-  ask(a, "/user");
-  ask(b, "/user");
-  ask(w, "/worker");
-  ask(a, "/user");
+  estimate_request(a, "/user");
+  estimate_request(b, "/user");
+  estimate_request(w, "/worker");
+  estimate_request(a, "/user");
   EXPECT_EQ(statuses, (std::vector{200, 503, 200, 200}));
   EXPECT_EQ(retry, 1);
   for (auto& c : {a, b, w}) c->stop();
@@ -160,14 +160,14 @@
   auto nobody = closed.local_endpoint();
   closed.close();
   // Accepts and never answers: sent, no answer.
-  Tcp::acceptor mute(io, any_port());
+  Tcp::acceptor own_heartbeat_timeout(io, any_port());
   std::vector<Tcp::socket> held;
-  mute.async_accept([&](std::error_code, Tcp::socket s) { held.push_back(std::move(s)); });
+  own_heartbeat_timeout.async_accept([&](std::error_code, Tcp::socket s) { held.push_back(std::move(s)); });
   struct Case {
     Tcp::endpoint to;
     bool sent;
   };
-  for (const auto& c : {Case{nobody, false}, Case{mute.local_endpoint(), true}}) {
+  for (const auto& c : {Case{nobody, false}, Case{own_heartbeat_timeout.local_endpoint(), true}}) {
     auto client = std::make_shared<HttpClient>(io, c.to, 1);
     std::optional<Result> result;
     client->request("POST", "/x", "{}", std::chrono::milliseconds(200), [&](Result r) { result = r; });
@@ -180,8 +180,8 @@
 
 TEST(HttpClient, QueuedRequestsExpireOnTheirOwn) {
   asio::io_context io;
-  Tcp::acceptor mute(io, any_port());
-  auto client = std::make_shared<HttpClient>(io, mute.local_endpoint(), 1);
+  Tcp::acceptor own_heartbeat_timeout(io, any_port());
+  auto client = std::make_shared<HttpClient>(io, own_heartbeat_timeout.local_endpoint(), 1);
   int over = 0;
   for (int i = 0; i < 3; ++i)
     client->request("GET", "/x", "", std::chrono::milliseconds(100 + 100 * i), [&](Result r) {
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,10 +1,9 @@
-// End to end on loopback: real nodes against this repository's stand-ins.
-#include "node/node.h"
-
+// End to end on loopback: real controllers against this repository's stand-ins.
 #include <gtest/gtest.h>
 
 #include "base/log.h"
-#include "node/sockets.h"
+#include "controller/controller.h"
+#include "controller/socket_limits.h"
 #include "standins.h"
 
 namespace beaconsill {
@@ -12,7 +11,7 @@
 
 using standin::Json;
 
-struct Answer {
+struct EstimateResponse {
   int status = 0;
   std::optional<int> retry_after_s;
   Json body;
@@ -23,12 +22,12 @@
   explicit World(double lease = 5, double cancel = 20, double value = 8)
       : state(io), cloud(io), lease_s(lease), cancel_s(cancel), value_kb(value) {
     spdlog::set_level(spdlog::level::err);
-    // Ports that are free now; the nodes bind them a moment later.
+    // Ports that are free now; the controllers bind them a moment later.
     for (int i = 0; i < 4; ++i) {
       net::Tcp::acceptor a(io, standin::any_port());
       ports.push_back(a.local_endpoint());
     }
-    nodes.resize(2);
+    controllers.resize(2);
     for (std::size_t i = 0; i < 2; ++i) start(i);
     for (std::size_t i = 0; i < 2; ++i)
       workers.push_back(std::make_unique<standin::Worker>(
@@ -37,7 +36,7 @@
   }
   ~World() {
     for (auto& w : workers) w->stop();
-    for (auto& n : nodes)
+    for (auto& n : controllers)
       if (n) n->stop();
     for (auto& d : state.doors) d->stop();
     cloud.server->stop();
@@ -45,11 +44,11 @@
   }
   void start(std::size_t i) {
     config::Settings s;
-    s.node = NodeName("n" + std::to_string(i));
+    s.controller = ControllerName("n" + std::to_string(i));
     s.zone = Zone(i ? "west" : "east");
     s.listen = standin::text(ports[2 * i]);
     s.peer_listen = standin::text(ports[2 * i + 1]);
-    s.peers = {{NodeName("n" + std::to_string(1 - i)), Zone(i ? "east" : "west"),
+    s.peers = {{ControllerName("n" + std::to_string(1 - i)), Zone(i ? "east" : "west"),
                 standin::text(ports[2 * (1 - i) + 1])}};
     s.cloud = standin::text(cloud.server->local());
     s.state = standin::text(state.doors[i]->local());
@@ -68,17 +67,18 @@
     s.memory_mb = 64;
     s.max_connections = 200;
     auto policy = config::parse_policy("home_delay = 500ms", "test", s);
-    nodes[i] = std::make_unique<node::Node>(io, clock, s, policy);
-    nodes[i]->start();
+    controllers[i] = std::make_unique<controller::Controller>(io, clock, s, policy);
+    controllers[i]->start();
   }
   void run_until(const std::function<bool()>& done, const char* what) {
     auto end = std::chrono::steady_clock::now() + std::chrono::seconds(60);
     while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(20));
     ASSERT_TRUE(done()) << what;
   }
-  Answer call(std::size_t node, const char* method, const std::string& path, const std::string& body = "") {
-    auto client = std::make_shared<net::HttpClient>(io, ports[2 * node], 1);
-    Answer a;
+  EstimateResponse call(std::size_t controller, const char* method, const std::string& path,
+                        const std::string& body = "") {
+    auto client = std::make_shared<net::HttpClient>(io, ports[2 * controller], 1);
+    EstimateResponse a;
     bool over = false;
     client->request(method, path, body, std::chrono::seconds(5), [&](net::Result r) {
       a.status = r.status;
@@ -99,17 +99,18 @@
   void pipelines() {
     auto known = [this] {
       auto it = state.keys.find("beaconsill/versions");
-      return it != state.keys.end() && it->second.first.at("shown") ==
-                                           Json{{"n0", store::kFormatVersion}, {"n1", store::kFormatVersion}};
+      return it != state.keys.end() &&
+             it->second.first.at("shown") ==
+                 Json{{"n0", state_store::kFormatVersion}, {"n1", state_store::kFormatVersion}};
     };
     run_until(known, "all controllers know of pipelines");
     io.run_for(std::chrono::milliseconds(600));
   }
-  // Ends the first node for good: its hold runs out as well.
+  // Ends the first controller for good: its hold runs out as well.
   void end_first() {
     run_until([&] { return state.hold_of("beaconsill/alive/n0").has_value(); }, "n0 is alive");
-    nodes[0]->stop();
-    nodes[0].reset();
+    controllers[0]->stop();
+    controllers[0].reset();
     state.expire(*state.hold_of("beaconsill/alive/n0"));
   }
   static std::string job(const std::string& id, const char* kind, int tasks) {
@@ -123,12 +124,12 @@
   }
   // As a user does it: repeated for as long as it is refused for now. Each answer but the last has to be a
   // 503 that came at once and says when to come again.
-  Answer withdraw(std::size_t node, const std::string& id) {
-    Answer a;
+  EstimateResponse withdraw(std::size_t controller, const std::string& id) {
+    EstimateResponse a;
     run_until(
         [&] {
           auto asked = clock.now();
-          a = call(node, "POST", "/v1/jobs/" + id + "/withdraw");
+          a = call(controller, "POST", "/v1/jobs/" + id + "/withdraw");
           if (a.status != 503) return true;
           EXPECT_LT(clock.now() - asked, std::chrono::seconds(1));
           EXPECT_EQ(a.retry_after_s, 1);
@@ -138,8 +139,8 @@
         "the cancellation is confirmed");
     return a;
   }
-  std::string bearing(std::size_t node, const std::string& id) {
-    auto a = call(node, "GET", "/v1/jobs/" + id);
+  std::string bearing(std::size_t controller, const std::string& id) {
+    auto a = call(controller, "GET", "/v1/jobs/" + id);
     return a.status == 200 ? a.body["bearing"].get<std::string>() : "";
   }
 
@@ -149,7 +150,7 @@
   standin::Cloud cloud;
   double lease_s, cancel_s, value_kb;
   std::vector<net::Tcp::endpoint> ports;
-  std::vector<std::unique_ptr<node::Node>> nodes;
+  std::vector<std::unique_ptr<controller::Controller>> controllers;
   std::vector<std::unique_ptr<standin::Worker>> workers;
 };
 
@@ -159,7 +160,7 @@
   auto a = w.call(0, "POST", "/v1/jobs", World::job("run-000001", "batch", 14));
   EXPECT_EQ(a.status, 201);
   EXPECT_EQ(a.body["bearing"], "queued");
-  // Known at once at the other node as well.
+  // Known at once at the other controller as well.
   EXPECT_EQ(w.call(1, "GET", "/v1/jobs/run-000001").status, 200);
   w.run_until([&] { return w.bearing(1, "run-000001") == "done"; }, "the array is done");
   EXPECT_EQ(w.workers[0]->started + w.workers[1]->started, 14);
@@ -189,7 +190,8 @@
   auto a = w.withdraw(1, "run-7");
   EXPECT_EQ(a.status, 200);
   EXPECT_EQ(a.body["bearing"], "withdrawn");
-  // The other node tells nothing older, and the same as soon as all have acknowledged it to that node too.
+  // The other controller tells nothing older, and the same as soon as all have acknowledged it to that
+  // controller too.
   std::string told;
   w.run_until([&] { return !(told = w.bearing(0, "run-7")).empty(); }, "the other node answers");
   EXPECT_EQ(told, "withdrawn");
@@ -225,17 +227,17 @@
 TEST(Pipelines, RunStepByStepAndAreCancelledTogether) {
   World w;
   w.healthy();
-  auto step = [](const std::string& id, std::vector<std::string> awaits, const char* kind = "batch") {
+  auto step = [](const std::string& id, std::vector<std::string> depends_on, const char* kind = "batch") {
     auto j = Json::parse(World::job(id, kind, 2));
-    j["awaits"] = std::move(awaits);
+    j["awaits"] = std::move(depends_on);
     return j.dump();
   };
-  auto submit = [&](std::size_t node, const std::string& body) {
-    return w.call(node, "POST", "/v1/jobs", body);
+  auto submit = [&](std::size_t controller, const std::string& body) {
+    return w.call(controller, "POST", "/v1/jobs", body);
   };
   w.pipelines();
   EXPECT_EQ(submit(0, World::job("run-1", "batch", 2)).status, 201);
-  // Accepted by the other node a moment ago.
+  // Accepted by the other controller a moment ago.
   auto a = submit(1, step("run-2", {"run-1"}));
   EXPECT_EQ(a.status, 201);
   EXPECT_EQ(a.body["bearing"], "queued");
@@ -259,7 +261,7 @@
   };
   w.run_until(over, "both are done");
   EXPECT_FALSE(too_early);
-  // Neither node starts anything of what waits for a service, and both call it off as soon as that is.
+  // Neither controller starts anything of what waits for a service, and both call it off as soon as that is.
   EXPECT_EQ(submit(0, World::job("run-10", "daemon", 1)).status, 201);
   std::string before = "run-10";
   for (auto id : {"run-11", "run-12", "run-13"}) {
@@ -268,8 +270,8 @@
   }
   EXPECT_EQ(w.bearing(1, "run-13"), "queued");
   EXPECT_EQ(w.withdraw(1, "run-10").body["bearing"], "withdrawn");
-  for (std::size_t node : {1, 0})
-    for (auto id : {"run-11", "run-12", "run-13"}) EXPECT_EQ(w.bearing(node, id), "withdrawn") << id;
+  for (std::size_t controller : {1, 0})
+    for (auto id : {"run-11", "run-12", "run-13"}) EXPECT_EQ(w.bearing(controller, id), "withdrawn") << id;
   EXPECT_EQ(w.call(0, "POST", "/v1/jobs/run-12/withdraw").body["bearing"], "withdrawn");
   // Named afterwards: accepted, and called off.
   a = submit(0, step("run-14", {"run-13"}));
@@ -293,13 +295,13 @@
   w.healthy();
   w.pipelines();
   EXPECT_EQ(w.call(0, "POST", "/v1/jobs", World::job("run-1", "daemon", 1)).status, 201);
-  std::vector<std::string> awaited{"run-1"};
+  std::vector<std::string> dependency{"run-1"};
   for (int i = 0; i < 60; ++i) {
-    awaited.push_back("run-00000" + std::to_string(100 + i));
-    w.state.put("beaconsill/ends/" + awaited.back(), Json{{"end", "done"}, {"done", 1}});
+    dependency.push_back("run-00000" + std::to_string(100 + i));
+    w.state.put("beaconsill/ends/" + dependency.back(), Json{{"end", "done"}, {"done", 1}});
   }
   auto join = Json::parse(World::job("run-2", "batch", 1));
-  join["awaits"] = awaited;
+  join["awaits"] = dependency;
   w.run_until([&] { return w.call(1, "POST", "/v1/jobs", join.dump()).status / 100 == 2; }, "accepted");
   EXPECT_EQ(w.bearing(0, "run-2"), "queued");
   auto keys = [&] {
@@ -323,10 +325,10 @@
   j["awaits"] = {"run-1"};
   // Recorded with the leader's role in a form that an earlier version can't take it by.
   const auto& role = w.state.keys.at("beaconsill/roles/leader").first;
-  EXPECT_EQ(store::parse_role(role).readable_since, store::kFormatVersion);
+  EXPECT_EQ(state_store::parse_role(role).readable_since, state_store::kFormatVersion);
   EXPECT_FALSE(role.contains("node"));    // what version 0 reads
   EXPECT_FALSE(role.contains("holder"));  // what version 1 reads
-  // The second node is set back to an earlier version.
+  // The second controller is set back to an earlier version.
   auto old = [&] { w.state.put("beaconsill/alive/n1", Json{{"up", true}}); };
   old();
   w.io.run_for(std::chrono::milliseconds(600));
@@ -358,8 +360,8 @@
   w.state.down = false;
 }
 
-// Found on a day on which the state service refused one owner, another controller confirmed cancellations,
-// and then the state service was out for all: the first owner knew that there were some and not which, and
+// Found on a day on which the state store refused one owner, another controller confirmed cancellations,
+// and then the state store was out for all: the first owner knew that there were some and not which, and
 // let all leases run out.
 TEST(EndToEnd, AnOwnerWithoutTheStateServiceStopsWhatWasCancelledAndNothingElse) {
   World w(2, 6);
@@ -388,7 +390,7 @@
   EXPECT_EQ(running("run-8"), 4);
 }
 
-// Found on a day with an outage: users' requests waited in the queue to the state service until they gave up.
+// Found on a day with an outage: users' requests waited in the queue to the state store until they gave up.
 TEST(EndToEnd, RequestsAreRefusedWithoutAskingAnUnreachableStateService) {
   World w;
   w.healthy();
@@ -407,14 +409,14 @@
   EXPECT_EQ(w.call(0, "POST", "/v1/jobs", World::job("run-2", "batch", 1)).status, 201);
 }
 
-// Found on a day when the state service failed just as a part was going home: its owner had stopped answering
+// Found on a day when the state store failed just as a shard was going home: its owner had stopped answering
 // before the change was applied, and all leases ran out.
 TEST(EndToEnd, APartThatCannotGoHomeIsStillAnswered) {
   World w;
   w.healthy();
   w.end_first();
-  auto owner = [&](const char* part) {
-    auto it = w.state.keys.find(std::string("beaconsill/roles/part/") + part);
+  auto owner = [&](const char* shard) {
+    auto it = w.state.keys.find(std::string("beaconsill/roles/part/") + shard);
     return it == w.state.keys.end() ? std::string() : it->second.first["node"].get<std::string>();
   };
   w.run_until([&] { return owner("0") == "n1"; }, "n1 owns both parts");
@@ -429,19 +431,19 @@
   w.run_until([&] { return owner("0") == "n0"; }, "the part goes home");
 }
 
-// Found when a node was ended just as a timer of its had come due: the timer's work ran on what was freed.
-// Whatever the limit, no use of sockets takes what another needs, and the largest fleets fit at one
+// Found when a controller was ended just as a timer of its had come due: the timer's work ran on what was
+// freed. Whatever the limit, no use of sockets takes what another needs, and the largest fleets fit at one
 // controller.
 TEST(Sockets, AreSharedOut) {
   struct Case {
     std::uint32_t limit;
-    std::size_t workers;  // of machines that all report to one node
+    std::size_t workers;  // of machines that all report to one controller
   };
   for (const auto& c : {Case{16, 1}, Case{600, 60}, Case{1557, 590}, Case{2693, 1054}}) {
     config::Settings s;
     s.max_connections = c.limit;
     s.peers.resize(2);
-    auto p = node::plan_sockets(s);
+    auto p = controller::plan_socket_limits(s);
     EXPECT_LE(p.own + p.commands + p.served, c.limit);
     EXPECT_GE(p.served, c.workers + c.workers / 4) << c.limit;
     EXPECT_GT(p.users, 0u) << c.limit;
@@ -449,11 +451,11 @@
   }
 }
 
-TEST(Alarm, DoesNotRunOnceItsOwnerIsGone) {
+TEST(OneShotTimer, DoesNotRunOnceItsOwnerIsGone) {
   asio::io_context io;
   int ran = 0;
-  auto second = std::make_unique<node::Alarm>(io, [&] { ran += 10; });
-  node::Alarm first(io, [&] {
+  auto second = std::make_unique<controller::OneShotTimer>(io, [&] { ran += 10; });
+  controller::OneShotTimer first(io, [&] {
     ++ran;
     second.reset();
   });
@@ -472,7 +474,7 @@
   EXPECT_EQ(w.call(0, "POST", "/v1/jobs", World::job("run-1", "batch", 6)).status, 201);
   EXPECT_EQ(w.call(1, "POST", "/v1/jobs", World::job("run-2", "batch", 6)).status, 201);
   w.state.down = true;
-  for (auto& n : w.nodes) {
+  for (auto& n : w.controllers) {
     n->stop();
     n.reset();
   }
@@ -484,7 +486,7 @@
     for (std::size_t i = 0; i < 2; ++i) w.run_until([&] { return w.bearing(i, id) == "done"; }, id);
 }
 
-// Found on a day when one node lost the state service only: its workers stayed with it, since it kept
+// Found on a day when one controller lost the state store only: its workers stayed with it, since it kept
 // answering them, and its successor waited for them in vain.
 TEST(EndToEnd, AnOwnerThatOnlyPeersCanReachHandsItsWorkersOver) {
   World w;
@@ -508,7 +510,7 @@
   w.healthy();
   w.workers[0]->stop();
   std::uint64_t tally = 0, first = 0, seen = 0;
-  auto report = [&] {
+  auto heartbeat = [&] {
     Json r{{"beacon", "host-9"},    {"address", "nowhere"}, {"hull", "t4"},
            {"harbour", "east"},     {"driftwood", false},   {"watch", 1},
            {"tally", ++tally},      {"helm", seen},         {"recallS", nullptr},
@@ -519,11 +521,11 @@
     if (first == 0) first = seen;
     w.io.run_for(std::chrono::milliseconds(20));
   };
-  for (int n = 0; n < 500 && first == 0; ++n) report();
+  for (int n = 0; n < 500 && first == 0; ++n) heartbeat();
   ASSERT_GT(first, 0u);
   w.call(0, "POST", "/v1/jobs", World::job("run-9", "daemon", 64));
   // Raised once for the commands, and once more since they had no answer.
-  for (int n = 0; n < 500 && seen < first + 2; ++n) report();
+  for (int n = 0; n < 500 && seen < first + 2; ++n) heartbeat();
   EXPECT_GE(seen, first + 2);
 }
 
@@ -550,14 +552,14 @@
   w.run_until([&] { return w.bearing(1, "run-8") == "done"; }, "the new job runs");
 }
 
-TEST(StandStill, IsNoticedByAGapBetweenObservations) {
+TEST(PauseDetector, IsNoticedByAGapBetweenObservations) {
   struct Case {
     std::vector<double> observed;
     double over;  // 0: never
   };
   for (const auto& c : {Case{{5}, 0}, Case{{5, 5.1, 5.9}, 0}, Case{{5, 6.2}, 6.2},
                         Case{{5, 25, 25.1, 25.5}, 25}, Case{{5, 10, 11, 30, 30.4}, 30}}) {
-    node::StandStill s;
+    controller::PauseDetector s;
     for (double t : c.observed) s.observe(Instant{} + from_seconds(t));
     EXPECT_EQ(s.over(), Instant{} + from_seconds(c.over)) << c.observed.back();
   }
@@ -565,7 +567,7 @@
 
 TEST(Shares, AddUpWhoeverIsThere) {
   struct Case {
-    node::Sharers sharers;
+    controller::LiveControllers sharers;
     double share;
   };
   const Case cases[] = {
@@ -575,8 +577,8 @@
       {{2, true, true}, 0.6},  {{5, false, true}, 0.4 / 4},
   };
   for (const auto& c : cases)
-    EXPECT_NEAR(node::share_of_limit(c.sharers, 0.6), c.share, 1e-9)
-        << c.sharers.alive << c.sharers.leading << c.sharers.has_leader;
+    EXPECT_NEAR(controller::rate_limit_share(c.sharers, 0.6), c.share, 1e-9)
+        << c.sharers.alive << c.sharers.is_leader << c.sharers.has_leader;
 }
 
 }  // namespace
--- a/tests/paging_test.cpp
+++ b/tests/paging_test.cpp
@@ -1,15 +1,15 @@
 // Messages between controllers that grow with the fleet.
-#include "wire/paging.h"
+#include "protocol/paging.h"
 
 #include <gtest/gtest.h>
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 namespace {
 
 constexpr std::size_t kMaxFrame = std::size_t{1024} * 1024;  // of all versions' receivers
 
 Summary summary(std::size_t machines, std::size_t jobs) {
-  Summary s{PartId(1), Term(7), Revision(30), {}, {}};
+  Summary s{ShardId(1), Term(7), Revision(30), {}, {}};
   for (std::size_t i = 0; i < machines; ++i)
     s.machines.push_back({MachineName("host-" + std::to_string(1000000 + i)),
                           MachineType("a-type-of-thirty-characters-xx"),
@@ -34,7 +34,7 @@
     EXPECT_EQ(pages.size(), c.pages);
     for (const auto& page : pages) {
       EXPECT_FALSE(whole);
-      auto bytes = encode_peer({NodeName("a"), page});
+      auto bytes = encode_peer({ControllerName("a"), page});
       EXPECT_LT(bytes.size(), kMaxFrame);
       auto m = decode_peer(bytes);
       ASSERT_TRUE(m);
@@ -72,7 +72,7 @@
 }
 
 TEST(Paging, OutcomesOfAnySizeFitIntoFrames) {
-  Outcomes o{PartId(0), Term(2), {}};
+  ProgressReport o{ShardId(0), Term(2), {}};
   Ranges scattered;
   for (std::uint32_t i = 0; i < 300; i += 2) scattered.add(i);
   for (std::size_t i = 0; i < 6000; ++i)
@@ -81,13 +81,13 @@
   EXPECT_GT(pages.size(), 1u);
   std::size_t jobs = 0;
   for (const auto& page : pages) {
-    EXPECT_LT(encode_peer({NodeName("a"), page}).size(), kMaxFrame);
+    EXPECT_LT(encode_peer({ControllerName("a"), page}).size(), kMaxFrame);
     EXPECT_EQ(page.term, Term(2));
     jobs += page.jobs.size();
   }
   EXPECT_EQ(jobs, o.jobs.size());
-  EXPECT_EQ(paged(Outcomes{PartId(0), Term(2), {}}).size(), 1u);
+  EXPECT_EQ(paged(ProgressReport{ShardId(0), Term(2), {}}).size(), 1u);
 }
 
 }  // namespace
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
--- a/tests/part_bench.h
+++ b/tests/part_bench.h
@@ -12,14 +12,14 @@
 #include <string>
 #include <vector>
 
-#include "part/part.h"
-#include "part/parting.h"
+#include "shard/partitioning.h"
+#include "shard/shard_manager.h"
 
-namespace beaconsill::part {
+namespace beaconsill::shard {
 
-using store::End;
-using wire::EndCause;
-using wire::TaskState;
+using protocol::EndCause;
+using protocol::TaskState;
+using state_store::TerminalState;
 
 inline Instant at(double s) {
   return Instant{} + from_seconds(1000 + s);
@@ -27,24 +27,24 @@
 
 constexpr Duration kReport = std::chrono::seconds(1);
 
-inline PartParams params() {
-  PartParams p;
-  p.report_period = kReport;
+inline ShardParams params() {
+  ShardParams p;
+  p.heartbeat_period = kReport;
   p.lease = std::chrono::seconds(10);
   p.cancel_limit = std::chrono::seconds(40);
   p.grace = std::chrono::seconds(5);
   return p;
 }
 
-inline std::shared_ptr<const wire::Catalogue> catalogue() {
-  auto c = std::make_shared<wire::Catalogue>();
+inline std::shared_ptr<const protocol::Catalogue> catalogue() {
+  auto c = std::make_shared<protocol::Catalogue>();
   (*c)[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, {Zone("a"), Zone("b")}};
   return c;
 }
 
-inline std::shared_ptr<const wire::JobSpec> spec(const char* id, std::uint32_t tasks,
-                                                 Priority p = Priority::kNormal) {
-  wire::JobSpec s;
+inline std::shared_ptr<const protocol::JobSpec> spec(const char* id, std::uint32_t tasks,
+                                                     Priority p = Priority::kNormal) {
+  protocol::JobSpec s;
   s.id = JobId(id);
   s.team = Team("blue");
   s.tasks = tasks;
@@ -53,23 +53,23 @@
   s.image_gb = 1;
   s.priority = p;
   s.estimate_s = 20;
-  return std::make_shared<const wire::JobSpec>(s);
+  return std::make_shared<const protocol::JobSpec>(s);
 }
 
-// A part with workers whose reports the test composes, and a stand-in for what is recorded about jobs.
+// A shard with workers whose reports the test composes, and a stand-in for what is recorded about jobs.
 struct Bench {
-  explicit Bench(std::uint64_t term = 5) : part(PartId(0), Term(term), params(), at(0)) {
-    part.set_catalogue(catalogue());
+  explicit Bench(std::uint64_t term = 5) : shard(ShardId(0), Term(term), params(), at(0)) {
+    shard.set_catalogue(catalogue());
   }
 
-  wire::Report& worker(const char* name) {
+  protocol::WorkerHeartbeat& worker(const char* name) {
     auto& w = workers[name];
     if (w.machine.value().empty()) {
       w.machine = MachineName(name);
       w.address = "127.0.0.1:1";
       w.type = MachineType("t4");
       w.zone = Zone("a");
-      w.session = Session(1);
+      w.incarnation = Incarnation(1);
     }
     return w;
   }
@@ -77,21 +77,21 @@
   void add_ready_workers(std::initializer_list<const char*> names) {
     for (const auto* name : names) worker(name);
     register_all(0);
-    for (const auto* name : names) report(name, 0);
+    for (const auto* name : names) heartbeat(name, 0);
   }
-  // The worker reports; it has seen the part's token unless told otherwise.
-  bool report(const char* name, double t, bool obeys = true) {
+  // The worker reports; it has seen the shard's token unless told otherwise.
+  bool heartbeat(const char* name, double t, bool obeys = true) {
     auto& w = worker(name);
-    if (obeys) w.token = std::max(w.token, Token::first_of(part.term()));
+    if (obeys) w.token = std::max(w.token, Token::first_of(shard.term()));
     w.sequence = Sequence(w.sequence.value() + 1);
-    bool ok = part.on_report(w, at(t));
-    if (ok) part.answer(w.machine, at(t));
+    bool ok = shard.on_worker_heartbeat(w, at(t));
+    if (ok) shard.answer(w.machine, at(t));
     return ok;
   }
   void register_all(double t) {
-    std::vector<store::MachineRecord> all;
+    std::vector<state_store::MachineRecord> all;
     for (auto& [n, w] : workers) all.push_back({w.machine, w.type, w.zone, w.spot});
-    part.on_registry(all, at(t));
+    shard.on_registry(all, at(t));
   }
   void grant(const char* id, std::uint32_t tasks, std::uint64_t term, double t,
              Priority p = Priority::kNormal, bool preempt = false) {
@@ -102,69 +102,69 @@
     }
     j.grants.value.last = Generation(j.grants.value.last.value() + 1);
     j.grants.value.chunks = {
-        {j.grants.value.last, PartId(0), Term(term), Ranges::span(0, tasks), std::nullopt, preempt, {}}};
+        {j.grants.value.last, ShardId(0), Term(term), Ranges::span(0, tasks), std::nullopt, preempt, {}}};
     j.grants.version = Revision(++revision);
-    show(id, t);
+    publish(id, t);
   }
-  void grant_gang(const char* id, std::uint32_t tasks, double t, bool recall = false) {
+  void grant_gang(const char* id, std::uint32_t tasks, double t, bool revoke = false) {
     auto s = *spec(id, tasks);
     s.kind = JobKind::kGang;
     s.checkpoint_s = 5;
     s.save_s = 2;
     auto& j = jobs[id];
-    j.record = {std::make_shared<const wire::JobSpec>(s), WallMs(0)};
+    j.record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
     j.created = Revision(1);
-    if (!recall) {
+    if (!revoke) {
       auto n = j.grants.value.last.value() + 1;
-      j.grants.value = {{{Generation(n), PartId(0), Term(5), Ranges::span(0, tasks), {}, false, Attempt(n)}},
+      j.grants.value = {{{Generation(n), ShardId(0), Term(5), Ranges::span(0, tasks), {}, false, Attempt(n)}},
                         Generation(n)};
     }
-    j.grants.value.recall = recall;
+    j.grants.value.revoke = revoke;
     j.grants.version = Revision(++revision);
-    show(id, t);
+    publish(id, t);
   }
-  void show(const char* id, double t, std::optional<End> end = std::nullopt) {
-    part.on_job(JobId(id), &jobs[id], end, at(t));
+  void publish(const char* id, double t, std::optional<TerminalState> end = std::nullopt) {
+    shard.on_job(JobId(id), &jobs[id], end, at(t));
   }
-  // What the state service does with unwritten progress.
+  // What the state store does with unwritten progress.
   void record(double t) {
-    for (auto& [id, p] : part.unwritten()) {
-      jobs[id.value()].progress[PartId(0)] = {p, Revision(++revision)};
-      part.on_job(id, &jobs[id.value()], std::nullopt, at(t));
+    for (auto& [id, p] : shard.unwritten_progress()) {
+      jobs[id.value()].progress[ShardId(0)] = {p, Revision(++revision)};
+      shard.on_job(id, &jobs[id.value()], std::nullopt, at(t));
     }
   }
   // Carries a batch out at its worker and hands the answer back.
-  std::vector<wire::Command> carry_out(double t) {
-    std::vector<wire::Command> all;
-    for (auto& b : part.take_batches(at(t))) {
+  std::vector<protocol::Command> carry_out(double t) {
+    std::vector<protocol::Command> all;
+    for (auto& b : shard.take_command_batches(at(t))) {
       auto& w = worker(b.machine.value().c_str());
       apply(w, b);
-      part.on_commands(b, Part::CommandResult::kExecuted, w, at(t));
+      shard.on_commands(b, ShardManager::CommandResult::kExecuted, w, at(t));
       all.insert(all.end(), b.commands.begin(), b.commands.end());
     }
     return all;
   }
-  void apply(wire::Report& w, const Part::Batch& b) {
+  void apply(protocol::WorkerHeartbeat& w, const ShardManager::Batch& b) {
     w.token = std::max(w.token, b.token);
     w.sequence = Sequence(w.sequence.value() + 1);
     for (auto& c : b.commands) {
       auto it = std::find_if(w.tasks.begin(), w.tasks.end(),
                              [&](auto& x) { return x.task == c.task && x.attempt == c.attempt; });
-      if (c.op == wire::Command::Op::kStart && it == w.tasks.end())
+      if (c.op == protocol::Command::Op::kStart && it == w.tasks.end())
         w.tasks.push_back({c.task, c.attempt, TaskState::kRunning, EndCause::kDone, false});
-      if (c.op == wire::Command::Op::kStop && it != w.tasks.end()) {
+      if (c.op == protocol::Command::Op::kStop && it != w.tasks.end()) {
         it->state = TaskState::kEnded;
         it->cause = EndCause::kStopped;
       }
-      if (c.op == wire::Command::Op::kForget && it != w.tasks.end()) w.tasks.erase(it);
+      if (c.op == protocol::Command::Op::kForget && it != w.tasks.end()) w.tasks.erase(it);
     }
   }
-  void tick(double t) { part.tick(at(t), at(t), at(t)); }
+  void tick(double t) { shard.tick(at(t), at(t), at(t)); }
 
-  Part part;
-  std::map<std::string, wire::Report> workers;
-  std::map<std::string, store::Job> jobs;
+  ShardManager shard;
+  std::map<std::string, protocol::WorkerHeartbeat> workers;
+  std::map<std::string, state_store::Job> jobs;
   std::uint64_t revision = 10;
 };
 
-}  // namespace beaconsill::part
+}  // namespace beaconsill::shard
--- a/tests/part_machines_test.cpp
+++ b/tests/part_machines_test.cpp
@@ -2,7 +2,7 @@
 // machine.
 #include "part_bench.h"
 
-namespace beaconsill::part {
+namespace beaconsill::shard {
 namespace {
 
 // With reports every 3 s a pause of over 4 s is nothing unusual: a sound machine must not be doubted for it.
@@ -14,13 +14,13 @@
   const Case cases[] = {{1, 3, true}, {1, 4, false}, {3, 4.5, true}, {3, 5, false}};
   for (const auto& c : cases) {
     auto p = params();
-    p.report_period = from_seconds(c.period);
+    p.heartbeat_period = from_seconds(c.period);
     Bench b;
-    b.part = Part(PartId(0), Term(5), p, at(0));
-    b.part.set_catalogue(catalogue());
+    b.shard = ShardManager(ShardId(0), Term(5), p, at(0));
+    b.shard.set_catalogue(catalogue());
     b.add_ready_workers({"m1"});
-    b.report("m1", c.pause);
-    EXPECT_EQ(b.part.machines().at(MachineName("m1")).usable(at(c.pause)), c.usable)
+    b.heartbeat("m1", c.pause);
+    EXPECT_EQ(b.shard.machines().at(MachineName("m1")).usable(at(c.pause)), c.usable)
         << c.period << ' ' << c.pause;
   }
 }
@@ -29,8 +29,8 @@
 TEST(Hearing, NothingIsStartedWhereItIsInDoubt) {
   struct Case {
     const char* what;
-    double pause;           // before the next report
-    std::uint64_t session;  // that it is of
+    double pause;               // before the next report
+    std::uint64_t incarnation;  // that it is of
     bool usable;
   };
   const Case cases[] = {
@@ -41,20 +41,20 @@
   for (const auto& c : cases) {
     Bench b;
     b.add_ready_workers({"m1"});
-    b.worker("m1").session = Session(c.session);
-    b.report("m1", c.pause);
-    EXPECT_EQ(b.part.machines().at(MachineName("m1")).usable(at(c.pause)), c.usable) << c.what;
+    b.worker("m1").incarnation = Incarnation(c.incarnation);
+    b.heartbeat("m1", c.pause);
+    EXPECT_EQ(b.shard.machines().at(MachineName("m1")).usable(at(c.pause)), c.usable) << c.what;
     if (c.usable) continue;
     // It's called on; whatever it reports, it's in use again only once it shows the raised token.
-    auto calls = b.part.take_batches(at(c.pause));
+    auto calls = b.shard.take_command_batches(at(c.pause));
     ASSERT_EQ(calls.size(), 1u) << c.what;
     EXPECT_TRUE(calls[0].commands.empty());
-    b.part.on_commands(calls[0], Part::CommandResult::kNoAnswer, std::nullopt, at(c.pause + 1));
-    b.report("m1", c.pause + 1);
-    EXPECT_FALSE(b.part.machines().at(MachineName("m1")).usable(at(c.pause + 1))) << c.what;
+    b.shard.on_commands(calls[0], ShardManager::CommandResult::kNoAnswer, std::nullopt, at(c.pause + 1));
+    b.heartbeat("m1", c.pause + 1);
+    EXPECT_FALSE(b.shard.machines().at(MachineName("m1")).usable(at(c.pause + 1))) << c.what;
     b.worker("m1").token = calls[0].token;
-    b.report("m1", c.pause + 2);
-    EXPECT_TRUE(b.part.machines().at(MachineName("m1")).usable(at(c.pause + 2))) << c.what;
+    b.heartbeat("m1", c.pause + 2);
+    EXPECT_TRUE(b.shard.machines().at(MachineName("m1")).usable(at(c.pause + 2))) << c.what;
   }
 }
 
@@ -66,21 +66,21 @@
   std::size_t starts = 0;
   std::vector<MachineName> deleted;
   for (double t = 0.1; t < 12; t += 0.5) {
-    for (auto* n : {"m1", "m2", "m3", "m4"}) b.report(n, t);
+    for (auto* n : {"m1", "m2", "m3", "m4"}) b.heartbeat(n, t);
     b.tick(t);
-    for (auto& batch : b.part.take_batches(at(t))) {
-      for (auto& x : batch.commands) starts += x.op == wire::Command::Op::kStart;
+    for (auto& batch : b.shard.take_command_batches(at(t))) {
+      for (auto& x : batch.commands) starts += x.op == protocol::Command::Op::kStart;
       if (batch.machine == MachineName("m1")) {
-        b.part.on_commands(batch, Part::CommandResult::kNoAnswer, std::nullopt, at(t + 0.2));
+        b.shard.on_commands(batch, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(t + 0.2));
       } else {
         auto& w = b.worker(batch.machine.value().c_str());
         b.apply(w, batch);
-        b.part.on_commands(batch, Part::CommandResult::kExecuted, w, at(t + 0.2));
+        b.shard.on_commands(batch, ShardManager::CommandResult::kExecuted, w, at(t + 0.2));
       }
     }
-    for (auto& m : b.part.take_deletions(at(t))) {
+    for (auto& m : b.shard.take_machines_to_delete(at(t))) {
       deleted.push_back(m);
-      b.part.on_deleted(m, at(t));
+      b.shard.on_deleted(m, at(t));
     }
   }
   EXPECT_EQ(deleted, std::vector<MachineName>{MachineName("m1")});
@@ -92,29 +92,29 @@
   Bench old(4);
   old.worker("m1");
   old.register_all(0);
-  old.report("m1", 0);
+  old.heartbeat("m1", 0);
   auto early = old.worker("m1");
-  for (int t = 1; t < 5; ++t) old.report("m1", t);
+  for (int t = 1; t < 5; ++t) old.heartbeat("m1", t);
   for (double late : {0.5, 3.0, 12.0, 60.0}) {
     // To the owner that has newer word, neither life nor absence.
-    old.part.on_report(early, at(4 + late));
-    EXPECT_EQ(old.part.machines().at(MachineName("m1")).heard, at(4)) << late;
+    old.shard.on_worker_heartbeat(early, at(4 + late));
+    EXPECT_EQ(old.shard.machines().at(MachineName("m1")).last_contact, at(4)) << late;
     // To a successor that doesn't know the machine: no ghost that the next takeover would wait for.
     Bench next(5);
     next.register_all(5);
-    next.part.on_report(early, at(5 + late));
-    EXPECT_TRUE(next.part.unregistered().empty()) << late;
-    EXPECT_TRUE(next.part.rebuilt()) << late;
+    next.shard.on_worker_heartbeat(early, at(5 + late));
+    EXPECT_TRUE(next.shard.unregistered_machines().empty()) << late;
+    EXPECT_TRUE(next.shard.is_reconciled()) << late;
     // To one that knows it, it isn't word under its own term.
     Bench known(5);
     known.worker("m1");
     known.register_all(5);
-    known.part.on_report(early, at(5 + late));
-    EXPECT_FALSE(known.part.rebuilt()) << late;
+    known.shard.on_worker_heartbeat(early, at(5 + late));
+    EXPECT_FALSE(known.shard.is_reconciled()) << late;
     // Once deleted it stays so.
-    known.part.on_deleted(MachineName("m1"), at(6 + late));
-    EXPECT_FALSE(known.part.on_report(old.worker("m1"), at(7 + late))) << late;
-    EXPECT_TRUE(known.part.machines().empty()) << late;
+    known.shard.on_deleted(MachineName("m1"), at(6 + late));
+    EXPECT_FALSE(known.shard.on_worker_heartbeat(old.worker("m1"), at(7 + late))) << late;
+    EXPECT_TRUE(known.shard.machines().empty()) << late;
   }
 }
 
@@ -127,48 +127,48 @@
   b.tick(0);
   b.carry_out(0);
   auto early = b.worker("m1");
-  b.report("m1", 1);
+  b.heartbeat("m1", 1);
   for (double t = 2; t < 13; t += 1) {
-    b.part.on_report(early, at(t));
-    b.part.answer(MachineName("m1"), at(t));
+    b.shard.on_worker_heartbeat(early, at(t));
+    b.shard.answer(MachineName("m1"), at(t));
     b.tick(t);
   }
-  EXPECT_TRUE(b.part.machines().at(MachineName("m1")).tasks.empty());
+  EXPECT_TRUE(b.shard.machines().at(MachineName("m1")).tasks.empty());
 }
 
 // Found on a recorded day: an owner lost its workers only, and their leases ran out while the others kept
 // sending them back to it.
-TEST(Relay, AWorkerWithTasksIsAnsweredFirstAndPointedHereLater) {
+TEST(RelayedHeartbeat, AWorkerWithTasksIsAnsweredFirstAndPointedHereLater) {
   Bench b;
   b.worker("m1");
   b.register_all(0);
   auto& m = b.worker("m1");
-  EXPECT_TRUE(b.part.point_here(m, at(0)));  // nothing to lose
-  b.report("m1", 0);
+  EXPECT_TRUE(b.shard.should_redirect_here(m, at(0)));  // nothing to lose
+  b.heartbeat("m1", 0);
   b.grant("run-1", 1, 5, 0);
   b.tick(0);
   b.carry_out(0);
   // It was in reach a moment ago: sent here once.
-  EXPECT_TRUE(b.part.point_here(m, at(1)));
-  EXPECT_FALSE(b.part.point_here(m, at(3)));
+  EXPECT_TRUE(b.shard.should_redirect_here(m, at(1)));
+  EXPECT_FALSE(b.shard.should_redirect_here(m, at(3)));
   // Then as often as it has answered a probe, and no more than every 20 s.
   for (double t = 5; t < 100; t += 1) {
-    EXPECT_FALSE(b.part.point_here(m, at(t))) << t;
+    EXPECT_FALSE(b.shard.should_redirect_here(m, at(t))) << t;
     b.tick(t);
-    for (auto& x : b.part.take_batches(at(t)))
-      b.part.on_commands(x, Part::CommandResult::kNoAnswer, std::nullopt, at(t + 0.5));
-    b.report("m1", t);
+    for (auto& x : b.shard.take_command_batches(at(t)))
+      b.shard.on_commands(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(t + 0.5));
+    b.heartbeat("m1", t);
   }
-  EXPECT_FALSE(b.part.point_here(m, at(100)));
+  EXPECT_FALSE(b.shard.should_redirect_here(m, at(100)));
   b.tick(100.1);
   EXPECT_TRUE(b.carry_out(100.2).empty());  // the probe, answered
-  EXPECT_TRUE(b.part.point_here(m, at(101)));
-  EXPECT_FALSE(b.part.point_here(m, at(102)));
+  EXPECT_TRUE(b.shard.should_redirect_here(m, at(101)));
+  EXPECT_FALSE(b.shard.should_redirect_here(m, at(102)));
 }
 
 // Found on the recorded days of both operators' deployments: in a second cut of a controller from its workers
 // all machines that had been sent back in the first one were sent there at once, and their leases ran out.
-TEST(Relay, ASecondCutIsAnsweredAtOnceAsWell) {
+TEST(RelayedHeartbeat, ASecondCutIsAnsweredAtOnceAsWell) {
   Bench b;
   b.add_ready_workers({"m1"});
   b.grant("run-1", 1, 5, 0);
@@ -178,49 +178,49 @@
   auto commands = [&](double t, bool cut) {
     b.tick(t);
     if (!cut) return b.carry_out(t);
-    for (auto& x : b.part.take_batches(at(t)))
-      b.part.on_commands(x, Part::CommandResult::kNoAnswer, std::nullopt, at(t + 0.5));
-    return std::vector<wire::Command>{};
+    for (auto& x : b.shard.take_command_batches(at(t)))
+      b.shard.on_commands(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(t + 0.5));
+    return std::vector<protocol::Command>{};
   };
   for (double t = 1; t < 120; t += 1) {
     bool cut = (t > 10 && t < 40) || t > 70;
     bool beyond_the_last_answer = (t > 14 && t < 40) || t > 74;
     if (beyond_the_last_answer) {
-      EXPECT_FALSE(b.part.point_here(w, at(t))) << t;
+      EXPECT_FALSE(b.shard.should_redirect_here(w, at(t))) << t;
     }
-    b.report("m1", t);
-    if (!cut) b.part.on_heard_directly(w.machine);
+    b.heartbeat("m1", t);
+    if (!cut) b.shard.on_direct_contact(w.machine);
     commands(t, cut);
   }
 }
 
-TEST(Relay, WhileCommandsDoNotGetThroughStopsGoWithTheAnswers) {
+TEST(RelayedHeartbeat, WhileCommandsDoNotGetThroughStopsGoWithTheAnswers) {
   Bench b;
   b.add_ready_workers({"m1"});
   b.grant("run-1", 2, 5, 0);
   b.tick(0);
   b.carry_out(0);
-  b.show("run-1", 1, End::kCancelled);
+  b.publish("run-1", 1, TerminalState::kCancelled);
   b.tick(1);
-  for (auto& x : b.part.take_batches(at(1)))
-    b.part.on_commands(x, Part::CommandResult::kNoAnswer, std::nullopt, at(3));
-  auto a = b.part.answer(MachineName("m1"), at(3.5));
+  for (auto& x : b.shard.take_command_batches(at(1)))
+    b.shard.on_commands(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(3));
+  auto a = b.shard.answer(MachineName("m1"), at(3.5));
   ASSERT_EQ(a.commands.size(), 2u);
-  for (auto& c : a.commands) EXPECT_EQ(c.op, wire::Command::Op::kStop);
+  for (auto& c : a.commands) EXPECT_EQ(c.op, protocol::Command::Op::kStop);
 }
 
 // Silence: what the owner concludes from it.
 TEST(Silence, DeletesOneMachineButNotMany) {
   Bench b;
   b.add_ready_workers({"m1", "m2", "m3", "m4"});
-  for (const char* n : {"m2", "m3", "m4"}) b.report(n, 5.5);
-  EXPECT_EQ(b.part.take_deletions(at(6)), std::vector{MachineName("m1")});
-  // All of them silent: this node is cut off, rather than four machines dead.
-  EXPECT_TRUE(b.part.take_deletions(at(30)).empty());
+  for (const char* n : {"m2", "m3", "m4"}) b.heartbeat(n, 5.5);
+  EXPECT_EQ(b.shard.take_machines_to_delete(at(6)), std::vector{MachineName("m1")});
+  // All of them silent: this controller is cut off, rather than four machines dead.
+  EXPECT_TRUE(b.shard.take_machines_to_delete(at(30)).empty());
 }
 
-// When a zone comes back, or this node has stood still, the machines report one after the other: those that
-// haven't yet are no more silent than the others were.
+// When a zone comes back, or this controller has stood still, the machines report one after the other: those
+// that haven't yet are no more silent than the others were.
 TEST(Silence, CountsFromWhenTheyCouldBeHeardAgain) {
   struct Case {
     const char* what;
@@ -237,17 +237,17 @@
     Bench b;
     for (const char* n : {"m1", "m2", "m3", "m4", "m5", "m6"}) b.worker(n);
     b.register_all(0);
-    for (auto& [n, w] : b.workers) b.report(n.c_str(), 0.1);
+    for (auto& [n, w] : b.workers) b.heartbeat(n.c_str(), 0.1);
     std::optional<double> first;
     for (double t = 0.5; t < 40 && !first; t += 0.5) {
       if (c.stood_still && t < c.again) continue;
-      if (c.stood_still && t == c.again) b.part.on_stood_still(at(t));
+      if (c.stood_still && t == c.again) b.shard.on_process_pause(at(t));
       if (t >= c.again)
         for (const char* n : {"m1", "m2", "m3", "m4"}) {
-          b.worker(n).token = b.part.machines().at(MachineName(n)).token;  // it hears again, too
-          b.report(n, t);
+          b.worker(n).token = b.shard.machines().at(MachineName(n)).token;  // it hears again, too
+          b.heartbeat(n, t);
         }
-      if (!b.part.take_deletions(at(t)).empty()) first = t;
+      if (!b.shard.take_machines_to_delete(at(t)).empty()) first = t;
     }
     ASSERT_TRUE(first) << c.what;
     EXPECT_DOUBLE_EQ(*first, c.deleted) << c.what;
@@ -268,11 +268,11 @@
         auto& w = b.worker(n);
         if (t == 0)
           w.tasks.push_back({{JobId("run-1"), 0}, Attempt(1), TaskState::kRunning, EndCause::kDone, false});
-        if (!directly && t > 0) b.part.point_here(w, at(t));
-        b.report(n, t);
-        if (directly) b.part.on_heard_directly(w.machine);
+        if (!directly && t > 0) b.shard.should_redirect_here(w, at(t));
+        b.heartbeat(n, t);
+        if (directly) b.shard.on_direct_contact(w.machine);
       }
-      deleted += b.part.take_deletions(at(t)).size();
+      deleted += b.shard.take_machines_to_delete(at(t)).size();
     }
     EXPECT_EQ(deleted, directly ? 2u : 0u) << directly;
   }
@@ -289,8 +289,8 @@
     b.grant("run-1", 1, 5, 0);
     b.tick(0);
     b.carry_out(0);
-    b.part.tick(at(c.now), at(c.now), at(c.read));
-    EXPECT_EQ(b.part.machines().at(MachineName("m1")).tasks.empty(), c.gone) << c.now << ' ' << c.read;
+    b.shard.tick(at(c.now), at(c.now), at(c.read));
+    EXPECT_EQ(b.shard.machines().at(MachineName("m1")).tasks.empty(), c.gone) << c.now << ' ' << c.read;
   }
 }
 
@@ -305,16 +305,16 @@
     b.grant("run-1", 1, 5, 0);
     b.tick(0);
     b.carry_out(0);
-    b.report("m1", 0.1);
-    for (double t = 1; t < c.ran; ++t) b.report("m1", t);
+    b.heartbeat("m1", 0.1);
+    for (double t = 1; t < c.ran; ++t) b.heartbeat("m1", t);
     b.worker("m1").notice_s = c.notice;
-    b.report("m1", 0.1 + c.ran);
+    b.heartbeat("m1", 0.1 + c.ran);
     b.tick(0.1 + c.ran);
     bool stopped = false;
-    for (auto& x : b.carry_out(0.1 + c.ran)) stopped |= x.op == wire::Command::Op::kStop;
+    for (auto& x : b.carry_out(0.1 + c.ran)) stopped |= x.op == protocol::Command::Op::kStop;
     EXPECT_EQ(stopped, c.stopped) << c.notice << ' ' << c.ran;
   }
 }
 
 }  // namespace
-}  // namespace beaconsill::part
+}  // namespace beaconsill::shard
--- a/tests/part_placement_test.cpp
+++ b/tests/part_placement_test.cpp
@@ -1,7 +1,7 @@
 // Estimates and where tasks go: by room, image, priority, and gangs as a whole.
 #include "part_bench.h"
 
-namespace beaconsill::part {
+namespace beaconsill::shard {
 namespace {
 
 TEST(Estimator, SmallerOfRoomAndCap) {
@@ -17,9 +17,9 @@
   Bench b;
   b.add_ready_workers({"m1"});
   for (const auto& c : cases) {
-    wire::Shape s;
+    protocol::ResourceRequest s;
     s.each = c.each;
-    auto room = estimate(b.part.machines(), s, {c.cap, 0}, at(0));
+    auto room = estimate(b.shard.machines(), s, {c.cap, 0}, at(0));
     std::uint32_t n = room.empty() ? 0 : room[0].free;
     EXPECT_EQ(n, c.expected) << c.each.cpus << ' ' << c.each.memory_gb << ' ' << c.cap;
   }
@@ -50,7 +50,7 @@
     auto has = [&](const char* m, const char* job, const char* image, std::uint32_t n, TaskState state) {
       auto s = *spec(job, n);
       s.image = ImageName(image);
-      b.jobs[job].record = {std::make_shared<const wire::JobSpec>(s), WallMs(0)};
+      b.jobs[job].record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
       for (std::uint32_t i = 0; i < n; ++i)
         b.worker(m).tasks.push_back({{JobId(job), i}, Attempt(1), state, EndCause::kDone, false});
       b.grant(job, n, 5, 0);
@@ -60,21 +60,21 @@
     has("c", "run-2", "coming", 2, TaskState::kFetching);
     has("d", "run-3", "img", 1, TaskState::kRunning);
     if (c.busy) has("c", "run-4", "other", 1, TaskState::kFetching);
-    for (auto& [name, w] : b.workers) b.report(name.c_str(), 0.1);
+    for (auto& [name, w] : b.workers) b.heartbeat(name.c_str(), 0.1);
     auto s = *spec("run-9", c.tasks);
     s.image = ImageName(c.image);
-    wire::Shape shape = shape_of(s, c.tasks);
+    protocol::ResourceRequest resource_request = request_of(s, c.tasks);
     std::uint32_t free = 0, expected = 0;
-    for (const auto& z : b.part.estimate(shape, at(0.2))) free += z.free;
-    b.jobs["run-9"].record = {std::make_shared<const wire::JobSpec>(s), WallMs(0)};
+    for (const auto& z : b.shard.estimate(resource_request, at(0.2))) free += z.free;
+    b.jobs["run-9"].record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
     b.grant("run-9", c.tasks, 5, 0.2);
     b.tick(0.2);
     std::map<std::string, std::size_t> got;
-    for (auto& batch : b.part.take_batches(at(0.2)))
+    for (auto& batch : b.shard.take_command_batches(at(0.2)))
       for (auto& command : batch.commands)
         if (command.task.job == JobId("run-9")) ++got[batch.machine.value()];
     EXPECT_EQ(got, c.got) << c.what;
-    // The part promises no room that it then doesn't use.
+    // The shard promises no room that it then doesn't use.
     for (const auto& [m, n] : got) expected += static_cast<std::uint32_t>(n);
     EXPECT_EQ(std::min(free, c.tasks), expected) << c.what;
   }
@@ -100,7 +100,7 @@
       {"ordinary for a spot job", std::nullopt, std::nullopt, false, true, true},
   };
   for (const auto& c : cases) {
-    wire::Shape s;
+    protocol::ResourceRequest s;
     s.types = c.types;
     s.zone = c.zone;
     s.spot = c.spot_job;
@@ -119,25 +119,25 @@
   b.grant("run-2", 4, 5, 1);
   b.tick(1);
   std::map<std::string, int> on;
-  for (auto& batch : b.part.take_batches(at(1)))
+  for (auto& batch : b.shard.take_command_batches(at(1)))
     on[batch.machine.value()] += static_cast<int>(batch.commands.size());
   EXPECT_EQ(on["m1"], 3);
   EXPECT_EQ(on["m2"] + on["m3"], 1);
 }
 
-TEST(Parting, SameAtEveryNodeAndEveryZoneHasAPart) {
+TEST(Partitioning, SameAtEveryNodeAndEveryZoneHasAPart) {
   config::Settings s;
   auto make = [&](const char* self, const char* zone,
                   std::vector<std::pair<const char*, const char*>> others) {
     config::Settings x;
-    x.node = NodeName(self);
+    x.controller = ControllerName(self);
     x.zone = Zone(zone);
-    for (auto& [n, z] : others) x.peers.push_back({NodeName(n), Zone(z), ""});
+    for (auto& [n, z] : others) x.peers.push_back({ControllerName(n), Zone(z), ""});
     x.zones = {Zone("a"), Zone("b"), Zone("c"), Zone("d")};
-    return Parting(x);
+    return Partitioning(x);
   };
-  Parting p0 = make("n0", "a", {{"n1", "b"}, {"n2", "a"}});
-  Parting p2 = make("n2", "a", {{"n0", "a"}, {"n1", "b"}});
+  Partitioning p0 = make("n0", "a", {{"n1", "b"}, {"n2", "a"}});
+  Partitioning p2 = make("n2", "a", {{"n0", "a"}, {"n1", "b"}});
   std::map<std::uint32_t, int> used;
   for (const char* z : {"a", "b", "c", "d", "unheard-of"})
     for (int i = 0; i < 50; ++i) {
@@ -146,8 +146,8 @@
       ++used[p0.of(Zone(z), m).value()];
     }
   EXPECT_EQ(used.size(), 3u);
-  EXPECT_EQ(p0.home(p0.part_of_node(NodeName("n1"))), NodeName("n1"));
-  EXPECT_EQ(p0.of(Zone("b"), MachineName("x")), p0.part_of_node(NodeName("n1")));
+  EXPECT_EQ(p0.preferred_controller(p0.preferred_shard(ControllerName("n1"))), ControllerName("n1"));
+  EXPECT_EQ(p0.of(Zone("b"), MachineName("x")), p0.preferred_shard(ControllerName("n1")));
 }
 
 TEST(Preemption, StopsWhatLosesLeastAndOnlyLowerPriority) {
@@ -156,26 +156,26 @@
   b.grant("run-1", 3, 5, 0);
   b.tick(0);
   b.carry_out(0);
-  for (int t = 1; t <= 9; ++t) b.report("m1", t);
+  for (int t = 1; t <= 9; ++t) b.heartbeat("m1", t);
   b.grant("run-2", 1, 5, 9);  // the youngest loses least
   b.tick(9);
   b.carry_out(9);
-  b.report("m1", 9.5);
+  b.heartbeat("m1", 9.5);
   b.grant("run-3", 1, 5, 10, Priority::kHigh, true);
   b.tick(10);
   auto commands = b.carry_out(10);
   ASSERT_EQ(commands.size(), 1u);
-  EXPECT_EQ(commands[0].op, wire::Command::Op::kStop);
+  EXPECT_EQ(commands[0].op, protocol::Command::Op::kStop);
   EXPECT_EQ(commands[0].task.job, JobId("run-2"));
   b.tick(10.1);
   bool started = false;
   for (auto& c : b.carry_out(10.1))
-    started |= c.op == wire::Command::Op::kStart && c.task.job == JobId("run-3");
+    started |= c.op == protocol::Command::Op::kStart && c.task.job == JobId("run-3");
   EXPECT_TRUE(started);
   // Work of the same priority is left alone.
   b.grant("run-4", 1, 5, 11, Priority::kNormal, true);
   b.tick(11);
-  for (auto& c : b.carry_out(11)) EXPECT_NE(c.op, wire::Command::Op::kStop);
+  for (auto& c : b.carry_out(11)) EXPECT_NE(c.op, protocol::Command::Op::kStop);
 }
 
 // Found on days when services by force waited for a second or two, some of them several times over: the room
@@ -186,17 +186,17 @@
   b.grant("run-1", 4, 5, 0);
   b.tick(0);
   b.carry_out(0);
-  b.report("m1", 1);
+  b.heartbeat("m1", 1);
   b.grant("run-2", 1, 5, 1, Priority::kHigh, true);
   b.grant("run-3", 1, 5, 1, Priority::kHigh, true);
   b.tick(1);
   std::size_t stops = 0;
-  for (auto& c : b.carry_out(1)) stops += c.op == wire::Command::Op::kStop;
+  for (auto& c : b.carry_out(1)) stops += c.op == protocol::Command::Op::kStop;
   EXPECT_EQ(stops, 2u);
   b.tick(1.1);
   std::set<JobId> started;
   for (auto& c : b.carry_out(1.1))
-    if (c.op == wire::Command::Op::kStart) started.insert(c.task.job);
+    if (c.op == protocol::Command::Op::kStart) started.insert(c.task.job);
   EXPECT_EQ(started, (std::set{JobId("run-2"), JobId("run-3")}));
 }
 
@@ -222,15 +222,15 @@
   // All wait for an image still; one machine goes.
   auto& rest = b.worker("m2");
   for (auto& t : rest.tasks) t.state = TaskState::kWaiting;
-  b.report("m2", 1);
-  b.part.on_deleted(MachineName("m1"), at(1.5));
+  b.heartbeat("m2", 1);
+  b.shard.on_deleted(MachineName("m1"), at(1.5));
   b.tick(1.6);
   auto commands = b.carry_out(1.6);
   EXPECT_EQ(commands.size(), rest.tasks.size());
-  for (auto& c : commands) EXPECT_EQ(c.op, wire::Command::Op::kStop);
+  for (auto& c : commands) EXPECT_EQ(c.op, protocol::Command::Op::kStop);
   // It isn't started again under this attempt, but given back as a whole.
   b.tick(3);
-  for (auto& c : b.carry_out(3)) EXPECT_NE(c.op, wire::Command::Op::kStart);
+  for (auto& c : b.carry_out(3)) EXPECT_NE(c.op, protocol::Command::Op::kStart);
   b.record(3);
   EXPECT_TRUE(b.jobs["run-1"].outstanding().empty());
 }
@@ -246,7 +246,7 @@
   auto commands = b.carry_out(1);
   ASSERT_EQ(commands.size(), 3u);
   for (auto& c : commands) {
-    EXPECT_EQ(c.op, wire::Command::Op::kStop);
+    EXPECT_EQ(c.op, protocol::Command::Op::kStop);
     EXPECT_EQ(c.grace_s, 2);
   }
   b.tick(1.1);
@@ -263,18 +263,19 @@
     b.grant("run-1", 4, 5, 0);  // normal, fills the machine
     b.tick(0);
     b.carry_out(0);
-    b.report("m1", 0.5);
+    b.heartbeat("m1", 0.5);
     b.jobs["run-2"].record = {spec("run-2", 1, Priority::kLow), WallMs(0)};
-    b.jobs["run-2"].grants.value.chunks = {{Generation(1), PartId(0), Term(5), Ranges::span(0, 1), {}, true}};
+    b.jobs["run-2"].grants.value.chunks = {
+        {Generation(1), ShardId(0), Term(5), Ranges::span(0, 1), {}, true}};
     if (inherited) b.jobs["run-2"].grants.value.chunks[0].priority = Priority::kHigh;
     b.jobs["run-2"].grants.value.last = Generation(1);
-    b.show("run-2", 1);
+    b.publish("run-2", 1);
     b.tick(1);
     std::size_t stopped = 0;
-    for (const auto& c : b.carry_out(1)) stopped += c.op == wire::Command::Op::kStop;
+    for (const auto& c : b.carry_out(1)) stopped += c.op == protocol::Command::Op::kStop;
     EXPECT_EQ(stopped, inherited ? 1u : 0u);
   }
 }
 
 }  // namespace
-}  // namespace beaconsill::part
+}  // namespace beaconsill::shard
--- a/tests/pipeline_sim_test.cpp
+++ b/tests/pipeline_sim_test.cpp
@@ -52,15 +52,15 @@
 
 // The head of a chain is cancelled while its last job can't start anyway, since another has all of the team's
 // limit. Nobody cancels the last one itself: it has to be called cancelled in time all the same.
-Outcome cancelled_head(Mistake mistake, std::optional<wire::JobState>* last = nullptr) {
+Outcome cancelled_head(Mistake mistake, std::optional<protocol::JobState>* last = nullptr) {
   auto options = Options::scripted();
   options.mistake = mistake;
   World w(options);
   auto head = array_job("run-1", 2);
   auto middle = array_job("run-2", 1);
   auto end = array_job("run-3", 1);
-  middle.awaits = {head.id};
-  end.awaits = {middle.id};
+  middle.depends_on = {head.id};
+  end.depends_on = {middle.id};
   w.submit(2, head, 0, 200);
   w.submit(4, array_job("run-9", static_cast<std::uint32_t>(kTeamCpus)), 0, 100);
   w.submit(10, middle, 1);
@@ -68,15 +68,15 @@
   for (double d : {12.0, 13.5}) w.cancel(d, head.id, 0);
   for (double t = 14; t < 60; t += 2) w.poll_all(t, end.id);
   auto r = w.run();
-  if (auto a = w.last_answer(end.id, Ask::kStatus); a && last) *last = a->state;
+  if (auto a = w.last_answer(end.id, EstimateRequest::kStatus); a && last) *last = a->state;
   return r;
 }
 
 TEST_F(Pipelined, ACancellationReachesTheEndOfTheChainInTime) {
-  std::optional<wire::JobState> last;
+  std::optional<protocol::JobState> last;
   auto r = cancelled_head(Mistake::kNone, &last);
   EXPECT_TRUE(r.broken.empty()) << r.first;
-  EXPECT_EQ(last, wire::JobState::kCancelled);
+  EXPECT_EQ(last, protocol::JobState::kCancelled);
   r = cancelled_head(Mistake::kAwaitsLost);
   EXPECT_TRUE(r.broken.contains("orphaned")) << r.first;
 }
--- a/tests/pipeline_sizes_test.cpp
+++ b/tests/pipeline_sizes_test.cpp
@@ -1,10 +1,10 @@
 // Values that fit the limits to come, also on top of what was written under higher ones.
 #include <gtest/gtest.h>
 
-#include "store/client.h"
-#include "store/sizes.h"
+#include "state_store/client.h"
+#include "state_store/sizes.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 namespace {
 
 // Every other of the first `n` tasks from `first` on.
@@ -46,10 +46,10 @@
     EXPECT_EQ(p != c.recorded, c.news) << c.what;
     EXPECT_TRUE(holds(p.done, c.recorded.done)) << c.what;
     EXPECT_TRUE(holds(c.wanted.done, p.done)) << c.what;
-    for (const auto& r : p.returned) {
-      auto wanted = std::find_if(c.wanted.returned.begin(), c.wanted.returned.end(),
+    for (const auto& r : p.released) {
+      auto wanted = std::find_if(c.wanted.released.begin(), c.wanted.released.end(),
                                  [&](const auto& w) { return w.generation == r.generation; });
-      ASSERT_NE(wanted, c.wanted.returned.end()) << c.what;
+      ASSERT_NE(wanted, c.wanted.released.end()) << c.what;
       EXPECT_TRUE(holds(wanted->tasks, r.tasks)) << c.what;
     }
     if (c.news) {
@@ -62,7 +62,7 @@
 
 TEST(Sizes, GrantsAreShortenedNeverThoseRecorded) {
   auto chunk = [](std::uint64_t g, Ranges r, std::uint64_t attempt = 0) {
-    return Chunk{Generation(g), PartId(0), Term(1), std::move(r), std::nullopt, false, Attempt(attempt)};
+    return Chunk{Generation(g), ShardId(0), Term(1), std::move(r), std::nullopt, false, Attempt(attempt)};
   };
   struct Case {
     const char* what;
@@ -98,8 +98,8 @@
 
 TEST(Limits, LowerOnesAreTakenOnceRefusalsShowThem) {
   auto at = [](double s) { return Instant{} + from_seconds(1000 + s); };
-  LimitsInForce l({60, 20}, {60, 15});
-  // A single refusal: several nodes asked at once.
+  EffectiveRateLimits l({60, 20}, {60, 15});
+  // A single refusal: several controllers asked at once.
   EXPECT_FALSE(l.on_too_many(at(0)));
   EXPECT_FALSE(l.on_too_many(at(30)));
   EXPECT_EQ(l.get().write_rps, 20);
@@ -117,14 +117,15 @@
   EXPECT_EQ(l.get().write_rps, 20);
 }
 
-wire::Txn txn(std::size_t writes, std::size_t bytes) {
-  wire::Txn t;
-  for (std::size_t i = 0; i < writes; ++i) t.writes.push_back({"k", wire::Json(std::string(bytes, 'x')), {}});
+protocol::Txn txn(std::size_t writes, std::size_t bytes) {
+  protocol::Txn t;
+  for (std::size_t i = 0; i < writes; ++i)
+    t.writes.push_back({"k", protocol::Json(std::string(bytes, 'x')), {}});
   return t;
 }
 
 TEST(Limits, ARefusedTransactionIsSplit) {
-  SizesInForce s(16, 8192);
+  EffectiveSizeLimits s(16, 8192);
   s.on_refused(txn(10, 10), Instant{});
   EXPECT_EQ(s.txn_ops(), 5u);
   s.on_refused(txn(5, 10), Instant{});
@@ -140,8 +141,8 @@
 }
 
 // One that keeps to the settings may be refused for another reason: that must not lower the others for good.
-TEST(SizesInForce, TheSettingsAreTriedAgainEverMoreRarely) {
-  SizesInForce s(16, 8192);
+TEST(EffectiveSizeLimits, TheSettingsAreTriedAgainEverMoreRarely) {
+  EffectiveSizeLimits s(16, 8192);
   double t = 0;
   double before = 0;
   for (int i = 0; i < 8; ++i) {
@@ -162,4 +163,4 @@
 }
 
 }  // namespace
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -1,18 +1,17 @@
-// The registry of a part, at any number of machines, under small limits and beside earlier versions.
-#include "store/registry.h"
-
+// The registry of a shard, at any number of machines, under small limits and beside earlier versions.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
-#include "store/sizes.h"
-#include "store/txn_draft.h"
+#include "state_store/machine_registry.h"
+#include "state_store/sizes.h"
+#include "state_store/txn_draft.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 namespace {
 
-const PartId kPart(1);
-const std::vector<NodeName> kNodes{NodeName("a"), NodeName("b"), NodeName("c")};
+const ShardId kPart(1);
+const std::vector<ControllerName> kNodes{ControllerName("a"), ControllerName("b"), ControllerName("c")};
 
 MachineRecord machine(int i) {
   return {MachineName("host-" + std::to_string(100000 + i)), MachineType("a-type-of-thirty-characters-xx"),
@@ -32,9 +31,9 @@
   return buckets;
 }
 
-// A state service of one view, which takes only what the limits allow.
+// A state store of one view, which takes only what the limits allow.
 struct Service {
-  View view;
+  StateView view;
   std::uint64_t revision = 10;
   RegistryLimits limits{16, std::size_t{8} * 1024};
   std::size_t changes = 0;
@@ -43,19 +42,19 @@
     Versions shown;
     for (const auto& n : kNodes) shown[n] = known_by_all;
     put(versions_key(), to_json(shown));
-    put(part_role_key(kPart), to_json(Role{kNodes[0], Term(3)}));
+    put(shard_role_key(kPart), to_json(Role{kNodes[0], Term(3)}));
   }
-  void put(const std::string& key, wire::Json value) {
-    view.apply({key, wire::parse_json(wire::dump(value)), Revision(++revision)});
+  void put(const std::string& key, protocol::Json value) {
+    view.apply({key, protocol::parse_json(protocol::dump(value)), Revision(++revision)});
   }
-  void commit(const wire::Txn& t) {
+  void commit(const protocol::Txn& t) {
     EXPECT_LE(t.writes.size(), limits.txn_ops);
     EXPECT_LE(t.conditions.size(), 4 * limits.txn_ops);
-    EXPECT_LE(wire::render_txn(t).size(), std::size_t{64} * 1024);
+    EXPECT_LE(protocol::render_txn(t).size(), std::size_t{64} * 1024);
     ++revision;
     for (const auto& w : t.writes) {
       EXPECT_LE(value_bytes(*w.value), limits.value_bytes) << w.key;
-      view.apply({w.key, wire::parse_json(wire::dump(*w.value)), Revision(revision)});
+      view.apply({w.key, protocol::parse_json(protocol::dump(*w.value)), Revision(revision)});
     }
     changes += t.writes.size();
   }
@@ -119,12 +118,12 @@
     std::uint32_t most = 0;
     for (const auto& [key, value] : s.view.registry(kPart)) most = std::max(most, key);
     EXPECT_EQ(registry_key_since(most), version);
-    EXPECT_EQ(s.view.part_role(kPart).value.readable_since, version);
-    EXPECT_EQ(s.view.part_role(kPart).value.term, Term(3));
+    EXPECT_EQ(s.view.shard_role(kPart).value.readable_since, version);
+    EXPECT_EQ(s.view.shard_role(kPart).value.term, Term(3));
     EXPECT_EQ(s.names().size() == 6000, version == 2) << version;
     // An old process that is back keeps further keys from being written, and those that exist stay.
     auto before = s.names();
-    s.put(alive_key(kNodes[1]), wire::Json{{"up", true}});
+    s.put(alive_key(kNodes[1]), protocol::Json{{"up", true}});
     s.settle(machines(0, 6100));
     const auto after = s.names();
     EXPECT_TRUE(std::includes(after.begin(), after.end(), before.begin(), before.end())) << version;
@@ -145,14 +144,14 @@
     for (const auto& [key, value] : s.view.registry(kPart))
       needed = std::max(needed, registry_key_since(key));
     further |= needed > 0;
-    EXPECT_GE(s.view.part_role(kPart).value.readable_since, needed);
+    EXPECT_GE(s.view.shard_role(kPart).value.readable_since, needed);
   }
   EXPECT_TRUE(further);
 
   Service old(1);
   old.put(machines_key(kPart, 16), to_json(machines(0, 3)));
   old.settle({});
-  EXPECT_EQ(old.view.part_role(kPart).value.readable_since, 1u);
+  EXPECT_EQ(old.view.shard_role(kPart).value.readable_since, 1u);
 }
 
 // What was written under a higher limit moves out without ever falling out of the registry.
@@ -181,14 +180,16 @@
   EXPECT_TRUE(plan_bucket(recorded, machines(1, 50), 2048, 1).empty());
   // Those that fit are kept where they are, and what changed of them is replaced.
   auto changed = machines(0, 3);
-  changed[1].sick = true;
+  changed[1].quarantined = true;
   auto plan = plan_bucket({{0, machines(0, 3)}}, changed, 2048, 1);
   ASSERT_EQ(plan.size(), 1u);
   EXPECT_EQ(plan[0].second, changed);
 }
 
 TEST(TxnDraft, TakesWhatTheServiceTakes) {
-  auto write = [](std::size_t bytes) { return wire::Write{"k", wire::Json(std::string(bytes, 'x')), {}}; };
+  auto write = [](std::size_t bytes) {
+    return protocol::Write{"k", protocol::Json(std::string(bytes, 'x')), {}};
+  };
   TxnDraft few(2);
   EXPECT_TRUE(few.add({{"k", Revision(1)}}, {write(10)}));
   EXPECT_FALSE(few.add({}, {write(10), write(10)}));  // all or none
@@ -201,9 +202,9 @@
   TxnDraft large(20);
   while (large.add({}, {write(9000)})) continue;
   EXPECT_EQ(large.txn().writes.size(), 6u);
-  EXPECT_LE(wire::render_txn(large.txn()).size(), std::size_t{64} * 1024);
+  EXPECT_LE(protocol::render_txn(large.txn()).size(), std::size_t{64} * 1024);
   EXPECT_TRUE(TxnDraft(1).add({{"k", Revision(1)}}, {write(kMaxValueBytes)}));
 }
 
 }  // namespace
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/tests/sim/answer.h
+++ b/tests/sim/answer.h
@@ -3,24 +3,24 @@
 
 #include <optional>
 
-#include "wire/api.h"
+#include "protocol/api.h"
 
 namespace beaconsill::sim {
 
-enum class Ask { kSubmit, kStatus, kCancel };
+enum class EstimateRequest { kSubmit, kStatus, kCancel };
 
-struct Answer {
+struct EstimateResponse {
   double sent_s = 0;
   double at_s = 0;
-  int node = 0;
+  int controller = 0;
   JobId job;
-  Ask ask = Ask::kSubmit;
+  EstimateRequest estimate_request = EstimateRequest::kSubmit;
   int status = 0;  // of HTTP; 0: no connection or no answer
-  std::optional<wire::JobState> state;
+  std::optional<protocol::JobState> state;
   double retry_after_s = 0;
 
   bool ok() const { return status == 200 || status == 201; }
-  bool final() const { return state == wire::JobState::kDone || state == wire::JobState::kCancelled; }
+  bool final() const { return state == protocol::JobState::kDone || state == protocol::JobState::kCancelled; }
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/books.h
+++ b/tests/sim/books.h
@@ -7,8 +7,8 @@
 #include <optional>
 #include <set>
 
-#include "wire/api.h"
-#include "wire/worker.h"
+#include "protocol/api.h"
+#include "protocol/worker.h"
 
 namespace beaconsill::sim {
 
@@ -18,7 +18,7 @@
   bool running = false;
   bool fails = false;  // at `ends`
   bool ended = false;
-  wire::EndCause cause = wire::EndCause::kDone;
+  protocol::EndCause cause = protocol::EndCause::kDone;
   // From the image to the end it's on its machine, also if that hangs.
   bool on_machine() const { return running && !ended; }
 };
@@ -31,17 +31,17 @@
   double deaf_until = 0;    // reports, but neither answers nor commands arrive
   double mute_until = 0;    // commands arrive, but it reaches no controller
   double faulty_until = 0;  // fails every task that it starts
-  std::uint64_t session = 1;
+  std::uint64_t incarnation = 1;
   std::uint64_t sequence = 0;
   std::uint64_t token = 0;
   double lease_from = 0;
-  int node = 0;  // where it reports
+  int controller = 0;  // where it reports
   bool in_flight = false;
   std::map<std::pair<TaskId, Attempt>, Task> tasks;
 };
 
 struct Job {
-  std::shared_ptr<const wire::JobSpec> spec;
+  std::shared_ptr<const protocol::JobSpec> spec;
   std::optional<double> run_s;  // of each task; none: drawn
   bool mistaken = false;        // fails on every machine
   double submitted = 0;
@@ -65,9 +65,9 @@
   void each_needed(const JobId& id, F f) const {
     auto job = jobs.find(id);
     if (job == jobs.end()) return;
-    for (const auto& awaited : job->second.spec->awaits) {
-      if (auto needed = jobs.find(awaited); needed != jobs.end()) f(needed->second);
-      each_needed(awaited, f);
+    for (const auto& dependency : job->second.spec->depends_on) {
+      if (auto needed = jobs.find(dependency); needed != jobs.end()) f(needed->second);
+      each_needed(dependency, f);
     }
   }
   // Calls `f(machine, key, task)` for all tasks of the job on machines that are there.
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -11,7 +11,7 @@
   m.name = name;
   m.zone = zones()[static_cast<std::size_t>(i) % zones().size()];
   m.lease_from = queue_.now();
-  m.node = i % kControllers;
+  m.controller = i % kControllers;
   on_added_(name);
 }
 
--- a/tests/sim/controller.cpp
+++ b/tests/sim/controller.cpp
@@ -13,26 +13,26 @@
   env_.network.start(n_);
   p_ = Process{};
   auto m = env_.options.mistake;
-  p_.mirror = std::make_shared<Mirror>(n_, env_.queue, env_.state, m,
-                                       [this](const store::View::Touched& t) { on_view(t); });
-  p_.endpoint_view = std::make_shared<EndpointView>(p_.mirror, m);
+  p_.watch_cache = std::make_shared<WatchCache>(
+      n_, env_.queue, env_.state, m, [this](const state_store::StateView::ChangeSet& t) { on_view(t); });
+  p_.endpoint_reader = std::make_shared<EndpointReader>(p_.watch_cache, m);
   p_.heartbeats = std::make_unique<Heartbeats>(n_, env_.queue.wall(), instant());
   p_.ticked = now();
   p_.api = std::make_unique<api::Api>(
-      io_, clock_, env_.settings, std::make_shared<Transactions>(n_, env_.state), p_.endpoint_view,
+      io_, clock_, env_.settings, std::make_shared<Transactions>(n_, env_.state), p_.endpoint_reader,
       api::Api::Hooks{
           [this] { return env_.catalogue.get(); },
-          [this](Revision) { broadcast([](Controller& c) { c.p_.mirror->sync([](bool) {}); }); },
-          [this](const JobId& id) { return disclose(id); },
+          [this](Revision) { broadcast([](Controller& c) { c.p_.watch_cache->sync([](bool) {}); }); },
+          [this](const JobId& id) { return may_acknowledge_cancellation(id); },
           [this](const JobId& id) { return running(id); },
           [] { return true; },
           [](std::uint32_t) { return true; },
       });
   every(kTick, &Controller::tick);
-  every(kHoldRenewal, &Controller::renew_hold);
+  every(kHoldRenewal, &Controller::renew_lease);
   every(kHeartbeat, &Controller::send_heartbeats);
   every(kSummaryPeriod, &Controller::send_summaries);
-  p_.mirror->sync([](bool) {});
+  p_.watch_cache->sync([](bool) {});
 }
 
 void Controller::crash(double back_s) {
@@ -58,29 +58,30 @@
     if (to != n_) send(to, f);
 }
 
-void Controller::renew_hold() {
-  env_.state.renew(n_, store::alive_key(name()));
+void Controller::renew_lease() {
+  env_.state.renew(n_, state_store::alive_key(name()));
 }
 
 void Controller::tick() {
-  if (now() - p_.mirror->word_s() > kReadPeriod && !p_.mirror->reading()) p_.mirror->sync([](bool) {});
+  if (now() - p_.watch_cache->word_s() > kReadPeriod && !p_.watch_cache->reading())
+    p_.watch_cache->sync([](bool) {});
   roles();
-  if (p_.lead && !p_.lead_read) read_ledger();
-  tick_parts();
+  if (p_.scheduler && !p_.lead_read) read_ledger();
+  tick_shards();
   tick_lead();
   p_.ticked = now();
 }
 
-void Controller::on_view(const store::View::Touched& t) {
-  for (auto& [id, o] : p_.parts) {
+void Controller::on_view(const state_store::StateView::ChangeSet& t) {
+  for (auto& [id, o] : p_.shards) {
     if (o.read && t.machines.contains(id)) load_registry(id);
-    for (const auto& j : t.jobs) show(*o.part, j);
+    for (const auto& j : t.jobs) publish(*o.shard, j);
   }
-  if (p_.lead) {
+  if (p_.scheduler) {
     auto jobs = t.jobs;
     if (t.roles)
-      for (auto& j : p_.lead->on_terms(terms())) jobs.insert(j);
-    show_leader(jobs);
+      for (auto& j : p_.scheduler->on_terms(terms())) jobs.insert(j);
+    publish_to_scheduler(jobs);
   }
   if (t.roles) roles();
   share_cancellations(t);
@@ -88,17 +89,18 @@
 
 void Controller::on_user(const net::Request& r, net::HttpServer::Reply reply) {
   if (mistake(Mistake::kKnownJudgedAgain) && r.method == "POST" && r.path == "/v1/jobs") {
-    auto id = JobId(wire::parse_object(r.body).value("ref", ""));
+    auto id = JobId(protocol::parse_object(r.body).value("ref", ""));
     if (view().job(id)) return reply({422, "{}", std::nullopt});
   }
   if (mistake(Mistake::kKnownUnread) && r.method == "GET") {
     JobId id(r.path.substr(r.path.rfind('/') + 1));
     if (view().job(id) && !view().end(id))
-      return reply({200, wire::render_status(id, wire::JobState::kQueued, 0, 0), std::nullopt});
+      return reply({200, protocol::render_status(id, protocol::JobState::kQueued, 0, 0), std::nullopt});
   }
   if (!mistake(Mistake::kInventsJobs)) return p_.api->handle(r, std::move(reply));
   p_.api->handle(r, [reply](net::Response x) {
-    if (x.status == 404) x = {200, wire::render_status(JobId("run-0"), wire::JobState::kQueued, 0, 0)};
+    if (x.status == 404)
+      x = {200, protocol::render_status(JobId("run-0"), protocol::JobState::kQueued, 0, 0)};
     reply(std::move(x));
   });
 }
--- a/tests/sim/controller.h
+++ b/tests/sim/controller.h
@@ -1,13 +1,13 @@
 // One controller: the pure state machines of `part` and `lead`, the view of `store` and the users' endpoints
-// of `api`, wired to stand-ins as `node` wires them to sockets. What it knows lasts for one life of its
+// of `api`, wired to stand-ins as `controller` wires them to sockets. What it knows lasts for one life of its
 // process.
 #pragma once
 
 #include <memory>
 
 #include "api/api.h"
-#include "lead/lead.h"
-#include "part/part.h"
+#include "scheduler/scheduler.h"
+#include "shard/shard_manager.h"
 #include "sim/environment.h"
 #include "sim/heartbeats.h"
 #include "sim/mirror.h"
@@ -23,128 +23,130 @@
   // The process ends, and another one begins some seconds later.
   void crash(double back_s);
 
-  // Whether the state service was read since the process began.
-  bool ready() const { return p_.mirror && p_.mirror->ready(); }
-  const store::View& view() const { return p_.mirror->view(); }
-  bool leads() const { return p_.lead != nullptr; }
-  // The parts that this process owns, none of which it knows to have lost.
-  std::vector<wire::PartTerm> owned() const;
-  // Null unless it owns the part.
-  const part::Part* part(PartId id) const;
+  // Whether the state store was read since the process began.
+  bool ready() const { return p_.watch_cache && p_.watch_cache->ready(); }
+  const state_store::StateView& view() const { return p_.watch_cache->view(); }
+  bool leads() const { return p_.scheduler != nullptr; }
+  // The shards that this process owns, none of which it knows to have lost.
+  std::vector<protocol::ShardTerm> owned() const;
+  // Null unless it owns the shard.
+  const shard::ShardManager* shard(ShardId id) const;
 
   // ---- What comes in
   void on_user(const net::Request& r, net::HttpServer::Reply reply);
-  void on_report(const wire::Report& r, const Workers::Reply& reply);
+  void on_worker_heartbeat(const protocol::WorkerHeartbeat& r, const Workers::Reply& reply);
 
  private:
   struct Owned {
-    std::unique_ptr<part::Part> part;
+    std::unique_ptr<shard::ShardManager> shard;
     bool read = false;
     bool reading = false;
     bool writing = false;
     bool registering = false;
-    double tell_all = 0;
+    double next_full_notification = 0;
     Term told;  // leader's
-    std::map<JobId, double> unwritten;
+    std::map<JobId, double> unwritten_progress;
   };
   struct RoleState {
     std::optional<Term> held;  // by this process
-    bool claiming = false;
+    bool acquiring = false;
     std::optional<double> vacant_since;
-    std::optional<double> home_since;  // away from its home, which is alive
+    std::optional<double> preferred_alive_since;  // away from its home, which is alive
   };
-  struct Relayed {
-    PartId part;
+  struct RelayedReply {
+    ShardId shard;
     Workers::Reply reply;
   };
   struct Process {
-    std::shared_ptr<Mirror> mirror;
-    std::shared_ptr<EndpointView> endpoint_view;
+    std::shared_ptr<WatchCache> watch_cache;
+    std::shared_ptr<EndpointReader> endpoint_reader;
     std::unique_ptr<api::Api> api;
     std::unique_ptr<Heartbeats> heartbeats;
     double ticked = 0;
-    std::map<PartId, Owned> parts;
+    std::map<ShardId, Owned> shards;
     std::map<std::string, RoleState> roles;
-    std::unique_ptr<lead::Lead> lead;
+    std::unique_ptr<scheduler::Scheduler> scheduler;
     Term lead_term;
     bool lead_read = false;
-    std::set<JobId> ending;
-    std::map<PartId, wire::Summary> summaries;
-    std::map<std::uint64_t, Relayed> relayed;
+    std::set<JobId> terminal_record;
+    std::map<ShardId, protocol::Summary> summaries;
+    std::map<std::uint64_t, RelayedReply> relayed;
     std::uint64_t next_relay = 0;
   };
 
   double now() const { return env_.queue.now(); }
   Instant instant() const { return env_.queue.instant(); }
   bool mistake(Mistake m) const { return env_.options.mistake == m; }
-  NodeName name() const { return node_name(n_); }
+  ControllerName name() const { return controller_name(n_); }
   void every(double period, void (Controller::*work)());
   // Runs at the other controller when the message arrives there.
   void send(int to, std::function<void(Controller&)> f);
   void broadcast(const std::function<void(Controller&)>& f);
 
   void tick();
-  void renew_hold();
-  void on_view(const store::View::Touched& t);
+  void renew_lease();
+  void on_view(const state_store::StateView::ChangeSet& t);
 
   // Other controllers (controller_peers.cpp)
   void send_heartbeats();
-  wire::Heartbeat heartbeat(int to);
-  void on_heartbeat(int from, const wire::Heartbeat& h);
+  protocol::Heartbeat heartbeat(int to);
+  void on_heartbeat(int from, const protocol::Heartbeat& h);
   // All cancellations disclosed by any controller before this time are known here.
   Instant cancellations_known_until() const;
   Heartbeats::Known known() const;
   void send_heartbeat(int to);
-  void share_cancellations(const store::View::Touched& t);
-  bool disclose(const JobId& id) const;
+  void share_cancellations(const state_store::StateView::ChangeSet& t);
+  bool may_acknowledge_cancellation(const JobId& id) const;
   void send_summaries();
-  void on_summary(const wire::Summary& s);
-  std::optional<int> owner_of(PartId id) const;
-  void relay(PartId id, const wire::Report& r, const Workers::Reply& reply);
-  void on_relay(int from, std::uint64_t id, const wire::Report& r);
-  void on_relayed(std::uint64_t id, const ReportReply& r);
+  void on_summary(const protocol::Summary& s);
+  std::optional<int> owner_of(ShardId id) const;
+  void relay(ShardId id, const protocol::WorkerHeartbeat& r, const Workers::Reply& reply);
+  void on_relayed_heartbeat(int from, std::uint64_t id, const protocol::WorkerHeartbeat& r);
+  void on_relayed_reply(std::uint64_t id, const HeartbeatReply& r);
 
   // Roles (controller_roles.cpp)
   void roles();
-  void role(const std::string& key, const store::Versioned<store::Role>& r, std::optional<PartId> part);
-  void lose(RoleState& s, std::optional<PartId> part);
-  void keep_or_hand_back(RoleState& s, const std::string& key, const store::Versioned<store::Role>& r,
-                         PartId part);
-  int rank(std::optional<PartId> part) const;
-  void claim(const std::string& key, const store::Versioned<store::Role>& r, std::optional<PartId> part);
-  void hand_back(const std::string& key, const store::Versioned<store::Role>& r, PartId part);
-  std::map<PartId, Term> terms() const;
+  void role(const std::string& key, const state_store::Versioned<state_store::Role>& r,
+            std::optional<ShardId> shard);
+  void lose_role(RoleState& s, std::optional<ShardId> shard);
+  void keep_or_fail_back(RoleState& s, const std::string& key,
+                         const state_store::Versioned<state_store::Role>& r, ShardId shard);
+  int rank(std::optional<ShardId> shard) const;
+  void acquire(const std::string& key, const state_store::Versioned<state_store::Role>& r,
+               std::optional<ShardId> shard);
+  void fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& r, ShardId shard);
+  std::map<ShardId, Term> terms() const;
 
   // Parts (controller_parts.cpp)
-  void own(PartId id, Term term);
-  Owned* find(PartId id, Term term);
-  void show(part::Part& part, const JobId& job);
-  void load_registry(PartId id);
-  void tick_parts();
-  void tick_part(PartId id);
-  void read_registry(PartId id, Owned& o);
-  void tell_leader(PartId id, Owned& o);
-  void write(PartId id, Term term, const wire::Txn& t, bool Owned::*flag);
-  void write_registry(PartId id, Owned& o);
-  void write_progress(PartId id, Owned& o);
-  ReportReply answer(Owned& o, PartId id, const wire::Report& r);
-  void command(PartId id, Term term, const part::Part::Batch& b);
-  void remove(PartId id, Term term, const MachineName& m);
+  void acquire_shard(ShardId id, Term term);
+  Owned* find(ShardId id, Term term);
+  void publish(shard::ShardManager& shard, const JobId& job);
+  void load_registry(ShardId id);
+  void tick_shards();
+  void tick_shard(ShardId id);
+  void read_registry(ShardId id, Owned& o);
+  void notify_leader(ShardId id, Owned& o);
+  void write(ShardId id, Term term, const protocol::Txn& t, bool Owned::*flag);
+  void write_registry(ShardId id, Owned& o);
+  void write_progress(ShardId id, Owned& o);
+  HeartbeatReply answer(Owned& o, ShardId id, const protocol::WorkerHeartbeat& r);
+  void command(ShardId id, Term term, const shard::ShardManager::Batch& b);
+  void remove(ShardId id, Term term, const MachineName& m);
   void on_deleted(const MachineName& m);
-  void on_ask(int leader, const wire::Ask& ask);
+  void on_estimate_request(int leader, const protocol::EstimateRequest& estimate_request);
   std::uint32_t running(const JobId& id) const;
 
   // Leader (controller_lead.cpp)
-  void lead(Term term);
+  void become_leader(Term term);
   void read_ledger();
   void tick_lead();
-  void write_grants(const std::vector<lead::Lead::Grant>& grants);
-  void write_ends();
-  void write_end(const JobId& id, const store::Ending& ending);
-  void tidy();
-  void show_leader(const std::set<JobId>& jobs);
-  void on_outcomes(const wire::Outcomes& o);
-  void on_answer(const wire::Answer& a);
+  void write_grants(const std::vector<scheduler::Scheduler::Grant>& grants);
+  void write_terminal_records();
+  void write_terminal_record(const JobId& id, const state_store::TerminalRecord& terminal_record);
+  void collect_garbage();
+  void publish_to_scheduler(const std::set<JobId>& jobs);
+  void on_progress_report(const protocol::ProgressReport& o);
+  void on_estimate_response(const protocol::EstimateResponse& a);
 
   int n_;
   Environment& env_;
--- a/tests/sim/controller_parts.cpp
+++ b/tests/sim/controller_parts.cpp
@@ -1,6 +1,6 @@
-// The owner of parts: reports, commands, and what it records, as `node::WorkersDuty` does.
+// The owner of shards: reports, commands, and what it records, as `controller::ShardService` does.
 #include "sim/controller.h"
-#include "store/registry.h"
+#include "state_store/machine_registry.h"
 
 namespace beaconsill::sim {
 namespace {
@@ -11,76 +11,76 @@
 constexpr double kReturnedDelay = 2;
 constexpr double kGrace = 5;
 constexpr double kCancelMargin = 1;
-constexpr store::RegistryLimits kRegistryLimits{16, std::size_t{8} * 1024};
+constexpr state_store::RegistryLimits kRegistryLimits{16, std::size_t{8} * 1024};
 
-std::vector<NodeName> all_nodes() {
-  std::vector<NodeName> nodes;
-  for (int n = 0; n < kControllers; ++n) nodes.push_back(node_name(n));
-  return nodes;
+std::vector<ControllerName> all_nodes() {
+  std::vector<ControllerName> controllers;
+  for (int n = 0; n < kControllers; ++n) controllers.push_back(controller_name(n));
+  return controllers;
 }
 }  // namespace
 
-void Controller::own(PartId id, Term term) {
-  part::PartParams p;
-  p.report_period = from_seconds(env_.options.report_s);
+void Controller::acquire_shard(ShardId id, Term term) {
+  shard::ShardParams p;
+  p.heartbeat_period = from_seconds(env_.options.report_s);
   p.lease = from_seconds(kLease);
   p.cancel_limit = from_seconds(kCancelLimit);
   p.grace = from_seconds(kGrace);
-  auto& o = p_.parts[id];
+  auto& o = p_.shards[id];
   o = {};
-  o.part = std::make_unique<part::Part>(id, term, p, instant());
-  o.part->set_catalogue(env_.catalogue);
-  for (const auto& [j, record] : view().jobs()) show(*o.part, j);
+  o.shard = std::make_unique<shard::ShardManager>(id, term, p, instant());
+  o.shard->set_catalogue(env_.catalogue);
+  for (const auto& [j, record] : view().jobs()) publish(*o.shard, j);
   ++env_.outcome.takeovers;
 }
 
-Controller::Owned* Controller::find(PartId id, Term term) {
-  auto it = p_.parts.find(id);
-  return it == p_.parts.end() || it->second.part->term() != term ? nullptr : &it->second;
+Controller::Owned* Controller::find(ShardId id, Term term) {
+  auto it = p_.shards.find(id);
+  return it == p_.shards.end() || it->second.shard->term() != term ? nullptr : &it->second;
 }
 
-const part::Part* Controller::part(PartId id) const {
-  auto it = p_.parts.find(id);
-  return it == p_.parts.end() ? nullptr : it->second.part.get();
+const shard::ShardManager* Controller::shard(ShardId id) const {
+  auto it = p_.shards.find(id);
+  return it == p_.shards.end() ? nullptr : it->second.shard.get();
 }
 
-std::vector<wire::PartTerm> Controller::owned() const {
-  std::vector<wire::PartTerm> out;
-  for (const auto& [id, o] : p_.parts)
-    if (!o.part->superseded()) out.push_back({id, o.part->term()});
+std::vector<protocol::ShardTerm> Controller::owned() const {
+  std::vector<protocol::ShardTerm> out;
+  for (const auto& [id, o] : p_.shards)
+    if (!o.shard->superseded()) out.push_back({id, o.shard->term()});
   return out;
 }
 
-void Controller::show(part::Part& part, const JobId& job) {
+void Controller::publish(shard::ShardManager& shard, const JobId& job) {
   auto end = view().end(job);
-  if (mistake(Mistake::kCancellationUnseen) && end == store::End::kCancelled) end.reset();
-  part.on_job(job, view().job(job), end, instant());
+  if (mistake(Mistake::kCancellationUnseen) && end == state_store::TerminalState::kCancelled) end.reset();
+  shard.on_job(job, view().job(job), end, instant());
 }
 
 // Tasks of the job that run, by what this controller knows.
 std::uint32_t Controller::running(const JobId& id) const {
   std::uint32_t n = 0;
-  for (const auto& [part, o] : p_.parts) n += o.part->running(id);
-  for (const auto& [part, s] : p_.summaries) {
-    if (p_.parts.contains(part)) continue;
+  for (const auto& [shard, o] : p_.shards) n += o.shard->running(id);
+  for (const auto& [shard, s] : p_.summaries) {
+    if (p_.shards.contains(shard)) continue;
     for (const auto& c : s.running)
       if (c.job == id) n += c.running;
   }
   return n;
 }
 
-void Controller::load_registry(PartId id) {
-  auto all = store::registered_machines(view(), id);
-  auto& part = *p_.parts.at(id).part;
+void Controller::load_registry(ShardId id) {
+  auto all = state_store::registered_machines(view(), id);
+  auto& shard = *p_.shards.at(id).shard;
   if (mistake(Mistake::kRegistryNotRead))
-    std::erase_if(all, [&](const auto& r) { return !part.find_machine(r.name); });
-  part.on_registry(all, instant());
+    std::erase_if(all, [&](const auto& r) { return !shard.find_machine(r.name); });
+  shard.on_registry(all, instant());
 }
 
-void Controller::read_registry(PartId id, Owned& o) {
+void Controller::read_registry(ShardId id, Owned& o) {
   if (o.read || o.reading) return;
   o.reading = true;
-  p_.mirror->sync([this, id, term = o.part->term()](bool ok) {
+  p_.watch_cache->sync([this, id, term = o.shard->term()](bool ok) {
     auto* x = find(id, term);
     if (!x) return;
     x->reading = false;
@@ -90,132 +90,136 @@
   });
 }
 
-void Controller::tick_parts() {
+void Controller::tick_shards() {
   if (now() - p_.ticked > kStoodStill)
-    for (auto& [id, o] : p_.parts) o.part->on_stood_still(instant());
-  std::vector<PartId> ids;
-  for (auto& [id, o] : p_.parts) ids.push_back(id);
-  for (auto id : ids) tick_part(id);
+    for (auto& [id, o] : p_.shards) o.shard->on_process_pause(instant());
+  std::vector<ShardId> ids;
+  for (auto& [id, o] : p_.shards) ids.push_back(id);
+  for (auto id : ids) tick_shard(id);
 }
 
-void Controller::tick_part(PartId id) {
-  auto& o = p_.parts.at(id);
-  auto term = o.part->term();
+void Controller::tick_shard(ShardId id) {
+  auto& o = p_.shards.at(id);
+  auto term = o.shard->term();
   read_registry(id, o);
-  o.part->tick(instant(), cancellations_known_until(), p_.mirror->as_of());
-  for (auto& b : o.part->take_batches(instant())) command(id, term, b);
-  tell_leader(id, o);
+  o.shard->tick(instant(), cancellations_known_until(), p_.watch_cache->as_of());
+  for (auto& b : o.shard->take_command_batches(instant())) command(id, term, b);
+  notify_leader(id, o);
   write_registry(id, o);
   write_progress(id, o);
-  for (auto& m : o.part->take_deletions(instant())) remove(id, term, m);
+  for (auto& m : o.shard->take_machines_to_delete(instant())) remove(id, term, m);
 }
 
-void Controller::tell_leader(PartId id, Owned& o) {
+void Controller::notify_leader(ShardId id, Owned& o) {
   const auto& leader = view().leader();
-  if (o.part->superseded() || !leader.exists()) return;
-  bool all = now() >= o.tell_all || o.told != leader.value.term;
+  if (o.shard->superseded() || !leader.exists()) return;
+  bool all = now() >= o.next_full_notification || o.told != leader.value.term;
   if (all) {
-    o.tell_all = now() + kTellAllPeriod;
+    o.next_full_notification = now() + kTellAllPeriod;
     o.told = leader.value.term;
   }
-  auto jobs = o.part->outcomes(all);
+  auto jobs = o.shard->progress_report(all);
   if (mistake(Mistake::kReturnsUntold))
-    for (auto& j : jobs) j.returned.clear();
+    for (auto& j : jobs) j.released.clear();
   if (mistake(Mistake::kFailuresUntold))
-    for (auto& j : jobs) j.verdict = wire::Verdict::kNone;
+    for (auto& j : jobs) j.verdict = protocol::JobHealth::kNone;
   if (jobs.empty()) return;
-  wire::Outcomes outcomes{id, o.part->term(), std::move(jobs)};
-  send(node_number(leader.value.node), [outcomes](Controller& c) { c.on_outcomes(outcomes); });
+  protocol::ProgressReport progress_report{id, o.shard->term(), std::move(jobs)};
+  send(controller_number(leader.value.controller),
+       [progress_report](Controller& c) { c.on_progress_report(progress_report); });
 }
 
-void Controller::on_ask(int leader, const wire::Ask& ask) {
-  for (auto& [id, o] : p_.parts) {
-    wire::Answer a{ask.round, id, o.part->term(), p_.mirror->revision(), {}};
-    for (const auto& s : ask.shapes) a.rooms.push_back(o.part->estimate(s, instant()));
-    send(leader, [a](Controller& c) { c.on_answer(a); });
+void Controller::on_estimate_request(int leader, const protocol::EstimateRequest& estimate_request) {
+  for (auto& [id, o] : p_.shards) {
+    protocol::EstimateResponse a{estimate_request.round, id, o.shard->term(), p_.watch_cache->revision(), {}};
+    for (const auto& s : estimate_request.resource_requests)
+      a.rooms.push_back(o.shard->estimate(s, instant()));
+    send(leader, [a](Controller& c) { c.on_estimate_response(a); });
   }
 }
 
-void Controller::write(PartId id, Term term, const wire::Txn& t, bool Owned::*flag) {
+void Controller::write(ShardId id, Term term, const protocol::Txn& t, bool Owned::*flag) {
   find(id, term)->*flag = true;
-  env_.state.txn(n_, t, [this, id, term, t, flag](store::TxnResult r) {
-    if (r.outcome == store::Outcome::kOk) {
+  env_.state.txn(n_, t, [this, id, term, t, flag](state_store::TxnResult r) {
+    if (r.outcome == state_store::RequestOutcome::kOk) {
       if (auto* o = find(id, term)) o->*flag = false;
-      return p_.mirror->apply_own(t, r.revision);
+      return p_.watch_cache->apply_own(t, r.revision);
     }
-    p_.mirror->sync([this, id, term, flag](bool) {
+    p_.watch_cache->sync([this, id, term, flag](bool) {
       if (auto* o = find(id, term)) o->*flag = false;
     });
   });
 }
 
-void Controller::write_registry(PartId id, Owned& o) {
-  const auto& role = view().part_role(id);
-  if (o.registering || !role.exists() || role.value.term != o.part->term()) return;
-  auto t = store::registry_txn(view(), id, o.part->unregistered(), all_nodes(), kRegistryLimits);
-  if (t) write(id, o.part->term(), *t, &Owned::registering);
+void Controller::write_registry(ShardId id, Owned& o) {
+  const auto& role = view().shard_role(id);
+  if (o.registering || !role.exists() || role.value.term != o.shard->term()) return;
+  auto t =
+      state_store::registry_txn(view(), id, o.shard->unregistered_machines(), all_nodes(), kRegistryLimits);
+  if (t) write(id, o.shard->term(), *t, &Owned::registering);
 }
 
-void Controller::write_progress(PartId id, Owned& o) {
-  const auto& role = view().part_role(id);
-  if (o.writing || !role.exists() || role.value.term != o.part->term()) return;
-  auto unwritten = o.part->unwritten();
-  std::erase_if(o.unwritten, [&](const auto& u) { return !unwritten.contains(u.first); });
+void Controller::write_progress(ShardId id, Owned& o) {
+  const auto& role = view().shard_role(id);
+  if (o.writing || !role.exists() || role.value.term != o.shard->term()) return;
+  auto unwritten_progress = o.shard->unwritten_progress();
+  std::erase_if(o.unwritten_progress, [&](const auto& u) { return !unwritten_progress.contains(u.first); });
   const auto& leader = view().leader();
-  bool told = leader.exists() && p_.heartbeats->reachable(node_number(leader.value.node), instant());
-  wire::Txn t{{{store::part_role_key(id), role.version}}, {}};
-  for (auto& [j, p] : unwritten) {
-    double delay = !told ? kProgressDelay : p.returned.empty() ? kProgressDelayTold : kReturnedDelay;
-    if (now() - o.unwritten.try_emplace(j, now()).first->second < delay) continue;
-    if (mistake(Mistake::kReturnsUntold)) p.returned.clear();
+  bool told =
+      leader.exists() && p_.heartbeats->reachable(controller_number(leader.value.controller), instant());
+  protocol::Txn t{{{state_store::shard_role_key(id), role.version}}, {}};
+  for (auto& [j, p] : unwritten_progress) {
+    double delay = !told ? kProgressDelay : p.released.empty() ? kProgressDelayTold : kReturnedDelay;
+    if (now() - o.unwritten_progress.try_emplace(j, now()).first->second < delay) continue;
+    if (mistake(Mistake::kReturnsUntold)) p.released.clear();
     const auto* job = view().job(j);
     if (!job) continue;
-    auto key = store::progress_key(id, j);
+    auto key = state_store::progress_key(id, j);
     auto have = job->progress.find(id);
     t.conditions.push_back({key, have == job->progress.end() ? Revision() : have->second.version});
-    t.writes.push_back({key, store::to_json(p), std::nullopt});
+    t.writes.push_back({key, state_store::to_json(p), std::nullopt});
   }
-  if (!t.writes.empty()) write(id, o.part->term(), t, &Owned::writing);
+  if (!t.writes.empty()) write(id, o.shard->term(), t, &Owned::writing);
 }
 
-void Controller::on_report(const wire::Report& r, const Workers::Reply& reply) {
-  auto id = env_.parting.of(r.zone, r.machine);
-  auto it = p_.parts.find(id);
-  if (it == p_.parts.end() || it->second.part->superseded()) return relay(id, r, reply);
+void Controller::on_worker_heartbeat(const protocol::WorkerHeartbeat& r, const Workers::Reply& reply) {
+  auto id = env_.partitioning.of(r.zone, r.machine);
+  auto it = p_.shards.find(id);
+  if (it == p_.shards.end() || it->second.shard->superseded()) return relay(id, r, reply);
   auto out = answer(it->second, id, r);
-  it->second.part->on_heard_directly(r.machine);
+  it->second.shard->on_direct_contact(r.machine);
   reply(out);
 }
 
-ReportReply Controller::answer(Owned& o, PartId id, const wire::Report& r) {
-  auto& part = *o.part;
+HeartbeatReply Controller::answer(Owned& o, ShardId id, const protocol::WorkerHeartbeat& r) {
+  auto& shard = *o.shard;
   // Without knowing of cancellations for this long, the leases of tasks that may be cancelled have to run
   // out.
   if (instant() - cancellations_known_until() > from_seconds(kCancelLimit - kLease - kCancelMargin))
     return {};
-  part.on_report(r, instant());
-  if (part.superseded()) {
-    p_.mirror->sync([](bool) {});
+  shard.on_worker_heartbeat(r, instant());
+  if (shard.superseded()) {
+    p_.watch_cache->sync([](bool) {});
     return {std::nullopt, owner_of(id).value_or(-1)};
   }
-  if (!part.find_machine(r.machine)) return {};
-  return {part.answer(r.machine, instant()), -1};
+  if (!shard.find_machine(r.machine)) return {};
+  return {shard.answer(r.machine, instant()), -1};
 }
 
-void Controller::command(PartId id, Term term, const part::Part::Batch& b) {
+void Controller::command(ShardId id, Term term, const shard::ShardManager::Batch& b) {
   auto life = env_.network.life(n_);
   env_.workers.command(n_, b, [this, id, term, b, life](std::optional<CommandReply> r) {
     env_.network.run(n_, life, Await::kCommand, [this, id, term, b, r] {
       auto* o = find(id, term);
       if (!o) return;
-      using Result = part::Part::CommandResult;
-      if (!r) return o->part->on_commands(b, Result::kNoAnswer, std::nullopt, instant());
-      o->part->on_commands(b, r->executed ? Result::kExecuted : Result::kRejected, r->report, instant());
+      using Result = shard::ShardManager::CommandResult;
+      if (!r) return o->shard->on_commands(b, Result::kNoAnswer, std::nullopt, instant());
+      o->shard->on_commands(b, r->executed ? Result::kExecuted : Result::kRejected, r->heartbeat, instant());
     });
   });
 }
 
-void Controller::remove(PartId id, Term term, const MachineName& m) {
+void Controller::remove(ShardId id, Term term, const MachineName& m) {
   env_.decisions.on_deletion(n_, m);
   auto life = env_.network.life(n_);
   env_.cloud.remove(m, [this, id, term, m, life](bool ok) {
@@ -224,14 +228,14 @@
         broadcast([m](Controller& c) { c.on_deleted(m); });
         on_deleted(m);
       } else if (auto* o = find(id, term)) {
-        o->part->on_delete_failed(m, instant());
+        o->shard->on_delete_failed(m, instant());
       }
     });
   });
 }
 
 void Controller::on_deleted(const MachineName& m) {
-  for (auto& [id, o] : p_.parts) o.part->on_deleted(m, instant());
+  for (auto& [id, o] : p_.shards) o.shard->on_deleted(m, instant());
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/controller_peers.cpp
+++ b/tests/sim/controller_peers.cpp
@@ -14,72 +14,75 @@
 
 void Controller::send_heartbeat(int to) {
   auto h = p_.heartbeats->next(to, known(), instant());
-  h.told = Revision(UINT64_MAX);  // for earlier versions only
+  h.acknowledged_until = Revision(UINT64_MAX);  // for earlier versions only
   h.terms = owned();
-  h.state_ok = p_.mirror->ready();
+  h.state_ok = p_.watch_cache->ready();
   send(to, [from = n_, h](Controller& c) { c.on_heartbeat(from, h); });
 }
 
 Heartbeats::Known Controller::known() const {
-  return {p_.mirror->ready(), p_.mirror->revision(), view().cancelled()};
+  return {p_.watch_cache->ready(), p_.watch_cache->revision(), view().cancelled()};
 }
 
-void Controller::on_heartbeat(int from, const wire::Heartbeat& h) {
+void Controller::on_heartbeat(int from, const protocol::Heartbeat& h) {
   // Before anything is sent that acknowledges them.
-  if (h.disclosure) p_.mirror->apply_cancelled(h.disclosure->cancelled);
+  if (h.cancellation_sync) p_.watch_cache->apply_cancelled(h.cancellation_sync->cancelled);
   if (p_.heartbeats->on_heartbeat(from, h, known(), instant())) send_heartbeat(from);
   for (const auto& t : h.terms)
-    if (auto it = p_.parts.find(t.part); it != p_.parts.end()) it->second.part->supersede(t.term);
+    if (auto it = p_.shards.find(t.shard); it != p_.shards.end()) it->second.shard->supersede(t.term);
 }
 
-void Controller::share_cancellations(const store::View::Touched& t) {
-  bool any = std::any_of(t.jobs.begin(), t.jobs.end(),
-                         [&](const JobId& id) { return view().end(id) == store::End::kCancelled; });
+void Controller::share_cancellations(const state_store::StateView::ChangeSet& t) {
+  bool any = std::any_of(t.jobs.begin(), t.jobs.end(), [&](const JobId& id) {
+    return view().end(id) == state_store::TerminalState::kCancelled;
+  });
   if (!any) return;
   for (int to = 0; to < kControllers; ++to)
     if (to != n_ && p_.heartbeats->reachable(to, instant()) &&
-        p_.heartbeats->disclosure().lacks_some(node_name(to), known()))
+        p_.heartbeats->cancellation_sync().lacks_cancellations(controller_name(to), known()))
       send_heartbeat(to);
 }
 
-bool Controller::disclose(const JobId& id) const {
+bool Controller::may_acknowledge_cancellation(const JobId& id) const {
   if (mistake(Mistake::kDisclosedAtOnce)) return true;
-  const auto& end = view().ending(id);
-  return p_.heartbeats->disclosure().may_disclose({end.version, id, end.value.done}, known(), instant());
+  const auto& end = view().terminal_record(id);
+  return p_.heartbeats->cancellation_sync().may_acknowledge({end.version, id, end.value.done}, known(),
+                                                            instant());
 }
 
 Instant Controller::cancellations_known_until() const {
-  auto by_peers = p_.heartbeats->disclosure().known_until(p_.mirror->ready(), instant());
-  return std::max(p_.mirror->as_of(), by_peers);
+  auto by_peers = p_.heartbeats->cancellation_sync().known_until(p_.watch_cache->ready(), instant());
+  return std::max(p_.watch_cache->as_of(), by_peers);
 }
 
 void Controller::send_summaries() {
-  for (const auto& [id, o] : p_.parts) {
-    auto s = o.part->summary(instant());
-    s.seen = p_.mirror->revision();
+  for (const auto& [id, o] : p_.shards) {
+    auto s = o.shard->summary(instant());
+    s.seen = p_.watch_cache->revision();
     on_summary(s);
     broadcast([s](Controller& c) { c.on_summary(s); });
   }
 }
 
-void Controller::on_summary(const wire::Summary& s) {
-  p_.summaries[s.part] = s;
-  if (p_.lead) p_.lead->on_summary(s, instant());
+void Controller::on_summary(const protocol::Summary& s) {
+  p_.summaries[s.shard] = s;
+  if (p_.scheduler) p_.scheduler->on_summary(s, instant());
 }
 
-// The owner of the highest term that the state service or another controller has told of, if it's there.
-std::optional<int> Controller::owner_of(PartId id) const {
-  const auto& role = view().part_role(id);
+// The owner of the highest term that the state store or another controller has told of, if it's there.
+std::optional<int> Controller::owner_of(ShardId id) const {
+  const auto& role = view().shard_role(id);
   std::optional<int> owner;
-  if (role.exists() && view().alive(role.value.node)) owner = node_number(role.value.node);
-  if (auto told = p_.heartbeats->owner(id);
-      told && told->term > role.value.term && p_.heartbeats->reachable(told->node, instant()))
-    owner = told->node;
+  if (role.exists() && view().alive(role.value.controller)) owner = controller_number(role.value.controller);
+  if (auto acknowledged_until = p_.heartbeats->owner(id);
+      acknowledged_until && acknowledged_until->term > role.value.term &&
+      p_.heartbeats->reachable(acknowledged_until->controller, instant()))
+    owner = acknowledged_until->controller;
   if (owner == n_) owner.reset();
   return owner;
 }
 
-void Controller::relay(PartId id, const wire::Report& r, const Workers::Reply& reply) {
+void Controller::relay(ShardId id, const protocol::WorkerHeartbeat& r, const Workers::Reply& reply) {
   auto owner = owner_of(id);
   if (!owner || !p_.heartbeats->reachable(*owner, instant()))
     return reply({std::nullopt, owner.value_or(-1)});
@@ -87,24 +90,25 @@
   p_.relayed[number] = {id, reply};
   env_.network.later(n_, kRelayWait, Await::kTimer, [this, number] {
     auto it = p_.relayed.find(number);
-    if (it != p_.relayed.end()) on_relayed(number, {std::nullopt, owner_of(it->second.part).value_or(-1)});
+    if (it != p_.relayed.end())
+      on_relayed_reply(number, {std::nullopt, owner_of(it->second.shard).value_or(-1)});
   });
-  send(*owner, [from = n_, number, r](Controller& c) { c.on_relay(from, number, r); });
+  send(*owner, [from = n_, number, r](Controller& c) { c.on_relayed_heartbeat(from, number, r); });
 }
 
-void Controller::on_relay(int from, std::uint64_t number, const wire::Report& r) {
-  auto id = env_.parting.of(r.zone, r.machine);
-  auto it = p_.parts.find(id);
-  ReportReply out{std::nullopt, n_};
-  if (it == p_.parts.end() || it->second.part->superseded()) {
+void Controller::on_relayed_heartbeat(int from, std::uint64_t number, const protocol::WorkerHeartbeat& r) {
+  auto id = env_.partitioning.of(r.zone, r.machine);
+  auto it = p_.shards.find(id);
+  HeartbeatReply out{std::nullopt, n_};
+  if (it == p_.shards.end() || it->second.shard->superseded()) {
     out.redirect = owner_of(id).value_or(-1);
-  } else if (!it->second.part->point_here(r, instant())) {
+  } else if (!it->second.shard->should_redirect_here(r, instant())) {
     out = answer(it->second, id, r);
   }
-  send(from, [number, out](Controller& c) { c.on_relayed(number, out); });
+  send(from, [number, out](Controller& c) { c.on_relayed_reply(number, out); });
 }
 
-void Controller::on_relayed(std::uint64_t number, const ReportReply& r) {
+void Controller::on_relayed_reply(std::uint64_t number, const HeartbeatReply& r) {
   auto it = p_.relayed.find(number);
   if (it == p_.relayed.end()) return;
   auto reply = std::move(it->second.reply);
--- a/tests/sim/controller_roles.cpp
+++ b/tests/sim/controller_roles.cpp
@@ -1,120 +1,123 @@
-// Taking, keeping and handing back the roles (owner of a part, leader), as `node::RolesDuty` does.
+// Taking, keeping and handing back the roles (owner of a shard, leader), as `controller::LeaderElection`
+// does.
 #include "sim/controller.h"
 
 namespace beaconsill::sim {
 namespace {
-constexpr double kRankDelay = 1.2;
+constexpr double kCandidateDelay = 1.2;
 constexpr double kHomeDelay = 6;
-constexpr int kUnsettledFactor = 4;  // times that, a part that isn't in good order stays where it is
+constexpr int kUnsettledFactor = 4;  // times that, a shard that isn't in good order stays where it is
 }  // namespace
 
-std::map<PartId, Term> Controller::terms() const {
-  std::map<PartId, Term> out;
-  for (std::uint32_t p = 0; p < env_.parting.parts(); ++p)
-    if (const auto& r = view().part_role(PartId(p)); r.exists()) out[PartId(p)] = r.value.term;
+std::map<ShardId, Term> Controller::terms() const {
+  std::map<ShardId, Term> out;
+  for (std::uint32_t p = 0; p < env_.partitioning.shards(); ++p)
+    if (const auto& r = view().shard_role(ShardId(p)); r.exists()) out[ShardId(p)] = r.value.term;
   return out;
 }
 
 void Controller::roles() {
   if (!ready()) return;
-  for (std::uint32_t p = 0; p < env_.parting.parts(); ++p)
-    role(store::part_role_key(PartId(p)), view().part_role(PartId(p)), PartId(p));
-  role(store::leader_role_key(), view().leader(), std::nullopt);
+  for (std::uint32_t p = 0; p < env_.partitioning.shards(); ++p)
+    role(state_store::shard_role_key(ShardId(p)), view().shard_role(ShardId(p)), ShardId(p));
+  role(state_store::leader_role_key(), view().leader(), std::nullopt);
 }
 
-void Controller::role(const std::string& key, const store::Versioned<store::Role>& r,
-                      std::optional<PartId> part) {
+void Controller::role(const std::string& key, const state_store::Versioned<state_store::Role>& r,
+                      std::optional<ShardId> shard) {
   auto& s = p_.roles[key];
-  bool mine = r.exists() && r.value.node == name();
-  if (s.held && (!mine || r.value.term > *s.held)) lose(s, part);
-  if (s.claiming) return;
+  bool mine = r.exists() && r.value.controller == name();
+  if (s.held && (!mine || r.value.term > *s.held)) lose_role(s, shard);
+  if (s.acquiring) return;
   if (s.held) {
-    if (part) keep_or_hand_back(s, key, r, *part);
+    if (shard) keep_or_fail_back(s, key, r, *shard);
     return;
   }
   if (!view().alive(name())) return;
   // Held by an earlier process of this controller, or given to it.
-  if (mine) return claim(key, r, part);
-  if (r.exists() && view().alive(r.value.node)) {
+  if (mine) return acquire(key, r, shard);
+  if (r.exists() && view().alive(r.value.controller)) {
     s.vacant_since.reset();
     return;
   }
   if (!s.vacant_since) s.vacant_since = now();
-  if (now() - *s.vacant_since >= rank(part) * kRankDelay) claim(key, r, part);
+  if (now() - *s.vacant_since >= rank(shard) * kCandidateDelay) acquire(key, r, shard);
 }
 
-void Controller::lose(RoleState& s, std::optional<PartId> part) {
+void Controller::lose_role(RoleState& s, std::optional<ShardId> shard) {
   s.held.reset();
-  if (part) {
-    p_.parts.erase(*part);
+  if (shard) {
+    p_.shards.erase(*shard);
   } else {
-    p_.lead.reset();
-    p_.ending.clear();
+    p_.scheduler.reset();
+    p_.terminal_record.clear();
   }
 }
 
-void Controller::keep_or_hand_back(RoleState& s, const std::string& key,
-                                   const store::Versioned<store::Role>& r, PartId part) {
-  const auto& home = env_.parting.home(part);
-  if (home == name() || !view().alive(home)) {
-    s.home_since.reset();
+void Controller::keep_or_fail_back(RoleState& s, const std::string& key,
+                                   const state_store::Versioned<state_store::Role>& r, ShardId shard) {
+  const auto& preferred_controller = env_.partitioning.preferred_controller(shard);
+  if (preferred_controller == name() || !view().alive(preferred_controller)) {
+    s.preferred_alive_since.reset();
     return;
   }
-  if (!s.home_since) s.home_since = now();
-  double away = now() - *s.home_since;
-  auto owned = p_.parts.find(part);
-  bool settled = owned != p_.parts.end() && owned->second.part->settled(instant());
-  if (away <= kHomeDelay || (!settled && away <= kUnsettledFactor * kHomeDelay)) return;
-  s.home_since.reset();
-  hand_back(key, r, part);
+  if (!s.preferred_alive_since) s.preferred_alive_since = now();
+  double away = now() - *s.preferred_alive_since;
+  auto owned = p_.shards.find(shard);
+  bool is_stable = owned != p_.shards.end() && owned->second.shard->is_stable(instant());
+  if (away <= kHomeDelay || (!is_stable && away <= kUnsettledFactor * kHomeDelay)) return;
+  s.preferred_alive_since.reset();
+  fail_back(key, r, shard);
 }
 
-int Controller::rank(std::optional<PartId> part) const {
-  int first = part ? static_cast<int>(part->value()) : 0;
+int Controller::rank(std::optional<ShardId> shard) const {
+  int first = shard ? static_cast<int>(shard->value()) : 0;
   int place = 0;
   for (int i = 0; i < kControllers; ++i) {
-    int node = (first + i) % kControllers;
-    if (node == n_) break;
-    if (view().alive(node_name(node))) ++place;
+    int controller = (first + i) % kControllers;
+    if (controller == n_) break;
+    if (view().alive(controller_name(controller))) ++place;
   }
   return place;
 }
 
-void Controller::claim(const std::string& key, const store::Versioned<store::Role>& r,
-                       std::optional<PartId> part) {
-  p_.roles[key].claiming = true;
+void Controller::acquire(const std::string& key, const state_store::Versioned<state_store::Role>& r,
+                         std::optional<ShardId> shard) {
+  p_.roles[key].acquiring = true;
   Term term(r.value.term.value() + 1);
-  wire::Txn t{{{key, r.version}},
-              {{key, store::to_json(store::Role{name(), term, r.value.readable_since}), std::nullopt}}};
+  protocol::Txn t{
+      {{key, r.version}},
+      {{key, state_store::to_json(state_store::Role{name(), term, r.value.readable_since}), std::nullopt}}};
   // Only an owner that is gone, or is this very controller, may be replaced.
-  if (r.exists() && r.value.node != name())
-    t.conditions.push_back({store::alive_key(r.value.node), Revision()});
-  env_.state.txn(n_, t, [this, key, part, term, t](store::TxnResult result) {
+  if (r.exists() && r.value.controller != name())
+    t.conditions.push_back({state_store::alive_key(r.value.controller), Revision()});
+  env_.state.txn(n_, t, [this, key, shard, term, t](state_store::TxnResult result) {
     auto& s = p_.roles[key];
-    if (result.outcome != store::Outcome::kOk)
-      return p_.mirror->sync([this, key](bool) { p_.roles[key].claiming = false; });
-    s.claiming = false;
+    if (result.outcome != state_store::RequestOutcome::kOk)
+      return p_.watch_cache->sync([this, key](bool) { p_.roles[key].acquiring = false; });
+    s.acquiring = false;
     s.vacant_since.reset();
     s.held = term;
-    p_.mirror->apply_own(t, result.revision);
+    p_.watch_cache->apply_own(t, result.revision);
     if (!s.held) return;  // lost again within the call above
-    if (part) {
-      own(*part, term);
+    if (shard) {
+      acquire_shard(*shard, term);
     } else {
-      lead(term);
+      become_leader(term);
     }
   });
 }
 
 // This controller goes on as the owner until it sees that the change was applied.
-void Controller::hand_back(const std::string& key, const store::Versioned<store::Role>& r, PartId part) {
+void Controller::fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& r,
+                           ShardId shard) {
   auto& s = p_.roles[key];
-  store::Role next{env_.parting.home(part), Term(s.held->value() + 1)};
-  wire::Txn t{{{key, r.version}}, {{key, store::to_json(next), std::nullopt}}};
-  s.claiming = true;
-  env_.state.txn(n_, t, [this, key, t](store::TxnResult result) {
-    p_.roles[key].claiming = false;
-    if (result.outcome == store::Outcome::kOk) p_.mirror->apply_own(t, result.revision);
+  state_store::Role next{env_.partitioning.preferred_controller(shard), Term(s.held->value() + 1)};
+  protocol::Txn t{{{key, r.version}}, {{key, state_store::to_json(next), std::nullopt}}};
+  s.acquiring = true;
+  env_.state.txn(n_, t, [this, key, t](state_store::TxnResult result) {
+    p_.roles[key].acquiring = false;
+    if (result.outcome == state_store::RequestOutcome::kOk) p_.watch_cache->apply_own(t, result.revision);
   });
 }
 
--- a/tests/sim/decision_digest.cpp
+++ b/tests/sim/decision_digest.cpp
@@ -3,8 +3,8 @@
 #include <cmath>
 #include <string>
 
+#include "protocol/worker.h"
 #include "sim/workers.h"
-#include "wire/worker.h"
 
 namespace beaconsill::sim {
 namespace {
@@ -12,18 +12,20 @@
 constexpr double kNanosecondsPerSecond = 1e9;
 }  // namespace
 
-void DecisionDigest::on_transaction(int controller, const wire::Txn& transaction) {
-  fold(Kind::kTransaction, controller, {wire::render_txn(transaction)});
+void DecisionDigest::on_transaction(int controller, const protocol::Txn& transaction) {
+  fold(Kind::kTransaction, controller, {protocol::render_txn(transaction)});
 }
 
-void DecisionDigest::on_commands(int controller, const part::Part::Batch& batch) {
-  const auto commands = wire::render_commands(batch.token, batch.session, batch.commands);
+void DecisionDigest::on_commands(int controller, const shard::ShardManager::Batch& batch) {
+  const auto commands = protocol::render_commands(batch.token, batch.incarnation, batch.commands);
   fold(Kind::kCommands, controller, {batch.machine.value(), commands});
 }
 
-void DecisionDigest::on_report_reply(int controller, const MachineName& machine, const ReportReply& reply) {
-  const auto answer =
-      reply.answer ? wire::render_report_answer(reply.answer->token, reply.answer->commands) : std::string();
+void DecisionDigest::on_report_reply(int controller, const MachineName& machine,
+                                     const HeartbeatReply& reply) {
+  const auto answer = reply.answer
+                          ? protocol::render_heartbeat_response(reply.answer->token, reply.answer->commands)
+                          : std::string();
   fold(Kind::kReportReply, controller, {machine.value(), answer, std::to_string(reply.redirect)});
 }
 
--- a/tests/sim/decision_digest.h
+++ b/tests/sim/decision_digest.h
@@ -7,13 +7,13 @@
 #include <string_view>
 
 #include "net/http.h"
-#include "part/part.h"
+#include "protocol/state_store.h"
+#include "shard/shard_manager.h"
 #include "sim/clock.h"
-#include "wire/store.h"
 
 namespace beaconsill::sim {
 
-struct ReportReply;
+struct HeartbeatReply;
 
 // Folds each decision that leaves a controller, with its simulated time and the controller's number, into a
 // 64-bit hash. Only rendered messages, identifiers and numbers are hashed, so that no renaming of code alters
@@ -22,12 +22,12 @@
  public:
   explicit DecisionDigest(const EventQueue& queue) : queue_(queue) {}
 
-  // A transaction sent to the state service: grants, roles, ends, registries, submissions, cancellations.
-  void on_transaction(int controller, const wire::Txn& transaction);
+  // A transaction sent to the state store: grants, roles, ends, registries, submissions, cancellations.
+  void on_transaction(int controller, const protocol::Txn& transaction);
   // Commands sent to a worker.
-  void on_commands(int controller, const part::Part::Batch& batch);
+  void on_commands(int controller, const shard::ShardManager::Batch& batch);
   // The answer to a worker's report, or the controller that the worker is pointed to.
-  void on_report_reply(int controller, const MachineName& machine, const ReportReply& reply);
+  void on_report_reply(int controller, const MachineName& machine, const HeartbeatReply& reply);
   // A request to the cloud to delete a machine. The simulated cloud rents out nothing.
   void on_deletion(int controller, const MachineName& machine);
   // The answer to a user's request about a job.
--- a/tests/sim/environment.h
+++ b/tests/sim/environment.h
@@ -4,14 +4,14 @@
 #include <functional>
 
 #include "config/settings.h"
-#include "part/parting.h"
+#include "protocol/cloud.h"
+#include "shard/partitioning.h"
 #include "sim/cloud.h"
 #include "sim/decision_digest.h"
 #include "sim/network.h"
 #include "sim/options.h"
 #include "sim/state_service.h"
 #include "sim/workers.h"
-#include "wire/cloud.h"
 
 namespace beaconsill::sim {
 
@@ -27,8 +27,8 @@
   DecisionDigest& decisions;
   Outcome& outcome;
   const config::Settings& settings;
-  const part::Parting& parting;
-  std::shared_ptr<const wire::Catalogue> catalogue;
+  const shard::Partitioning& partitioning;
+  std::shared_ptr<const protocol::Catalogue> catalogue;
   std::function<Controller&(int)> controller;
 };
 
