--- a/tests/sim/heartbeats.cpp
+++ b/tests/sim/heartbeats.cpp
@@ -6,46 +6,46 @@
 namespace {
 constexpr Duration kFresh = std::chrono::milliseconds(1700);
 
-std::vector<NodeName> peers_of(int node) {
-  std::vector<NodeName> out;
+std::vector<ControllerName> peers_of(int controller) {
+  std::vector<ControllerName> out;
   for (int n = 0; n < kControllers; ++n)
-    if (n != node) out.push_back(node_name(n));
+    if (n != controller) out.push_back(controller_name(n));
   return out;
 }
 
-part::CancellationDisclosure::Params disclosure_params() {
-  using part::CancellationDisclosure;
-  return {CancellationDisclosure::promise_for(from_seconds(kCancelLimit), from_seconds(kLease)), kFresh};
+shard::CancellationBarrier::Params barrier_params() {
+  using shard::CancellationBarrier;
+  return {CancellationBarrier::read_lease_for(from_seconds(kCancelLimit), from_seconds(kLease)), kFresh};
 }
 }  // namespace
 
-Heartbeats::Heartbeats(int node, WallMs began, Instant now)
-    : node_(node),
+Heartbeats::Heartbeats(int controller, WallMs began, Instant now)
+    : node_(controller),
       sequence_(static_cast<std::uint64_t>(began.value()) << 16),
-      disclosure_(disclosure_params(), peers_of(node), now) {}
+      cancellation_barrier_(barrier_params(), peers_of(controller), now) {}
 
-wire::Heartbeat Heartbeats::next(int to, const Known& known, Instant now) {
-  wire::Heartbeat h;
+protocol::Heartbeat Heartbeats::next(int to, const Known& known, Instant now) {
+  protocol::Heartbeat h;
   h.sequence = ++sequence_;
-  h.echo = disclosure_.received(node_name(to));
-  h.disclosure = disclosure_.outgoing(node_name(to), h.sequence, known, now);
+  h.echo = cancellation_barrier_.received(controller_name(to));
+  h.cancellation_sync = cancellation_barrier_.outgoing(controller_name(to), h.sequence, known, now);
   return h;
 }
 
-bool Heartbeats::on_heartbeat(int from, const wire::Heartbeat& h, const Known& known, Instant now) {
+bool Heartbeats::on_heartbeat(int from, const protocol::Heartbeat& h, const Known& known, Instant now) {
   for (const auto& t : h.terms) {
-    auto& owner = owners_[t.part];
+    auto& owner = owners_[t.shard];
     if (t.term > owner.term) owner = {from, t.term};
   }
-  return disclosure_.on_heartbeat(node_name(from), h, known, now);
+  return cancellation_barrier_.on_heartbeat(controller_name(from), h, known, now);
 }
 
-bool Heartbeats::reachable(int node, Instant now) const {
-  return node == node_ || now - disclosure_.echoed(node_name(node)) < kFresh;
+bool Heartbeats::reachable(int controller, Instant now) const {
+  return controller == node_ || now - cancellation_barrier_.echoed(controller_name(controller)) < kFresh;
 }
 
-std::optional<Heartbeats::Owner> Heartbeats::owner(PartId part) const {
-  auto it = owners_.find(part);
+std::optional<Heartbeats::Owner> Heartbeats::owner(ShardId shard) const {
+  auto it = owners_.find(shard);
   if (it == owners_.end()) return std::nullopt;
   return it->second;
 }
--- a/tests/sim/heartbeats.h
+++ b/tests/sim/heartbeats.h
@@ -1,38 +1,38 @@
-// What a controller knows of the others by their heartbeats, as `node::PeersDuty` keeps it.
+// What a controller knows of the others by their heartbeats, as `controller::PeerService` keeps it.
 #pragma once
 
 #include <map>
 #include <optional>
 
-#include "part/cancellation_disclosure.h"
+#include "protocol/peer.h"
+#include "shard/cancellation_barrier.h"
 #include "sim/topology.h"
-#include "wire/peer.h"
 
 namespace beaconsill::sim {
 
 class Heartbeats {
  public:
-  using Known = part::CancellationDisclosure::Known;
-  Heartbeats(int node, WallMs began, Instant now);
+  using Known = shard::CancellationBarrier::Known;
+  Heartbeats(int controller, WallMs began, Instant now);
 
   // The next heartbeat for that controller. The sender adds what it owns.
-  wire::Heartbeat next(int to, const Known& known, Instant now);
+  protocol::Heartbeat next(int to, const Known& known, Instant now);
   // Whether one should go back at once.
-  bool on_heartbeat(int from, const wire::Heartbeat& h, const Known& known, Instant now);
-  const part::CancellationDisclosure& disclosure() const { return disclosure_; }
-  bool reachable(int node, Instant now) const;
+  bool on_heartbeat(int from, const protocol::Heartbeat& h, const Known& known, Instant now);
+  const shard::CancellationBarrier& cancellation_sync() const { return cancellation_barrier_; }
+  bool reachable(int controller, Instant now) const;
   struct Owner {
-    int node = 0;
+    int controller = 0;
     Term term;
   };
   // The owner under the highest term that any has claimed.
-  std::optional<Owner> owner(PartId part) const;
+  std::optional<Owner> owner(ShardId shard) const;
 
  private:
   int node_;
   std::uint64_t sequence_;
-  part::CancellationDisclosure disclosure_;
-  std::map<PartId, Owner> owners_;
+  shard::CancellationBarrier cancellation_barrier_;
+  std::map<ShardId, Owner> owners_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/meetings.cpp
+++ b/tests/sim/meetings.cpp
@@ -28,7 +28,7 @@
   t.kind = kind;
   t.for_s = q.uniform(4, 25);
   t.share = q.uniform(0.1, 0.6);
-  t.hold = q.chance(0.5);
+  t.lease = q.chance(0.5);
   t.who = q.chance(0.5) ? Who::leader() : Who::drawn();
   t.which = q.chance(0.3) ? Which::in_zone(zones()[static_cast<std::size_t>(q.draw_below(3))])
                           : Which::drawn(1 + q.draw_below(4));
@@ -43,7 +43,8 @@
     }
     case TroubleKind::kNodeStandsStill:
       t.for_s = q.uniform(1, 12);
-      if (q.chance(0.7)) t.await = static_cast<Await>(q.draw_below(static_cast<int>(Await::kUser) + 1));
+      if (q.chance(0.7))
+        t.await = static_cast<Await>(q.draw_below(static_cast<int>(Await::kUserRequest) + 1));
       break;
     case TroubleKind::kLeadersChange:
       t.for_s = q.uniform(15, 40);
--- a/tests/sim/mirror.cpp
+++ b/tests/sim/mirror.cpp
@@ -2,15 +2,15 @@
 
 namespace beaconsill::sim {
 
-Mirror::Mirror(int node, EventQueue& queue, StateService& state, Mistake mistake,
-               std::function<void(const store::View::Touched&)> on_change)
-    : node_(node), queue_(queue), state_(state), mistake_(mistake), on_change_(std::move(on_change)) {}
+WatchCache::WatchCache(int controller, EventQueue& queue, StateService& state, Mistake mistake,
+                       std::function<void(const state_store::StateView::ChangeSet&)> on_change)
+    : node_(controller), queue_(queue), state_(state), mistake_(mistake), on_change_(std::move(on_change)) {}
 
-Revision Mirror::revision() const {
+Revision WatchCache::revision() const {
   return known_ ? state_.log()[known_ - 1].version : Revision();
 }
 
-void Mirror::sync(std::function<void(bool)> done) {
+void WatchCache::sync(std::function<void(bool)> done) {
   waiting_.push_back(std::move(done));
   if (reading_) return;
   reading_ = true;
@@ -21,38 +21,39 @@
     for (; known_ < *upto; ++known_) view_.apply(state_.log()[known_]);
     word_ = begun;
     ready_ = true;
-    settle();
+    publish_changes();
     finish(true, *served);
   });
 }
 
-void Mirror::finish(bool ok, const Waiting& served) {
+void WatchCache::finish(bool ok, const Waiting& served) {
   reading_ = false;
   for (const auto& done : served) done(ok);
   if (!reading_ && !waiting_.empty()) sync([](bool) {});
 }
 
-void Mirror::settle() {
-  auto touched = view_.take_touched();
+void WatchCache::publish_changes() {
+  auto touched = view_.take_changes();
   if (touched.any()) on_change_(touched);
 }
 
-void Mirror::apply_own(const wire::Txn& t, Revision r) {
+void WatchCache::apply_own(const protocol::Txn& t, Revision r) {
   for (const auto& w : t.writes) view_.apply({w.key, w.value, r});
-  settle();
+  publish_changes();
 }
 
-void Mirror::apply_cancelled(const std::vector<wire::CancelledJob>& jobs) {
+void WatchCache::apply_cancelled(const std::vector<protocol::CancelledJob>& jobs) {
   for (const auto& c : jobs) {
-    auto value = store::to_json(store::Ending{store::End::kCancelled, c.done});
-    view_.apply({store::end_key(c.job), value, c.revision});
+    auto value =
+        state_store::to_json(state_store::TerminalRecord{state_store::TerminalState::kCancelled, c.done});
+    view_.apply({state_store::terminal_key(c.job), value, c.revision});
   }
-  if (ready_) settle();
+  if (ready_) publish_changes();
 }
 
-void EndpointView::sync(std::function<void(bool)> done) {
+void EndpointReader::sync(std::function<void(bool)> done) {
   if (mistake_ == Mistake::kAnswersUnread) return done(true);
-  mirror_->sync([this, done](bool ok) {
+  watch_cache_->sync([this, done](bool ok) {
     failed_ |= !ok;
     if (mistake_ == Mistake::kCallbackLost && failed_) return;
     done(ok || mistake_ == Mistake::kOutageIsEmpty);
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -11,12 +11,12 @@
 namespace beaconsill::sim {
 
 // What a controller's callback is about: it can be made to stand still right before the next one of a kind.
-enum class Await { kTimer, kTransaction, kRead, kCommand, kPeer, kReport, kUser };
+enum class Await { kTimer, kTransaction, kRead, kCommand, kPeer, kReport, kUserRequest };
 
 // A connection that is interrupted. What is sent meanwhile is refused, or held and delivered afterwards.
 struct Cut {
   double until = 0;
-  bool hold = false;
+  bool lease = false;
 };
 
 class Network {
@@ -24,31 +24,33 @@
   explicit Network(EventQueue& queue) : queue_(queue) {}
 
   // ---- Processes
-  bool up(int node) const { return at(node).up; }
-  std::uint64_t life(int node) const { return at(node).life; }
-  void start(int node);
-  void stop(int node) { at(node).up = false; }
+  bool up(int controller) const { return at(controller).up; }
+  std::uint64_t life(int controller) const { return at(controller).life; }
+  void start(int controller);
+  void stop(int controller) { at(controller).up = false; }
   // The process does nothing until then; what comes meanwhile waits.
-  void stand_still(int node, double until) { at(node).still_until = until; }
+  void pause_detector(int controller, double until) { at(controller).still_until = until; }
   // The same, beginning with its next callback of that kind.
-  void stand_still_at(int node, Await await, double for_s);
+  void stand_still_at(int controller, Await await, double for_s);
   // `f` happens at the controller now, or once it doesn't stand still any more; never in another life.
-  void run(int node, std::uint64_t life, Await await, std::function<void()> f);
-  void run(int node, Await await, std::function<void()> f) { run(node, life(node), await, std::move(f)); }
-  void later(int node, double d, Await await, std::function<void()> f);
+  void run(int controller, std::uint64_t life, Await await, std::function<void()> f);
+  void run(int controller, Await await, std::function<void()> f) {
+    run(controller, life(controller), await, std::move(f));
+  }
+  void later(int controller, double d, Await await, std::function<void()> f);
 
   // ---- Cuts
-  void cut_state(int node, Cut c) { at(node).state = c; }
-  void cut_peers(int node, Cut c) { at(node).peers = c; }
-  void cut_workers(int node, Cut c) { at(node).workers = c; }
-  void cut_users(int node, Cut c) { at(node).users = c; }
+  void cut_state(int controller, Cut c) { at(controller).state = c; }
+  void cut_peers(int controller, Cut c) { at(controller).peers = c; }
+  void cut_workers(int controller, Cut c) { at(controller).workers = c; }
+  void cut_users(int controller, Cut c) { at(controller).users = c; }
   // Nothing passes between the zone and everything else.
   void cut_zone(const Zone& zone, Cut c) { zones_[zone] = c; }
   // The cut on the way, if there is one.
-  std::optional<Cut> way_to_state(int node) const;
-  std::optional<Cut> way_between(int node, int other) const;
-  std::optional<Cut> way_to_worker(int node, const Zone& zone) const;
-  std::optional<Cut> way_to_user(int node) const;
+  std::optional<Cut> way_to_state(int controller) const;
+  std::optional<Cut> way_between(int controller, int other) const;
+  std::optional<Cut> way_to_worker(int controller, const Zone& zone) const;
+  std::optional<Cut> way_to_user(int controller) const;
 
   // ---- Messages between controllers
   // Lost, late, or come twice. `f` is what the receiver does.
@@ -65,8 +67,8 @@
     std::optional<std::pair<Await, double>> still_at;
     Cut state, peers, workers, users;
   };
-  Process& at(int node) { return processes_[static_cast<std::size_t>(node)]; }
-  const Process& at(int node) const { return processes_[static_cast<std::size_t>(node)]; }
+  Process& at(int controller) { return processes_[static_cast<std::size_t>(controller)]; }
+  const Process& at(int controller) const { return processes_[static_cast<std::size_t>(controller)]; }
   std::optional<Cut> active(const Cut& c) const;
   std::optional<Cut> leaving(const Zone& zone) const;
   std::optional<Cut> between(const Zone& a, const Zone& b) const;
--- a/tests/sim/options.h
+++ b/tests/sim/options.h
@@ -20,13 +20,13 @@
   kCancellationUnseen,  // owners don't learn of cancellations
   kDisclosedAtOnce,     // users are told of cancellations that other controllers haven't acknowledged
   kNoRoleCondition,     // leaders write though they have been replaced
-  kReturnsUntold,       // what a part returns nobody learns of
+  kReturnsUntold,       // what a shard returns nobody learns of
   kLimitIgnored,        // the leader knows no team's limit
   kDoneTooSoon,         // a job passes for done when half of its tasks are
   kCopiesAreNews,       // late copies of reports pass for the newest word
   kZoneIgnored,         // the zone that a job sets gets lost
   kZonesIgnored,        // that a job's tasks must be in one zone, or in several, gets lost
-  kAnswersUnread,       // users are answered without a read through the state service
+  kAnswersUnread,       // users are answered without a read through the state store
   kKnownUnread,         // the same, only for jobs that the controller knows of
   kOutageIsEmpty,       // what can't be read passes for what isn't there
   kKnownJudgedAgain,    // a repeated submission is judged as if it were new
--- a/tests/sim/rules.cpp
+++ b/tests/sim/rules.cpp
@@ -1,6 +1,6 @@
 #include "sim/rules.h"
 
-#include "store/records.h"
+#include "state_store/records.h"
 
 namespace beaconsill::sim {
 namespace {
@@ -18,7 +18,7 @@
 
 void Rules::on_begin(const Machine& m, const TaskId& task, const Job& job) {
   double now = queue_.now();
-  auto text = wire::task_name(task) + " on " + m.name.value();
+  auto text = protocol::task_name(task) + " on " + m.name.value();
   double used = 0;
   for (const auto& [name, other] : books_.machines) {
     if (other.gone || now - other.lease_from > kLease) continue;
@@ -45,7 +45,7 @@
 // Given the job's other tasks at this moment.
 void Rules::check_place(const Machine& m, const TaskId& task, const Job& job) {
   const auto& spec = *job.spec;
-  auto text = wire::task_name(task) + " on " + m.name.value() + " in " + m.zone.value();
+  auto text = protocol::task_name(task) + " on " + m.name.value() + " in " + m.zone.value();
   if (spec.zone && *spec.zone != m.zone) broke("wrong_place", text);
   if (!spec.one_zone && !spec.spread) return;
   std::map<Zone, std::set<std::uint32_t>> there;
@@ -60,33 +60,33 @@
     broke("wrong_place", text + ", too many are there");
 }
 
-void Rules::on_written(const wire::Write& w) {
-  const std::string grants = std::string(store::kPrefix) + "grants/";
+void Rules::on_written(const protocol::Write& w) {
+  const std::string grants = std::string(state_store::kPrefix) + "grants/";
   if (w.value && w.key.starts_with(grants))
     if (auto job = books_.jobs.find(JobId(w.key.substr(grants.size()))); job != books_.jobs.end())
       outcome_.granted_mistaken += job->second.mistaken;
-  const std::string ends = std::string(store::kPrefix) + "ends/";
+  const std::string ends = std::string(state_store::kPrefix) + "ends/";
   if (!w.key.starts_with(ends)) return;
   if (!w.value) return broke("went_back", w.key);
   auto it = books_.jobs.find(JobId(w.key.substr(ends.size())));
   if (it == books_.jobs.end()) return broke("invented", w.key);
   const auto& job = it->second;
-  if (store::parse_ending(*w.value).end != store::End::kDone) return;
+  if (state_store::parse_terminal_record(*w.value).end != state_store::TerminalState::kDone) return;
   recorded_done_.insert(it->first);
   advance_();
   if (job.done.size() < job.spec->tasks) broke("not_done", w.key + " " + std::to_string(job.done.size()));
 }
 
-void Rules::on_answer(const Answer& a) {
+void Rules::on_estimate_response(const EstimateResponse& a) {
   ++outcome_.answered;
   auto it = books_.jobs.find(a.job);
-  auto text = a.job.value() + " at n" + std::to_string(a.node) + ", status " + std::to_string(a.status);
+  auto text = a.job.value() + " at n" + std::to_string(a.controller) + ", status " + std::to_string(a.status);
   if (it == books_.jobs.end()) {
-    if (a.ok()) broke(a.ask == Ask::kSubmit ? "accepted_bad" : "invented", text);
+    if (a.ok()) broke(a.estimate_request == EstimateRequest::kSubmit ? "accepted_bad" : "invented", text);
     return;
   }
   const auto& job = it->second;
-  auto& told = told_[a.job];
+  auto& told = notified_[a.job];
   bool known = told.accepted && *told.accepted <= a.sent_s;
   if (known && a.status == 404) broke("forgotten", text);
   if (known && (a.status == 400 || a.status == 422)) broke("forgotten", text + " to a repeat");
@@ -103,26 +103,27 @@
   if (told.end && told.end != a.state) broke("went_back", text + ": ended otherwise before");
   bool asked = job.cancel_asked;
   books_.each_needed(a.job, [&](const Job& needed) { asked |= needed.cancel_asked; });
-  if (a.state == wire::JobState::kCancelled && !asked) broke("went_back", text + ": cancelled by nobody");
+  if (a.state == protocol::JobState::kCancelled && !asked) broke("went_back", text + ": cancelled by nobody");
   if (!told.over) {
     told.over = a.at_s;
     told.end = a.state;
     advance_();
-    if (a.state == wire::JobState::kDone && job.done.size() < job.spec->tasks) broke("not_done", text);
+    if (a.state == protocol::JobState::kDone && job.done.size() < job.spec->tasks) broke("not_done", text);
   }
 }
 
 // All that it awaits was known to be accepted when the question was sent.
 bool Rules::awaits_accepted(const Job& job, double sent_s) const {
-  const auto& awaits = job.spec->awaits;
-  return !awaits.empty() && std::all_of(awaits.begin(), awaits.end(), [&](const JobId& awaited) {
-    auto told = told_.find(awaited);
-    return told != told_.end() && told->second.accepted && *told->second.accepted <= sent_s;
-  });
+  const auto& depends_on = job.spec->depends_on;
+  return !depends_on.empty() &&
+         std::all_of(depends_on.begin(), depends_on.end(), [&](const JobId& dependency) {
+           auto told = notified_.find(dependency);
+           return told != notified_.end() && told->second.accepted && *told->second.accepted <= sent_s;
+         });
 }
 
 // A job is called queued or running, long after its user was told that one which it needs is cancelled.
-void Rules::check_orphaned(const Answer& a, const std::string& text) {
+void Rules::check_orphaned(const EstimateResponse& a, const std::string& text) {
   books_.each_needed(a.job, [&](const Job& needed) {
     if (needed.cancelled && a.sent_s > *needed.cancelled + kCancelLimit)
       broke("orphaned", text + ", " + needed.spec->id.value() + " was cancelled");
@@ -144,14 +145,14 @@
   for (const auto& [id, j] : books_.jobs) {
     if (!j.cancelled || queue_.now() <= *j.cancelled + kCancelLimit) continue;
     books_.each_task(id, [&](const Machine& m, const auto& key, const Task& t) {
-      if (t.on_machine()) broke("ran_cancelled", wire::task_name(key.first) + " on " + m.name.value());
+      if (t.on_machine()) broke("ran_cancelled", protocol::task_name(key.first) + " on " + m.name.value());
     });
   }
 }
 
 void Rules::check_answered(const JobId& id, const Job& job, double calm_since) {
   if (job.cancelled) return;
-  const auto& told = told_[id];
+  const auto& told = notified_[id];
   if (told.over || !told.unanswered_from) return;
   double since = std::max({calm_since, *told.unanswered_from, job.submitted});
   if (told.unanswered_to - since > kUnanswered)
@@ -172,8 +173,8 @@
 
 // A task of it is nowhere, a machine that fits has room, and the team is under its limit.
 bool Rules::could_run(const JobId& id, const Job& job) const {
-  const auto& told = told_.find(id);
-  if (job.cancel_asked || (told != told_.end() && told->second.over)) return false;
+  const auto& told = notified_.find(id);
+  if (job.cancel_asked || (told != notified_.end() && told->second.over)) return false;
   if (job.mistaken) return false;
   const auto& spec = *job.spec;
   bool ready = true;
@@ -211,7 +212,7 @@
   books_.each_task(id, [&](const Machine&, const auto& key, const Task& t) {
     if (t.on_machine()) running.insert(key.first.index);
   });
-  if (state.find(store::end_key(id))) return running.empty();
+  if (state.find(state_store::terminal_key(id))) return running.empty();
   return job.spec->kind == JobKind::kService && !job.cancel_asked && running.size() == job.spec->tasks;
 }
 
--- a/tests/sim/rules.h
+++ b/tests/sim/rules.h
@@ -21,10 +21,10 @@
   void broke(const std::string& rule, const std::string& what);
   // A task begins to run on a machine.
   void on_begin(const Machine& m, const TaskId& task, const Job& job);
-  // The state service holds a new value.
-  void on_written(const wire::Write& w);
+  // The state store holds a new value.
+  void on_written(const protocol::Write& w);
   // An answer reached its user. Jobs that aren't in the books were never submitted, or not as they should be.
-  void on_answer(const Answer& a);
+  void on_estimate_response(const EstimateResponse& a);
   // Looks at everything. To be called about once a second. `calm_since`: when the last trouble was over.
   void look(double calm_since);
   // What users want of the job is so.
@@ -37,7 +37,7 @@
     // When the first and the last of the questions since the last answer were given up.
     std::optional<double> unanswered_from;
     double unanswered_to = 0;
-    std::optional<wire::JobState> end;
+    std::optional<protocol::JobState> end;
   };
   // Since when a job waits though it could run.
   struct Wait {
@@ -46,7 +46,7 @@
   };
   void check_place(const Machine& m, const TaskId& task, const Job& job);
   void check_late_cancellations();
-  void check_orphaned(const Answer& a, const std::string& text);
+  void check_orphaned(const EstimateResponse& a, const std::string& text);
   bool awaits_accepted(const Job& job, double sent_s) const;
   void check_answered(const JobId& id, const Job& job, double calm_since);
   void check_waiting(const JobId& id, const Job& job, double calm_since);
@@ -56,7 +56,7 @@
   const Books& books_;
   Outcome& outcome_;
   std::function<void()> advance_;
-  std::map<JobId, Told> told_;
+  std::map<JobId, Told> notified_;
   std::map<JobId, Wait> waits_;
   std::map<JobId, int> started_;
   std::set<JobId> recorded_done_;
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -9,20 +9,21 @@
 }  // namespace
 
 StateService::StateService(EventQueue& queue, Network& network, DecisionDigest& decisions,
-                           double lost_answers, std::function<void(const wire::Write&)> on_written)
+                           double lost_answers, std::function<void(const protocol::Write&)> on_written)
     : queue_(queue),
       network_(network),
       decisions_(decisions),
       lost_answers_(lost_answers),
       on_written_(std::move(on_written)) {}
 
-bool StateService::answers(int node) const {
-  auto refused = refused_until_.find(node);
+bool StateService::answers(int controller) const {
+  auto refused = refused_until_.find(controller);
   return queue_.now() >= outage_until_ &&
-         (refused == refused_until_.end() || queue_.now() >= refused->second) && !network_.way_to_state(node);
+         (refused == refused_until_.end() || queue_.now() >= refused->second) &&
+         !network_.way_to_state(controller);
 }
 
-bool StateService::apply(const wire::Txn& t, Revision& r) {
+bool StateService::apply(const protocol::Txn& t, Revision& r) {
   for (const auto& c : t.conditions) {
     const auto* entry = find(c.key);
     if ((entry ? entry->version : 0) != c.version.value()) return false;
@@ -42,7 +43,7 @@
   return true;
 }
 
-void StateService::apply_later(double d, const wire::Txn& t) {
+void StateService::apply_later(double d, const protocol::Txn& t) {
   queue_.after(d, [this, t] {
     Revision r;
     apply(t, r);
@@ -54,78 +55,80 @@
   return slow_.hits(queue_) ? queue_.uniform(0.1, 1.2) : way;
 }
 
-void StateService::txn(int node, wire::Txn t, Done done) {
-  decisions_.on_transaction(node, t);
-  auto answer = [this, node, done, life = network_.life(node)](double d, store::TxnResult r) {
-    queue_.after(d, [this, node, done, life, r] {
-      network_.run(node, life, Await::kTransaction, [done, r] { done(r); });
+void StateService::txn(int controller, protocol::Txn t, Done done) {
+  decisions_.on_transaction(controller, t);
+  auto answer = [this, controller, done, life = network_.life(controller)](double d,
+                                                                           state_store::TxnResult r) {
+    queue_.after(d, [this, controller, done, life, r] {
+      network_.run(controller, life, Await::kTransaction, [done, r] { done(r); });
     });
   };
-  if (auto cut = network_.way_to_state(node); cut && cut->hold) {
+  if (auto cut = network_.way_to_state(controller); cut && cut->lease) {
     apply_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), t);
-    return answer(kTimeout, {store::Outcome::kUnknown, {}});
+    return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
   }
-  if (!answers(node)) return answer(kRefusal, {store::Outcome::kRefused, {}});
+  if (!answers(controller)) return answer(kRefusal, {state_store::RequestOutcome::kRefused, {}});
   double there = way();
   if (at_once_.hits(queue_)) {
     apply_later(there, t);
-    return answer(kTimeout, {store::Outcome::kUnknown, {}});
+    return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
   }
   if (late_.hits(queue_)) {
     apply_later(queue_.uniform(2, 12), t);
-    return answer(kTimeout, {store::Outcome::kUnknown, {}});
+    return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
   }
   if (queue_.mishap(lost_answers_)) {
     // No answer. It's carried out, never, or long after.
     if (!queue_.chance(0.3)) apply_later(queue_.chance(0.5) ? there : queue_.uniform(1, 60), t);
-    return answer(kTimeout, {store::Outcome::kUnknown, {}});
+    return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
   }
   double back = way();
   queue_.after(there, [this, t, answer, there, back] {
     Revision r;
     bool ok = apply(t, r);
     // The answer of a service that took its time comes too late.
-    if (there + back > kTimeout) return answer(kTimeout - there, {store::Outcome::kUnknown, {}});
-    answer(back, {ok ? store::Outcome::kOk : store::Outcome::kConflict, r});
+    if (there + back > kTimeout) return answer(kTimeout - there, {state_store::RequestOutcome::kUnknown, {}});
+    answer(back, {ok ? state_store::RequestOutcome::kOk : state_store::RequestOutcome::kConflict, r});
   });
 }
 
-void StateService::read(int node, std::function<void(std::optional<std::size_t>)> done) {
-  auto answer = [this, node, done, life = network_.life(node)](double d, std::optional<std::size_t> upto) {
-    queue_.after(d, [this, node, done, life, upto] {
-      network_.run(node, life, Await::kRead, [done, upto] { done(upto); });
+void StateService::read(int controller, std::function<void(std::optional<std::size_t>)> done) {
+  auto answer = [this, controller, done, life = network_.life(controller)](double d,
+                                                                           std::optional<std::size_t> upto) {
+    queue_.after(d, [this, controller, done, life, upto] {
+      network_.run(controller, life, Await::kRead, [done, upto] { done(upto); });
     });
   };
-  if (auto cut = network_.way_to_state(node); cut && cut->hold) return answer(kTimeout, std::nullopt);
-  if (!answers(node)) return answer(kRefusal, std::nullopt);
+  if (auto cut = network_.way_to_state(controller); cut && cut->lease) return answer(kTimeout, std::nullopt);
+  if (!answers(controller)) return answer(kRefusal, std::nullopt);
   double there = way();
   double back = way();
-  queue_.after(there, [this, node, answer, back] {
-    if (!answers(node)) return answer(back, std::nullopt);
+  queue_.after(there, [this, controller, answer, back] {
+    if (!answers(controller)) return answer(back, std::nullopt);
     answer(back, log_.size());
   });
 }
 
-void StateService::renew(int node, const std::string& key) {
-  if (!answers(node)) return;
-  hold_until_[node] = queue_.now() + kHold;
+void StateService::renew(int controller, const std::string& key) {
+  if (!answers(controller)) return;
+  hold_until_[controller] = queue_.now() + kHold;
   if (!find(key)) {
     // It's attached to the hold, and refused once that is over.
-    queue_.after(way(), [this, node, key] {
+    queue_.after(way(), [this, controller, key] {
       Revision r;
-      if (queue_.now() < hold_until_[node] && !find(key))
-        apply({{}, {{key, wire::Json{{"up", true}}, std::nullopt}}}, r);
+      if (queue_.now() < hold_until_[controller] && !find(key))
+        apply({{}, {{key, protocol::Json{{"up", true}}, std::nullopt}}}, r);
     });
   }
-  queue_.after(kHold + kHoldLag, [this, node, key] { expire(node, key); });
+  queue_.after(kHold + kHoldLag, [this, controller, key] { expire(controller, key); });
 }
 
-void StateService::expire(int node, const std::string& key) {
+void StateService::expire(int controller, const std::string& key) {
   if (queue_.now() < outage_until_) {
-    hold_until_[node] = outage_until_ + kHold;  // once it's over every hold has its full time
-    return queue_.at(outage_until_ + kHold + kHoldLag, [this, node, key] { expire(node, key); });
+    hold_until_[controller] = outage_until_ + kHold;  // once it's over every hold has its full time
+    return queue_.at(outage_until_ + kHold + kHoldLag, [this, controller, key] { expire(controller, key); });
   }
-  if (queue_.now() < hold_until_[node] || !find(key)) return;
+  if (queue_.now() < hold_until_[controller] || !find(key)) return;
   Revision r;
   apply({{}, {{key, std::nullopt, std::nullopt}}}, r);
 }
--- a/tests/sim/state_service.h
+++ b/tests/sim/state_service.h
@@ -1,4 +1,4 @@
-// Stand-in of the state service: keys with versions, transactions, and the controllers' holds.
+// Stand-in of the state store: keys with versions, transactions, and the controllers' holds.
 #pragma once
 
 #include <map>
@@ -7,27 +7,27 @@
 
 #include "sim/decision_digest.h"
 #include "sim/network.h"
-#include "store/access.h"
+#include "state_store/access.h"
 
 namespace beaconsill::sim {
 
 class StateService {
  public:
   struct Entry {
-    wire::Json value;
+    protocol::Json value;
     std::uint64_t version = 0;
   };
-  using Done = std::function<void(store::TxnResult)>;
+  using Done = std::function<void(state_store::TxnResult)>;
 
   // `decisions` gets every transaction that is sent. `lost_answers`: the share of transactions without an
   // answer, at any time.
   // `on_written` is called for each change.
   StateService(EventQueue& queue, Network& network, DecisionDigest& decisions, double lost_answers,
-               std::function<void(const wire::Write&)> on_written);
+               std::function<void(const protocol::Write&)> on_written);
 
   // ---- Troubles
   void outage(double until) { outage_until_ = std::max(outage_until_, until); }
-  void refuse(int node, double until) { refused_until_[node] = until; }
+  void refuse(int controller, double until) { refused_until_[controller] = until; }
   // Of that share of transactions only the answer is lost.
   void lose_answers(Window w) { at_once_ = w; }
   // That share has no answer and is carried out 2 to 12 s later, after newer ones.
@@ -35,13 +35,13 @@
   void answer_slowly(Window w) { slow_ = w; }
 
   // Whether this controller is served now.
-  bool answers(int node) const;
-  void txn(int node, wire::Txn t, Done done);
+  bool answers(int controller) const;
+  void txn(int controller, protocol::Txn t, Done done);
   // Reads all changes so far; `done` gets the number of entries of the log that were read, or none.
-  void read(int node, std::function<void(std::optional<std::size_t>)> done);
-  const std::vector<wire::Change>& log() const { return log_; }
+  void read(int controller, std::function<void(std::optional<std::size_t>)> done);
+  const std::vector<protocol::Change>& log() const { return log_; }
   // Renews the hold under a controller's liveness key, and writes the key if it isn't there.
-  void renew(int node, const std::string& key);
+  void renew(int controller, const std::string& key);
 
   const Entry* find(const std::string& key) const {
     auto it = entries_.find(key);
@@ -49,18 +49,18 @@
   }
 
  private:
-  bool apply(const wire::Txn& t, Revision& r);
-  void apply_later(double d, const wire::Txn& t);
-  void expire(int node, const std::string& key);
+  bool apply(const protocol::Txn& t, Revision& r);
+  void apply_later(double d, const protocol::Txn& t);
+  void expire(int controller, const std::string& key);
   double way();
 
   EventQueue& queue_;
   Network& network_;
   DecisionDigest& decisions_;
   double lost_answers_;
-  std::function<void(const wire::Write&)> on_written_;
+  std::function<void(const protocol::Write&)> on_written_;
   std::map<std::string, Entry> entries_;
-  std::vector<wire::Change> log_;
+  std::vector<protocol::Change> log_;
   std::uint64_t revision_ = 0;
   std::map<int, double> hold_until_, refused_until_;
   double outage_until_ = 0;
--- a/tests/sim/topology.h
+++ b/tests/sim/topology.h
@@ -16,14 +16,14 @@
 constexpr double kMachineCpus = 8;
 constexpr double kMachineMemory = 32;
 
-inline NodeName node_name(int node) {
-  return NodeName("n" + std::to_string(node));
+inline ControllerName controller_name(int controller) {
+  return ControllerName("n" + std::to_string(controller));
 }
-inline int node_number(const NodeName& name) {
+inline int controller_number(const ControllerName& name) {
   return name.value()[1] - '0';
 }
-inline Zone node_zone(int node) {
-  return Zone(node == 1 ? "west" : "east");
+inline Zone controller_zone(int controller) {
+  return Zone(controller == 1 ? "west" : "east");
 }
 inline const std::vector<Zone>& zones() {
   static const std::vector<Zone> all{Zone("east"), Zone("west"), Zone("north")};
--- a/tests/sim/troubles.cpp
+++ b/tests/sim/troubles.cpp
@@ -57,9 +57,9 @@
 }
 
 std::optional<int> Troubles::leader() const {
-  const auto* entry = env_.state.find(store::leader_role_key());
+  const auto* entry = env_.state.find(state_store::leader_role_key());
   if (!entry) return std::nullopt;
-  return node_number(store::parse_role(entry->value).node);
+  return controller_number(state_store::parse_role(entry->value).controller);
 }
 
 std::vector<int> Troubles::choose(const Who& who) {
@@ -148,32 +148,32 @@
   }
 }
 
-void Troubles::begin_at_node(const Trouble& t, int node) {
+void Troubles::begin_at_node(const Trouble& t, int controller) {
   double until = env_.queue.now() + t.for_s;
-  Cut cut{until, t.hold};
+  Cut cut{until, t.lease};
   auto& network = env_.network;
-  env_.outcome.schedule.back() += " n" + std::to_string(node);
+  env_.outcome.schedule.back() += " n" + std::to_string(controller);
   switch (t.kind) {
     case TroubleKind::kNodeEnds:
-      return env_.controller(node).crash(t.for_s);
+      return env_.controller(controller).crash(t.for_s);
     case TroubleKind::kNodeStandsStill:
-      if (t.await) return network.stand_still_at(node, *t.await, t.for_s);
+      if (t.await) return network.stand_still_at(controller, *t.await, t.for_s);
       [[fallthrough]];
     case TroubleKind::kNodeSilent:
-      return network.stand_still(node, until);
+      return network.pause_detector(controller, until);
     case TroubleKind::kNodeCutFromState:
-      return network.cut_state(node, cut);
+      return network.cut_state(controller, cut);
     case TroubleKind::kNodeCutFromPeers:
-      return network.cut_peers(node, cut);
+      return network.cut_peers(controller, cut);
     case TroubleKind::kStateRefusesNode:
-      return env_.state.refuse(node, until);
+      return env_.state.refuse(controller, until);
     case TroubleKind::kNodeCut:
-      network.cut_workers(node, cut);
-      network.cut_users(node, cut);
+      network.cut_workers(controller, cut);
+      network.cut_users(controller, cut);
       [[fallthrough]];
     default:
-      network.cut_state(node, cut);
-      network.cut_peers(node, cut);
+      network.cut_state(controller, cut);
+      network.cut_peers(controller, cut);
   }
 }
 
@@ -218,7 +218,7 @@
   Window window{until, t.share};
   switch (t.kind) {
     case TroubleKind::kZoneCut:
-      return env_.network.cut_zone(t.zone.value_or(zones().front()), {until, t.hold});
+      return env_.network.cut_zone(t.zone.value_or(zones().front()), {until, t.lease});
     case TroubleKind::kLostPeerMessages:
       return env_.network.lose_peer_messages(window);
     case TroubleKind::kLatePeerMessages:
--- a/tests/sim/troubles.h
+++ b/tests/sim/troubles.h
@@ -19,9 +19,9 @@
   kNodeCutFromState,          // hold
   kNodeCutFromPeers,          // hold
   kNodeCutFromStateAndPeers,  // it reaches its workers and users only; hold
-  kNodeCut,                   // from state service, controllers, workers and users; hold
-  kStateRefusesNode,          // the state service refuses it alone
-  // State service
+  kNodeCut,                   // from state store, controllers, workers and users; hold
+  kStateRefusesNode,          // the state store refuses it alone
+  // State store
   kStateOutage,  // answers nobody
   kStateSlow,    // `share` of the messages take up to 1.2 s each way
   kLostAnswers,  // `share` of the transactions is carried out at once, only the answer is lost
@@ -65,7 +65,7 @@
   int number = 0;
 
   static Who drawn() { return {}; }
-  static Who node(int n) { return {Kind::kNumber, n}; }
+  static Who controller(int n) { return {Kind::kNumber, n}; }
   static Who leader() { return {Kind::kLeader, 0}; }
   // Some controller that doesn't lead.
   static Who follower() { return {Kind::kFollower, 0}; }
@@ -95,7 +95,7 @@
   double share = 1;
   int count = 1;
   double period_s = 12;
-  bool hold = false;
+  bool lease = false;
   std::optional<Await> await = {};
 };
 
@@ -109,12 +109,12 @@
   void draw_meetings(double end);
   // When the last of the scheduled ones is over.
   double over() const { return over_; }
-  // The leader as the state service has it; none while there is none.
+  // The leader as the state store has it; none while there is none.
   std::optional<int> leader() const;
 
  private:
   void begin(const Trouble& t);
-  void begin_at_node(const Trouble& t, int node);
+  void begin_at_node(const Trouble& t, int controller);
   void begin_at_machine(const Trouble& t, Machine& m);
   void begin_in_state_service(const Trouble& t);
   void begin_with_messages(const Trouble& t);
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -11,22 +11,22 @@
 constexpr double kPollPeriodOver = 20;
 const std::string kPath = "/v1/jobs";
 
-std::optional<wire::JobState> parse_state(const net::Response& r) {
+std::optional<protocol::JobState> parse_state(const net::Response& r) {
   if (r.status != 200 && r.status != 201) return std::nullopt;
-  auto text = wire::parse_object(r.body).at("bearing").get<std::string>();
-  if (text == "queued") return wire::JobState::kQueued;
-  if (text == "running") return wire::JobState::kRunning;
-  if (text == "done") return wire::JobState::kDone;
-  return wire::JobState::kCancelled;
+  auto text = protocol::parse_object(r.body).at("bearing").get<std::string>();
+  if (text == "queued") return protocol::JobState::kQueued;
+  if (text == "running") return protocol::JobState::kRunning;
+  if (text == "done") return protocol::JobState::kDone;
+  return protocol::JobState::kCancelled;
 }
 
-net::Request render(const JobId& id, Ask ask, std::string body) {
-  switch (ask) {
-    case Ask::kSubmit:
+net::Request render(const JobId& id, EstimateRequest estimate_request, std::string body) {
+  switch (estimate_request) {
+    case EstimateRequest::kSubmit:
       return {"POST", kPath, "", std::move(body)};
-    case Ask::kStatus:
+    case EstimateRequest::kStatus:
       return {"GET", kPath + '/' + id.value(), "", ""};
-    case Ask::kCancel:
+    case EstimateRequest::kCancel:
       break;
   }
   return {"POST", kPath + '/' + id.value() + "/withdraw", "", ""};
@@ -34,68 +34,72 @@
 
 }  // namespace
 
-void Users::submit(int node, const wire::JobSpec& spec, std::optional<double> run_s, OnAnswer then) {
+void Users::submit(int controller, const protocol::JobSpec& spec, std::optional<double> run_s,
+                   OnAnswer then) {
   auto& j = books_.jobs[spec.id];
   if (!j.spec) {
-    j.spec = std::make_shared<const wire::JobSpec>(spec);
+    j.spec = std::make_shared<const protocol::JobSpec>(spec);
     j.run_s = run_s;
     j.submitted = env_.queue.now();
   }
   auto sent = spec;
   if (env_.options.mistake == Mistake::kZoneIgnored) sent.zone.reset();
-  if (env_.options.mistake == Mistake::kAwaitsLost) sent.awaits.clear();
-  if (env_.options.mistake == Mistake::kAwaitedUnknown && !sent.awaits.empty())
-    sent.awaits.front() = JobId("run-404404");
+  if (env_.options.mistake == Mistake::kAwaitsLost) sent.depends_on.clear();
+  if (env_.options.mistake == Mistake::kAwaitedUnknown && !sent.depends_on.empty())
+    sent.depends_on.front() = JobId("run-404404");
   if (env_.options.mistake == Mistake::kZonesIgnored) sent.one_zone = sent.spread = false;
-  request(node, spec.id, Ask::kSubmit, wire::job_to_json(sent).dump(), std::move(then));
+  request(controller, spec.id, EstimateRequest::kSubmit, protocol::job_to_json(sent).dump(), std::move(then));
 }
 
-void Users::poll(int node, const JobId& id, OnAnswer then) {
-  request(node, id, Ask::kStatus, "", std::move(then));
+void Users::poll(int controller, const JobId& id, OnAnswer then) {
+  request(controller, id, EstimateRequest::kStatus, "", std::move(then));
 }
 
-void Users::cancel(int node, const JobId& id, OnAnswer then) {
+void Users::cancel(int controller, const JobId& id, OnAnswer then) {
   if (auto j = books_.jobs.find(id); j != books_.jobs.end()) j->second.cancel_asked = true;
-  request(node, id, Ask::kCancel, "", std::move(then));
+  request(controller, id, EstimateRequest::kCancel, "", std::move(then));
 }
 
-void Users::request(int node, const JobId& id, Ask ask, std::string body, OnAnswer then) {
+void Users::request(int controller, const JobId& id, EstimateRequest estimate_request, std::string body,
+                    OnAnswer then) {
   auto& q = env_.queue;
   auto over = std::make_shared<bool>(false);
-  Answer unanswered{q.now(), q.now(), node, id, ask, 0, {}, 0};
-  auto finish = [this, over, then](Answer a) {
+  EstimateResponse unanswered{q.now(), q.now(), controller, id, estimate_request, 0, {}, 0};
+  auto finish = [this, over, then](EstimateResponse a) {
     if (std::exchange(*over, true)) return;
     a.at_s = env_.queue.now();
-    on_answer(a);
+    on_estimate_response(a);
     if (then) then(a);
   };
-  q.after(ask == Ask::kStatus ? kStatusTimeout : kTimeout, [finish, unanswered] { finish(unanswered); });
-  auto reply = [this, node, id, finish, unanswered](const net::Response& r) {
-    env_.decisions.on_user_response(node, id, r);
-    if (env_.network.way_to_user(node)) return;
+  q.after(estimate_request == EstimateRequest::kStatus ? kStatusTimeout : kTimeout,
+          [finish, unanswered] { finish(unanswered); });
+  auto reply = [this, controller, id, finish, unanswered](const net::Response& r) {
+    env_.decisions.on_user_response(controller, id, r);
+    if (env_.network.way_to_user(controller)) return;
     auto a = unanswered;
     a.status = r.status;
     a.state = parse_state(r);
     a.retry_after_s = r.retry_after_s.value_or(0);
     env_.queue.after(env_.queue.uniform(0.0002, 0.001), [finish, a] { finish(a); });
   };
-  if (env_.network.way_to_user(node)) return;
-  q.after(q.uniform(0.0002, 0.001), [this, node, finish, unanswered, reply,
-                                     r = render(id, ask, std::move(body))] {
-    if (!env_.network.up(node)) return finish(unanswered);
-    env_.network.run(node, Await::kUser, [this, node, r, reply] { env_.controller(node).on_user(r, reply); });
-  });
+  if (env_.network.way_to_user(controller)) return;
+  q.after(q.uniform(0.0002, 0.001),
+          [this, controller, finish, unanswered, reply, r = render(id, estimate_request, std::move(body))] {
+            if (!env_.network.up(controller)) return finish(unanswered);
+            env_.network.run(controller, Await::kUserRequest,
+                             [this, controller, r, reply] { env_.controller(controller).on_user(r, reply); });
+          });
 }
 
-void Users::on_answer(const Answer& a) {
-  rules_.on_answer(a);
+void Users::on_estimate_response(const EstimateResponse& a) {
+  rules_.on_estimate_response(a);
   answers_.push_back(a);
   auto it = books_.jobs.find(a.job);
   if (it == books_.jobs.end() || !a.ok()) return;
   auto& j = it->second;
   bool news = !j.accepted;
   j.accepted = true;
-  if (a.state == wire::JobState::kCancelled && !j.cancelled) {
+  if (a.state == protocol::JobState::kCancelled && !j.cancelled) {
     j.cancelled = a.at_s;
     news = true;
   }
@@ -125,8 +129,8 @@
   return n;
 }
 
-wire::JobSpec Users::next_spec(std::uint32_t tasks) {
-  wire::JobSpec s;
+protocol::JobSpec Users::next_spec(std::uint32_t tasks) {
+  protocol::JobSpec s;
   int i = next_job_++;
   s.id = JobId("run-" + std::to_string(i));
   s.job_class = "c";
@@ -139,7 +143,7 @@
   return s;
 }
 
-wire::JobSpec Users::drawn_spec(int i) {
+protocol::JobSpec Users::drawn_spec(int i) {
   auto s = next_spec(5 + static_cast<std::uint32_t>(env_.queue.draw_below(30)));
   s.id = JobId("run-" + std::to_string(i));
   s.team = teams()[static_cast<std::size_t>(i) % teams().size()];
@@ -179,7 +183,7 @@
     auto s = next_spec(1 + static_cast<std::uint32_t>(q.draw_below(4)));
     s.id = JobId("run-" + std::to_string(i) + "00" + std::to_string(pipeline.size()));
     s.priority = Priority::kLow;
-    for (auto step : needed) s.awaits.push_back(pipeline[step].id);
+    for (auto step : needed) s.depends_on.push_back(pipeline[step].id);
     pipeline.push_back(std::move(s));
   }
   pipeline.back().priority = Priority::kHigh;
@@ -187,20 +191,21 @@
   // Some go on with what others have submitted.
   auto earlier = drawn_job();
   if (q.chance(0.4) && earlier && books_.jobs.at(*earlier).spec->kind == JobKind::kArray)
-    pipeline.front().awaits.push_back(*earlier);
+    pipeline.front().depends_on.push_back(*earlier);
   return pipeline;
 }
 
 bool Users::over(const JobId& id) const {
   return std::any_of(answers_.begin(), answers_.end(),
-                     [&](const Answer& a) { return a.job == id && a.ok() && a.final(); });
+                     [&](const EstimateResponse& a) { return a.job == id && a.ok() && a.final(); });
 }
 
 void Users::submit_step(const std::shared_ptr<const Pipeline>& pipeline, std::size_t step, bool last_waits) {
   if (step == pipeline->size()) return;
   const auto& spec = (*pipeline)[step];
   bool last = step + 1 == pipeline->size();
-  bool ready = std::all_of(spec.awaits.begin(), spec.awaits.end(), [&](const auto& id) { return over(id); });
+  bool ready =
+      std::all_of(spec.depends_on.begin(), spec.depends_on.end(), [&](const auto& id) { return over(id); });
   if (last && last_waits && !ready)
     return env_.queue.after(kPollPeriod, [this, pipeline, step] { submit_step(pipeline, step, true); });
   submit_until_accepted(spec, std::nullopt, 0,
@@ -244,9 +249,9 @@
 }
 
 // `cancel_after_s`: after it was accepted; 0: not.
-void Users::submit_until_accepted(const wire::JobSpec& spec, std::optional<double> run_s,
+void Users::submit_until_accepted(const protocol::JobSpec& spec, std::optional<double> run_s,
                                   double cancel_after_s, const std::function<void()>& then) {
-  submit(drawn_node(), spec, run_s, [this, spec, run_s, cancel_after_s, then](const Answer& a) {
+  submit(drawn_node(), spec, run_s, [this, spec, run_s, cancel_after_s, then](const EstimateResponse& a) {
     if (!a.ok())
       return env_.queue.after(std::max(kRetry, a.retry_after_s), [this, spec, run_s, cancel_after_s, then] {
         submit_until_accepted(spec, run_s, cancel_after_s, then);
@@ -258,13 +263,13 @@
 }
 
 void Users::cancel_until_told(const JobId& id) {
-  cancel(drawn_node(), id, [this, id](const Answer& a) {
+  cancel(drawn_node(), id, [this, id](const EstimateResponse& a) {
     if (!a.ok()) env_.queue.after(std::max(kRetry, a.retry_after_s), [this, id] { cancel_until_told(id); });
   });
 }
 
 void Users::poll_on(const JobId& id) {
-  poll(drawn_node(), id, [this, id](const Answer& a) {
+  poll(drawn_node(), id, [this, id](const EstimateResponse& a) {
     double wait = a.final() ? kPollPeriodOver : kPollPeriod;
     env_.queue.after(wait, [this, id] { poll_on(id); });
   });
@@ -328,18 +333,18 @@
   } else {
     spec.team = Team("nobody");
   }
-  auto body = wire::job_to_json(spec);
+  auto body = protocol::job_to_json(spec);
   if (lacks) {
     auto lacking = body;
     lacking.erase(std::next(lacking.begin(), env_.queue.draw_below(3)));
     // Without a field it's malformed, unless that may be null.
     try {
-      wire::parse_job(lacking);
-    } catch (const wire::WireError&) {
+      protocol::parse_job(lacking);
+    } catch (const protocol::ProtocolError&) {
       body = lacking;
     }
   }
-  request(drawn_node(), spec.id, Ask::kSubmit, body.dump(), {});
+  request(drawn_node(), spec.id, EstimateRequest::kSubmit, body.dump(), {});
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/users.h
+++ b/tests/sim/users.h
@@ -12,14 +12,15 @@
 
 class Users {
  public:
-  using OnAnswer = std::function<void(const Answer&)>;
+  using OnAnswer = std::function<void(const EstimateResponse&)>;
   Users(Environment& env, Books& books, Rules& rules) : env_(env), books_(books), rules_(rules) {}
 
   // ---- Requests, each sent now
-  void submit(int node, const wire::JobSpec& spec, std::optional<double> run_s = {}, OnAnswer then = {});
-  void poll(int node, const JobId& id, OnAnswer then = {});
-  void cancel(int node, const JobId& id, OnAnswer then = {});
-  const std::vector<Answer>& answers() const { return answers_; }
+  void submit(int controller, const protocol::JobSpec& spec, std::optional<double> run_s = {},
+              OnAnswer then = {});
+  void poll(int controller, const JobId& id, OnAnswer then = {});
+  void cancel(int controller, const JobId& id, OnAnswer then = {});
+  const std::vector<EstimateResponse>& is_responsive() const { return answers_; }
 
   // ---- Drawn users
   // A drawn job is submitted until it's accepted, polled until it's over, and perhaps cancelled meanwhile.
@@ -51,11 +52,11 @@
   void on_all_done(const JobId& id);
 
  private:
-  wire::JobSpec drawn_spec(int i);
-  wire::JobSpec next_spec(std::uint32_t tasks);
-  void submit_until_accepted(const wire::JobSpec& spec, std::optional<double> run_s, double cancel_after_s,
-                             const std::function<void()>& then = {});
-  using Pipeline = std::vector<wire::JobSpec>;
+  protocol::JobSpec drawn_spec(int i);
+  protocol::JobSpec next_spec(std::uint32_t tasks);
+  void submit_until_accepted(const protocol::JobSpec& spec, std::optional<double> run_s,
+                             double cancel_after_s, const std::function<void()>& then = {});
+  using Pipeline = std::vector<protocol::JobSpec>;
   Pipeline drawn_pipeline(int i);
   void submit_step(const std::shared_ptr<const Pipeline>& pipeline, std::size_t step, bool last_waits);
   bool over(const JobId& id) const;
@@ -66,13 +67,14 @@
   std::optional<JobId> drawn_job();
   // A controller that a load balancer would choose.
   int drawn_node();
-  void request(int node, const JobId& id, Ask ask, std::string body, OnAnswer then);
-  void on_answer(const Answer& a);
+  void request(int controller, const JobId& id, EstimateRequest estimate_request, std::string body,
+               OnAnswer then);
+  void on_estimate_response(const EstimateResponse& a);
 
   Environment& env_;
   Books& books_;
   Rules& rules_;
-  std::vector<Answer> answers_;
+  std::vector<EstimateResponse> answers_;
   int next_job_ = 1000;
   double close_looks_until_ = 0;
   Window cancel_at_end_;
--- a/tests/sim/workers.cpp
+++ b/tests/sim/workers.cpp
@@ -20,7 +20,7 @@
       hooks_(std::move(hooks)) {}
 
 void Workers::on_added(const MachineName& m) {
-  queue_.after(queue_.uniform(0, 1), [this, m] { report(m); });
+  queue_.after(queue_.uniform(0, 1), [this, m] { heartbeat(m); });
 }
 
 void Workers::advance_all() {
@@ -28,21 +28,21 @@
     if (!m.gone) advance(m);
 }
 
-wire::Report Workers::compose(Machine& m) {
+protocol::WorkerHeartbeat Workers::compose(Machine& m) {
   advance(m);
-  wire::Report r;
+  protocol::WorkerHeartbeat r;
   r.machine = m.name;
   r.address = "10.0.0.1:1";
   r.type = MachineType("t8");
   r.zone = m.zone;
-  r.session = Session(m.session);
+  r.incarnation = Incarnation(m.incarnation);
   r.sequence = Sequence(++m.sequence);
   r.token = Token(m.token);
   for (const auto& [key, t] : m.tasks)
     r.tasks.push_back({key.first, key.second,
-                       t.ended     ? wire::TaskState::kEnded
-                       : t.running ? wire::TaskState::kRunning
-                                   : wire::TaskState::kFetching,
+                       t.ended     ? protocol::TaskState::kEnded
+                       : t.running ? protocol::TaskState::kRunning
+                                   : protocol::TaskState::kFetching,
                        t.cause, false});
   return r;
 }
@@ -52,7 +52,7 @@
   double now = queue_.now();
   if (now - m.lease_from > kLease) {
     m.tasks.clear();
-    ++m.session;
+    ++m.incarnation;
     m.lease_from = now;
   }
   if (now < m.hangs_until) return;
@@ -67,12 +67,12 @@
     }
     if (t.running && t.fails && now >= t.ends) {
       t.ended = true;
-      t.cause = wire::EndCause::kError;
+      t.cause = protocol::EndCause::kError;
       continue;
     }
     if (t.running && job.spec->kind == JobKind::kArray && now >= t.ends) {
       t.ended = true;
-      t.cause = wire::EndCause::kDone;
+      t.cause = protocol::EndCause::kDone;
       on_done(key.first.job, job, key.first.index);
     }
   }
@@ -83,14 +83,14 @@
   queue_.after(0, [this, id] { hooks_.all_done(id); });
 }
 
-void Workers::report(const MachineName& name) {
+void Workers::heartbeat(const MachineName& name) {
   auto* m = books_.machine(name);
   if (!m) return;
-  queue_.after(options_.report_s * queue_.uniform(0.75, 1.25), [this, name] { report(name); });
+  queue_.after(options_.report_s * queue_.uniform(0.75, 1.25), [this, name] { heartbeat(name); });
   if (queue_.now() < m->hangs_until || m->in_flight) return;
   auto r = compose(*m);
   m->in_flight = true;
-  int to = m->node;
+  int to = m->controller;
   int next = (to + 1) % kControllers;
   if (queue_.now() < m->mute_until || !network_.up(to)) return report_over(name, kNextNode, next);
   if (network_.way_to_worker(to, m->zone)) return report_over(name, kReportTimeout + kNextNode, next);
@@ -99,41 +99,42 @@
   send_report(name, to, r);
 }
 
-void Workers::send_report(const MachineName& name, int to, const wire::Report& r) {
+void Workers::send_report(const MachineName& name, int to, const protocol::WorkerHeartbeat& r) {
   double sent = queue_.now();
-  auto session = r.session.value();
+  auto incarnation = r.incarnation.value();
   auto answered = std::make_shared<bool>(false);
-  auto reply = [this, name, to, sent, session, answered](const ReportReply& x) {
+  auto reply = [this, name, to, sent, incarnation, answered](const HeartbeatReply& x) {
     decisions_.on_report_reply(to, name, x);
-    queue_.after(queue_.uniform(0.0005, 0.003), [this, name, to, sent, session, answered, x] {
+    queue_.after(queue_.uniform(0.0005, 0.003), [this, name, to, sent, incarnation, answered, x] {
       if (std::exchange(*answered, true)) return;
-      on_reply(name, to, sent, session, x);
+      on_reply(name, to, sent, incarnation, x);
     });
   };
   queue_.after(kReportTimeout, [this, name, to, answered] {
     if (!std::exchange(*answered, true)) report_over(name, kNextNode, (to + 1) % kControllers);
   });
   queue_.after(queue_.uniform(0.0005, 0.007), [this, to, r, reply] {
-    network_.run(to, Await::kReport, [this, to, r, reply] { hooks_.report(to, r, reply); });
+    network_.run(to, Await::kReport, [this, to, r, reply] { hooks_.heartbeat(to, r, reply); });
   });
 }
 
 // Copies come late, also to controllers that the worker never reported to.
-void Workers::copy_later(const wire::Report& r) {
+void Workers::copy_later(const protocol::WorkerHeartbeat& r) {
   int where = queue_.draw_below(kControllers);
   queue_.after(queue_.uniform(0.5, 25), [this, r, where] { deliver_copy(where, r); });
 }
 
-void Workers::deliver_copy(int node, wire::Report r) {
+void Workers::deliver_copy(int controller, protocol::WorkerHeartbeat r) {
   if (auto* m = books_.machine(r.machine); m && options_.mistake == Mistake::kCopiesAreNews) {
-    r.session = Session(m->session);
+    r.incarnation = Incarnation(m->incarnation);
     r.sequence = Sequence(++m->sequence);
     r.token = Token(m->token);
   }
-  auto reply = [this, node, name = r.machine](const ReportReply& x) {
-    decisions_.on_report_reply(node, name, x);
+  auto reply = [this, controller, name = r.machine](const HeartbeatReply& x) {
+    decisions_.on_report_reply(controller, name, x);
   };
-  network_.run(node, Await::kReport, [this, node, r, reply] { hooks_.report(node, r, reply); });
+  network_.run(controller, Await::kReport,
+               [this, controller, r, reply] { hooks_.heartbeat(controller, r, reply); });
 }
 
 void Workers::on_new_leader() {
@@ -147,34 +148,34 @@
     auto* m = books_.machine(name);
     if (!m) return;
     m->in_flight = false;
-    if (next_node >= 0) m->node = next_node;
+    if (next_node >= 0) m->controller = next_node;
   });
 }
 
-void Workers::on_reply(const MachineName& name, int node, double sent, std::uint64_t session,
-                       const ReportReply& reply) {
+void Workers::on_reply(const MachineName& name, int controller, double sent, std::uint64_t incarnation,
+                       const HeartbeatReply& reply) {
   auto* m = books_.machine(name);
   if (!m) return;
   double now = queue_.now();
-  int next = (node + 1) % kControllers;
-  bool lost = now < m->deaf_until || network_.way_to_worker(node, m->zone) || queue_.mishap(0.002);
+  int next = (controller + 1) % kControllers;
+  bool lost = now < m->deaf_until || network_.way_to_worker(controller, m->zone) || queue_.mishap(0.002);
   if (lost) return report_over(name, sent + kReportTimeout + kNextNode - now, next);
   if (!reply.answer) {
-    bool told_where = reply.redirect >= 0 && reply.redirect != node;
+    bool told_where = reply.redirect >= 0 && reply.redirect != controller;
     return report_over(name, told_where ? 0.3 : kNextNode, told_where ? reply.redirect : next);
   }
   report_over(name, 0.001, -1);
-  if (now < m->hangs_until || m->session != session || reply.answer->token.value() < m->token) return;
+  if (now < m->hangs_until || m->incarnation != incarnation || reply.answer->token.value() < m->token) return;
   advance(*m);
-  if (m->session != session) return;
+  if (m->incarnation != incarnation) return;
   m->token = reply.answer->token.value();
   m->lease_from = std::max(m->lease_from, sent);
   for (const auto& c : reply.answer->commands) obey(*m, c);
 }
 
-void Workers::command(int node, const part::Part::Batch& b,
+void Workers::command(int controller, const shard::ShardManager::Batch& b,
                       std::function<void(std::optional<CommandReply>)> done) {
-  decisions_.on_commands(node, b);
+  decisions_.on_commands(controller, b);
   auto none = [this, done] { queue_.after(kCommandTimeout, [done] { done(std::nullopt); }); };
   auto* m = books_.machine(b.machine);
   if (!m || queue_.now() < m->deaf_until || queue_.mishap(0.01)) {
@@ -182,8 +183,8 @@
     if (queue_.mishap(0.5)) carry_out_later(queue_.uniform(0.5, 60), b);
     return none();
   }
-  if (auto cut = network_.way_to_worker(node, m->zone)) {
-    if (cut->hold) carry_out_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), b);
+  if (auto cut = network_.way_to_worker(controller, m->zone)) {
+    if (cut->lease) carry_out_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), b);
     return none();
   }
   if (queue_.now() < m->hangs_until) {
@@ -201,11 +202,11 @@
   });
 }
 
-void Workers::carry_out_later(double d, const part::Part::Batch& b) {
+void Workers::carry_out_later(double d, const shard::ShardManager::Batch& b) {
   queue_.after(d, [this, b] { carry_out(b); });
 }
 
-std::optional<CommandReply> Workers::carry_out(const part::Part::Batch& b) {
+std::optional<CommandReply> Workers::carry_out(const shard::ShardManager::Batch& b) {
   auto* m = books_.machine(b.machine);
   if (!m || queue_.now() < m->deaf_until) return std::nullopt;
   if (queue_.now() < m->hangs_until) {
@@ -213,7 +214,7 @@
     return std::nullopt;
   }
   advance(*m);
-  bool ok = b.token.value() >= m->token && b.session.value() == m->session;
+  bool ok = b.token.value() >= m->token && b.incarnation.value() == m->incarnation;
   if (ok) {
     m->token = b.token.value();
     for (const auto& c : b.commands) obey(*m, c);
@@ -221,10 +222,10 @@
   return CommandReply{ok, compose(*m)};
 }
 
-void Workers::obey(Machine& m, const wire::Command& c) {
+void Workers::obey(Machine& m, const protocol::Command& c) {
   std::pair key{c.task, c.attempt};
   auto it = m.tasks.find(key);
-  if (c.op == wire::Command::Op::kStart) {
+  if (c.op == protocol::Command::Op::kStart) {
     if (it != m.tasks.end()) return;
     auto& t = m.tasks[key];
     t.ready = queue_.now() + queue_.uniform(0.1, 1.5);
@@ -239,10 +240,10 @@
       queue_.at(when + 0.001, [this, name = m.name] {
         if (auto* x = books_.machine(name)) advance(*x);
       });
-  } else if (c.op == wire::Command::Op::kStop && it != m.tasks.end() && !it->second.ended) {
+  } else if (c.op == protocol::Command::Op::kStop && it != m.tasks.end() && !it->second.ended) {
     it->second.ended = true;
-    it->second.cause = wire::EndCause::kStopped;
-  } else if (c.op == wire::Command::Op::kForget && it != m.tasks.end() && it->second.ended) {
+    it->second.cause = protocol::EndCause::kStopped;
+  } else if (c.op == protocol::Command::Op::kForget && it != m.tasks.end() && it->second.ended) {
     m.tasks.erase(it);
   }
 }
--- a/tests/sim/workers.h
+++ b/tests/sim/workers.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <vector>
 
-#include "part/part.h"
+#include "shard/shard_manager.h"
 #include "sim/books.h"
 #include "sim/decision_digest.h"
 #include "sim/network.h"
@@ -13,24 +13,24 @@
 
 namespace beaconsill::sim {
 
-// A controller's answer to a report: that of the part's owner, or where to go instead.
-struct ReportReply {
-  std::optional<part::Part::ReportAnswer> answer;
+// A controller's answer to a report: that of the shard's owner, or where to go instead.
+struct HeartbeatReply {
+  std::optional<shard::ShardManager::HeartbeatResponse> answer;
   int redirect = -1;  // -1: unknown
 };
 
 // What comes back from a direct command.
 struct CommandReply {
   bool executed = false;
-  wire::Report report;
+  protocol::WorkerHeartbeat heartbeat;
 };
 
 class Workers {
  public:
-  using Reply = std::function<void(const ReportReply&)>;
+  using Reply = std::function<void(const HeartbeatReply&)>;
   struct Hooks {
     // A report reached a controller.
-    std::function<void(int node, const wire::Report&, Reply)> report;
+    std::function<void(int controller, const protocol::WorkerHeartbeat&, Reply)> heartbeat;
     // The last task of a job has completed.
     std::function<void(const JobId&)> all_done;
   };
@@ -43,7 +43,8 @@
   // Lets everything happen that is due on the machines.
   void advance_all();
   // Direct commands of a controller; `done` gets none if there was no answer.
-  void command(int node, const part::Part::Batch& b, std::function<void(std::optional<CommandReply>)> done);
+  void command(int controller, const shard::ShardManager::Batch& b,
+               std::function<void(std::optional<CommandReply>)> done);
 
   // ---- Troubles
   // Of that share of reports a copy arrives again, up to well over a lease later.
@@ -56,19 +57,19 @@
   void delay_commands(Window w) { late_commands_ = w; }
 
  private:
-  wire::Report compose(Machine& m);
+  protocol::WorkerHeartbeat compose(Machine& m);
   void advance(Machine& m);
   void on_done(const JobId& id, Job& job, std::uint32_t index);
-  void report(const MachineName& name);
-  void send_report(const MachineName& name, int to, const wire::Report& r);
-  void copy_later(const wire::Report& r);
-  void deliver_copy(int node, wire::Report r);
+  void heartbeat(const MachineName& name);
+  void send_report(const MachineName& name, int to, const protocol::WorkerHeartbeat& r);
+  void copy_later(const protocol::WorkerHeartbeat& r);
+  void deliver_copy(int controller, protocol::WorkerHeartbeat r);
   void report_over(const MachineName& name, double wait, int next_node);
-  void on_reply(const MachineName& name, int node, double sent, std::uint64_t session,
-                const ReportReply& reply);
-  std::optional<CommandReply> carry_out(const part::Part::Batch& b);
-  void carry_out_later(double d, const part::Part::Batch& b);
-  void obey(Machine& m, const wire::Command& c);
+  void on_reply(const MachineName& name, int controller, double sent, std::uint64_t incarnation,
+                const HeartbeatReply& reply);
+  std::optional<CommandReply> carry_out(const shard::ShardManager::Batch& b);
+  void carry_out_later(double d, const shard::ShardManager::Batch& b);
+  void obey(Machine& m, const protocol::Command& c);
 
   EventQueue& queue_;
   Network& network_;
@@ -79,7 +80,7 @@
   const Options& options_;
   Hooks hooks_;
   Window copies_, for_next_, late_commands_;
-  std::vector<wire::Report> kept_;
+  std::vector<protocol::WorkerHeartbeat> kept_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -6,9 +6,9 @@
 // `mistake`: without limits jobs of any size are accepted.
 config::Settings settings(Mistake mistake) {
   config::Settings s;
-  s.node = node_name(0);
-  s.zone = node_zone(0);
-  for (int n = 1; n < kControllers; ++n) s.peers.push_back({node_name(n), node_zone(n), ""});
+  s.controller = controller_name(0);
+  s.zone = controller_zone(0);
+  for (int n = 1; n < kControllers; ++n) s.peers.push_back({controller_name(n), controller_zone(n), ""});
   s.zones = zones();
   s.txn_ops = 16;
   for (const auto& team : teams())
@@ -16,8 +16,8 @@
   return s;
 }
 
-std::shared_ptr<const wire::Catalogue> catalogue() {
-  auto c = std::make_shared<wire::Catalogue>();
+std::shared_ptr<const protocol::Catalogue> catalogue() {
+  auto c = std::make_shared<protocol::Catalogue>();
   (*c)[MachineType("t8")] = {
       MachineType("t8"), {kMachineCpus, 0, kMachineMemory}, 20, 0.5, 1, 0.5, 5, zones()};
   return c;
@@ -28,8 +28,8 @@
   return m == Mistake::kNoRoleCondition ? 0.15 : 0.015;
 }
 
-wire::JobSpec job(const std::string& id, std::uint32_t tasks, const std::string& team, JobKind kind) {
-  wire::JobSpec s;
+protocol::JobSpec job(const std::string& id, std::uint32_t tasks, const std::string& team, JobKind kind) {
+  protocol::JobSpec s;
   s.id = JobId(id);
   s.job_class = "c";
   s.team = Team(team);
@@ -45,11 +45,11 @@
 
 }  // namespace
 
-wire::JobSpec array_job(const std::string& id, std::uint32_t tasks, const std::string& team) {
+protocol::JobSpec array_job(const std::string& id, std::uint32_t tasks, const std::string& team) {
   return job(id, tasks, team, JobKind::kArray);
 }
 
-wire::JobSpec service_job(const std::string& id, std::uint32_t replicas, const std::string& team) {
+protocol::JobSpec service_job(const std::string& id, std::uint32_t replicas, const std::string& team) {
   return job(id, replicas, team, JobKind::kService);
 }
 
@@ -64,7 +64,7 @@
       settings_(settings(o.mistake)),
       parting_(settings_),
       workers_(queue_, network_, decisions_, books_, rules_, outcome_, options_,
-               {[this](int n, const auto& r, auto reply) { controller(n).on_report(r, reply); },
+               {[this](int n, const auto& r, auto reply) { controller(n).on_worker_heartbeat(r, reply); },
                 [this](const auto& id) { users_.on_all_done(id); }}),
       cloud_(queue_, books_, [this](const auto& m) { workers_.on_added(m); }),
       env_{options_,  queue_,   network_,    state_,
@@ -86,16 +86,16 @@
   script(at_s, std::move(f));
 }
 
-void World::submit(double at_s, const wire::JobSpec& spec, int node, std::optional<double> run_s) {
-  script(at_s, [this, spec, node, run_s] { users_.submit(node, spec, run_s); });
+void World::submit(double at_s, const protocol::JobSpec& spec, int controller, std::optional<double> run_s) {
+  script(at_s, [this, spec, controller, run_s] { users_.submit(controller, spec, run_s); });
 }
 
-void World::cancel(double at_s, const JobId& id, int node) {
-  script(at_s, [this, id, node] { users_.cancel(node, id); });
+void World::cancel(double at_s, const JobId& id, int controller) {
+  script(at_s, [this, id, controller] { users_.cancel(controller, id); });
 }
 
-void World::poll(double at_s, const JobId& id, int node) {
-  script(at_s, [this, id, node] { users_.poll(node, id); });
+void World::poll(double at_s, const JobId& id, int controller) {
+  script(at_s, [this, id, controller] { users_.poll(controller, id); });
 }
 
 void World::poll_all(double at_s, const JobId& id) {
@@ -112,10 +112,11 @@
   return out;
 }
 
-std::optional<Answer> World::last_answer(const JobId& id, Ask ask) const {
-  const auto& all = answers();
-  auto it =
-      std::find_if(all.rbegin(), all.rend(), [&](const auto& a) { return a.job == id && a.ask == ask; });
+std::optional<EstimateResponse> World::last_answer(const JobId& id, EstimateRequest estimate_request) const {
+  const auto& all = is_responsive();
+  auto it = std::find_if(all.rbegin(), all.rend(), [&](const auto& a) {
+    return a.job == id && a.estimate_request == estimate_request;
+  });
   if (it == all.rend()) return std::nullopt;
   return *it;
 }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -1,5 +1,5 @@
 // A deterministic simulation of the whole service: the pure state machines of owners and leader (`part`,
-// `lead`) and the view of the state service (`store`), against stand-ins of workers, state service, cloud,
+// `lead`) and the view of the state store (`store`), against stand-ins of workers, state store, cloud,
 // users and network. Everything happens on one queue of events, all luck comes from the seed, and the rules
 // are checked on books that no controller sees.
 //
@@ -8,8 +8,8 @@
 //
 //   TEST(Meetings, ACancellationMeetsTheEndOfTheLeader) {
 //     World w(Options::scripted());                      // no drawn jobs, no drawn troubles, no lost
-//     messages auto job = array_job("run-1", /*tasks=*/8); w.submit(2.0, job, /*node=*/1, /*run_s=*/60); //
-//     at 2 s, through controller 1; its tasks run 60 s w.trouble({.at_s = 10, .kind =
+//     messages auto job = array_job("run-1", /*tasks=*/8); w.submit(2.0, job, /*controller=*/1,
+//     /*run_s=*/60); // at 2 s, through controller 1; its tasks run 60 s w.trouble({.at_s = 10, .kind =
 //     TroubleKind::kStateRefusesNode, .for_s = 14, .who = Who::leader()}); w.trouble({.at_s = 12, .kind =
 //     TroubleKind::kMachineHangs, .for_s = 6,
 //                .which = Which::of_job(job.id, 2)});    // two machines that run it
@@ -31,9 +31,9 @@
 // `wrong_place`, `ran_cancelled`, `forgotten`, `invented`, `not_done`, `went_back`; `starved`: a job waits
 // for 90 s though it could run; `accepted_bad`: a job was accepted that can't run or lacks a field.
 //
-// Controllers run the real `part`, `lead`, `store::View` and `api`; what `node` adds around them is rebuilt
-// here without sockets (controller*.cpp, heartbeats.h, mirror.h). A test may call any method of a stand-in
-// from `at`.
+// Controllers run the real `part`, `lead`, `store::View` and `api`; what `controller` adds around them is
+// rebuilt here without sockets (controller*.cpp, heartbeats.h, mirror.h). A test may call any method of a
+// stand-in from `at`.
 #pragma once
 
 #include <array>
@@ -45,8 +45,9 @@
 
 namespace beaconsill::sim {
 
-wire::JobSpec array_job(const std::string& id, std::uint32_t tasks, const std::string& team = "blue");
-wire::JobSpec service_job(const std::string& id, std::uint32_t replicas, const std::string& team = "blue");
+protocol::JobSpec array_job(const std::string& id, std::uint32_t tasks, const std::string& team = "blue");
+protocol::JobSpec service_job(const std::string& id, std::uint32_t replicas,
+                              const std::string& team = "blue");
 
 class World {
  public:
@@ -55,9 +56,10 @@
   // ---- Script. Times are in seconds since the beginning; the controllers start at 0, 0.05 and 0.1.
   void trouble(const Trouble& t) { troubles_.add(t); }
   // Each is one request of a user. Without `run_s` each task's run time is drawn from 0.5 to 6 s.
-  void submit(double at_s, const wire::JobSpec& spec, int node, std::optional<double> run_s = std::nullopt);
-  void cancel(double at_s, const JobId& id, int node);
-  void poll(double at_s, const JobId& id, int node);
+  void submit(double at_s, const protocol::JobSpec& spec, int controller,
+              std::optional<double> run_s = std::nullopt);
+  void cancel(double at_s, const JobId& id, int controller);
+  void poll(double at_s, const JobId& id, int controller);
   void poll_all(double at_s, const JobId& id);
   // Anything else.
   void at(double at_s, std::function<void()> f);
@@ -77,13 +79,13 @@
   Cloud& cloud() { return cloud_; }
   Users& users() { return users_; }
   Controller& controller(int n) { return *controllers_[static_cast<std::size_t>(n)]; }
-  // The leader as the state service has it.
+  // The leader as the state store has it.
   std::optional<int> leader() const { return troubles_.leader(); }
   // Machines on which a task of the job runs at present.
   std::vector<MachineName> running_on(const JobId& id) const;
-  const std::vector<Answer>& answers() const { return users_.answers(); }
+  const std::vector<EstimateResponse>& is_responsive() const { return users_.is_responsive(); }
   // The last answer to such a request.
-  std::optional<Answer> last_answer(const JobId& id, Ask ask) const;
+  std::optional<EstimateResponse> last_answer(const JobId& id, EstimateRequest estimate_request) const;
 
  private:
   void script(double at_s, std::function<void()> f);
@@ -99,7 +101,7 @@
   Rules rules_;
   StateService state_;
   config::Settings settings_;
-  part::Parting parting_;
+  shard::Partitioning parting_;
   Workers workers_;
   Cloud cloud_;
   Environment env_;
--- a/tests/sim_script_test.cpp
+++ b/tests/sim_script_test.cpp
@@ -17,7 +17,7 @@
   auto job = array_job("run-1", 8);
   w.submit(2, job, 1);
   w.poll_all(30, job.id);
-  // Every part is at its home soon, and stays there.
+  // Every shard is at its home soon, and stays there.
   auto terms = [&] {
     std::vector<std::uint64_t> out;
     for (int n = 0; n < kControllers; ++n) {
@@ -33,9 +33,10 @@
   EXPECT_TRUE(r.broken.empty()) << r.first;
   EXPECT_EQ(r.started, 8);
   EXPECT_EQ(terms(), early);
-  EXPECT_EQ(w.last_answer(job.id, Ask::kSubmit)->status, 201);
+  EXPECT_EQ(w.last_answer(job.id, EstimateRequest::kSubmit)->status, 201);
   int told_done = 0;
-  for (const auto& a : w.answers()) told_done += a.ask == Ask::kStatus && a.state == wire::JobState::kDone;
+  for (const auto& a : w.is_responsive())
+    told_done += a.estimate_request == EstimateRequest::kStatus && a.state == protocol::JobState::kDone;
   EXPECT_EQ(told_done, kControllers);
 }
 
@@ -52,9 +53,9 @@
   auto r = w.run();
   EXPECT_TRUE(r.broken.empty()) << r.first;
   EXPECT_GT(ran, 0u);
-  EXPECT_EQ(w.last_answer(job.id, Ask::kCancel)->state, wire::JobState::kCancelled);
-  EXPECT_EQ(w.last_answer(job.id, Ask::kSubmit)->status, 200);
-  EXPECT_EQ(w.last_answer(job.id, Ask::kSubmit)->state, wire::JobState::kCancelled);
+  EXPECT_EQ(w.last_answer(job.id, EstimateRequest::kCancel)->state, protocol::JobState::kCancelled);
+  EXPECT_EQ(w.last_answer(job.id, EstimateRequest::kSubmit)->status, 200);
+  EXPECT_EQ(w.last_answer(job.id, EstimateRequest::kSubmit)->state, protocol::JobState::kCancelled);
   EXPECT_TRUE(w.running_on(job.id).empty());
 }
 
@@ -76,7 +77,7 @@
   w.at(30.1, [&] { EXPECT_TRUE(w.running_on(job.id).empty()); });
   auto r = w.run();
   EXPECT_TRUE(r.broken.empty()) << r.first;
-  EXPECT_EQ(w.last_answer(job.id, Ask::kStatus)->status, 503);
+  EXPECT_EQ(w.last_answer(job.id, EstimateRequest::kStatus)->status, 503);
   EXPECT_GT(r.takeovers, kControllers);
   EXPECT_FALSE(w.running_on(job.id).empty());
 }
--- a/tests/sim_troubles_test.cpp
+++ b/tests/sim_troubles_test.cpp
@@ -22,7 +22,7 @@
     EXPECT_FALSE(seen_.empty());
   }
   static bool stored(World& w, const JobId& id) {
-    return w.state().find(store::job_key(id)) || w.state().find(store::end_key(id));
+    return w.state().find(state_store::job_key(id)) || w.state().find(state_store::terminal_key(id));
   }
 
   std::map<std::string, bool> seen_;
@@ -59,16 +59,17 @@
   w.trouble({.at_s = 5, .kind = TroubleKind::kLostAnswers, .for_s = 1});
   w.submit(5.1, job, 1);
   note(w, 5.2, "at once", [&] { return stored(w, job.id); });
-  note(w, 5.3, "unanswered", [&] { return w.answers().empty(); });
-  note(w, 8, "read back", [&] { return w.answers().at(0).status == 200; });
+  note(w, 5.3, "unanswered", [&] { return w.is_responsive().empty(); });
+  note(w, 8, "read back", [&] { return w.is_responsive().at(0).status == 200; });
   expect_clean(w);
 }
 
 TEST_F(Troubled, TheStateServiceRefusesOneOrIsCutFromIt) {
   World w(Options::scripted());
-  w.trouble({.at_s = 10, .kind = TroubleKind::kStateRefusesNode, .for_s = 5, .who = Who::node(1)});
-  w.trouble({.at_s = 20, .kind = TroubleKind::kNodeCutFromState, .for_s = 5, .who = Who::node(2)});
-  w.trouble({.at_s = 30, .kind = TroubleKind::kNodeCutFromStateAndPeers, .for_s = 5, .who = Who::node(0)});
+  w.trouble({.at_s = 10, .kind = TroubleKind::kStateRefusesNode, .for_s = 5, .who = Who::controller(1)});
+  w.trouble({.at_s = 20, .kind = TroubleKind::kNodeCutFromState, .for_s = 5, .who = Who::controller(2)});
+  w.trouble(
+      {.at_s = 30, .kind = TroubleKind::kNodeCutFromStateAndPeers, .for_s = 5, .who = Who::controller(0)});
   note(w, 12, "refused",
        [&] { return !w.state().answers(1) && w.state().answers(0) && w.state().answers(2); });
   note(w, 12, "not cut", [&] { return !w.network().way_to_state(1); });
@@ -100,17 +101,18 @@
 TEST_F(Troubled, AControllerStandsStillAtOnceOrBeforeACallback) {
   World w(Options::scripted());
   auto job = array_job("run-1", 2);
-  w.trouble({.at_s = 10, .kind = TroubleKind::kNodeStandsStill, .for_s = 1.5, .who = Who::node(1)});
+  w.trouble({.at_s = 10, .kind = TroubleKind::kNodeStandsStill, .for_s = 1.5, .who = Who::controller(1)});
   w.poll(10.1, JobId("run-7"), 1);
   w.trouble({.at_s = 20,
              .kind = TroubleKind::kNodeStandsStill,
              .for_s = 3,
-             .who = Who::node(1),
-             .await = Await::kUser});
+             .who = Who::controller(1),
+             .await = Await::kUserRequest});
   w.submit(20.5, job, 1);
   w.poll_all(40, job.id);
-  note(w, 11.4, "no answer", [&] { return w.answers().empty(); });
-  note(w, 11.7, "answered", [&] { return w.answers().size() == 1 && w.answers()[0].status == 404; });
+  note(w, 11.4, "no answer", [&] { return w.is_responsive().empty(); });
+  note(w, 11.7, "answered",
+       [&] { return w.is_responsive().size() == 1 && w.is_responsive()[0].status == 404; });
   note(w, 23.4, "not stored", [&] { return !stored(w, job.id); });
   note(w, 23.7, "stored", [&] { return stored(w, job.id); });
   expect_clean(w);
@@ -118,11 +120,14 @@
 
 TEST_F(Troubled, MachinesAreDeafMuteOrHang) {
   World w(Options::scripted());
-  MachineName deaf("host-0"), mute("host-1"), hanging("host-2");
+  MachineName deaf("host-0"), own_heartbeat_timeout("host-1"), hanging("host-2");
   auto token = [&](const MachineName& m) { return w.books().machine(m)->token; };
   auto reports = [&](const MachineName& m) { return w.books().machine(m)->sequence; };
   w.trouble({.at_s = 20, .kind = TroubleKind::kMachineDeaf, .for_s = 3, .which = Which::machine(deaf)});
-  w.trouble({.at_s = 20, .kind = TroubleKind::kMachineMute, .for_s = 3, .which = Which::machine(mute)});
+  w.trouble({.at_s = 20,
+             .kind = TroubleKind::kMachineMute,
+             .for_s = 3,
+             .which = Which::machine(own_heartbeat_timeout)});
   w.trouble({.at_s = 20, .kind = TroubleKind::kMachineHangs, .for_s = 3, .which = Which::machine(hanging)});
   std::uint64_t deaf_token = 0, deaf_reports = 0, hung_reports = 0;
   double mute_lease = 0, deaf_lease = 0;
@@ -130,20 +135,20 @@
     deaf_token = token(deaf);
     deaf_reports = reports(deaf);
     hung_reports = reports(hanging);
-    mute_lease = w.books().machine(mute)->lease_from;
+    mute_lease = w.books().machine(own_heartbeat_timeout)->lease_from;
     deaf_lease = w.books().machine(deaf)->lease_from;
   });
   note(w, 22.9, "the deaf one reports", [&] { return reports(deaf) > deaf_reports; });
   note(w, 22.9, "and gets no answer",
        [&] { return token(deaf) == deaf_token && w.books().machine(deaf)->lease_from <= deaf_lease + 0.02; });
   note(w, 22.9, "the mute one renews no lease",
-       [&] { return w.books().machine(mute)->lease_from <= mute_lease + 0.02; });
+       [&] { return w.books().machine(own_heartbeat_timeout)->lease_from <= mute_lease + 0.02; });
   note(w, 22.9, "the hanging one does nothing", [&] { return reports(hanging) == hung_reports; });
   // The deaf one may have been deleted: nobody knows that it would hear again.
   auto back = [&](const MachineName& m) {
     return w.books().machine(m) && w.books().machine(m)->lease_from > 23;
   };
-  note(w, 30, "the mute one is back", [&] { return back(mute); });
+  note(w, 30, "the mute one is back", [&] { return back(own_heartbeat_timeout); });
   note(w, 30, "the hanging one is back", [&] { return back(hanging); });
   note(w, 30, "the deaf one is back or gone", [&] { return back(deaf) || !w.books().machine(deaf); });
   expect_clean(w);
@@ -177,7 +182,9 @@
   World w(Options::scripted());
   w.submit(2, service_job("run-1", 4), 1);
   w.trouble({.at_s = 10, .kind = TroubleKind::kLeadersChange, .for_s = 119, .period_s = 12});
-  auto term = [&] { return store::parse_role(w.state().find(store::leader_role_key())->value).term.value(); };
+  auto term = [&] {
+    return state_store::parse_role(w.state().find(state_store::leader_role_key())->value).term.value();
+  };
   std::uint64_t first = 0;
   w.at(9.9, [&] { first = term(); });
   note(w, 135, "ten times", [&] { return term() >= first + 10; });
@@ -195,10 +202,11 @@
   w.trouble({.at_s = 15, .kind = TroubleKind::kCancelNow, .for_s = 6, .count = 3});
   w.trouble({.at_s = 40, .kind = TroubleKind::kOddRequests, .for_s = 20});
   auto looks = [&](double from, double to) {
-    std::set<int> nodes;
-    for (const auto& a : w.answers())
-      if (a.ask == Ask::kStatus && a.sent_s >= from && a.sent_s < to) nodes.insert(a.node);
-    return nodes.size();
+    std::set<int> controllers;
+    for (const auto& a : w.is_responsive())
+      if (a.estimate_request == EstimateRequest::kStatus && a.sent_s >= from && a.sent_s < to)
+        controllers.insert(a.controller);
+    return controllers.size();
   };
   note(w, 3, "looks after the acceptance", [&] { return looks(2, 2.2) == kControllers; });
   note(w, 12, "cancelled at its end", [&] { return w.books().jobs.at(ended.id).cancel_asked; });
@@ -209,7 +217,7 @@
   });
   expect_clean(w);
   std::map<int, int> statuses;
-  for (const auto& a : w.answers())
+  for (const auto& a : w.is_responsive())
     if (a.sent_s > 40) ++statuses[a.status];
   for (int status : {200, 400, 404, 422}) EXPECT_GT(statuses[status], 0) << status;
 }
--- a/tests/standins.h
+++ b/tests/standins.h
@@ -1,4 +1,4 @@
-// This repository's own stand-ins for the state service, the cloud and a worker, as far as the protocol needs
+// This repository's own stand-ins for the state store, the cloud and a worker, as far as the protocol needs
 // for the service to run on loopback.
 #pragma once
 
@@ -9,8 +9,8 @@
 
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "wire/api.h"
-#include "wire/json.h"
+#include "protocol/api.h"
+#include "protocol/json.h"
 
 namespace beaconsill::standin {
 
@@ -18,7 +18,7 @@
 using net::Request;
 using net::Response;
 using net::Tcp;
-using wire::Json;
+using protocol::Json;
 
 inline Tcp::endpoint any_port() {
   return {asio::ip::make_address("127.0.0.1"), 0};
@@ -48,12 +48,13 @@
               return reply({503, "{}"});
             }
             if (silent) return unanswered.push_back(reply);
-            auto met = trouble ? trouble(r) : Trouble::kNone;
-            if (met == Trouble::kLate) return late_.emplace_back(std::move(r), std::move(reply)), void();
+            auto first_seen = trouble ? trouble(r) : Trouble::kNone;
+            if (first_seen == Trouble::kLate)
+              return late_.emplace_back(std::move(r), std::move(reply)), void();
             ++requests[r.path];
             auto answer = handle(r);
             if (r.path == "/txn" && txn_answers_lost) return unanswered.push_back(reply);
-            if (met == Trouble::kAnswerKept)
+            if (first_seen == Trouble::kAnswerKept)
               return kept_.emplace_back(std::move(answer), std::move(reply)), void();
             reply(std::move(answer));
           });
@@ -63,7 +64,7 @@
   bool down = false;                 // for all
   std::size_t max_ops = SIZE_MAX;    // changes of a transaction
   std::size_t max_value = SIZE_MAX;  // bytes of a value
-  std::array<bool, 2> shut{};        // for the node that comes by this door
+  std::array<bool, 2> shut{};        // for the controller that comes by this door
   bool silent = false;               // takes requests, and neither carries them out nor answers
   bool txn_answers_lost = false;     // transactions are carried out
   std::vector<HttpServer::Reply> unanswered;
@@ -100,16 +101,16 @@
     attached_.erase(key);
   }
   std::uint64_t revision() const { return revision_; }
-  // Ends a node's hold, as when it isn't renewed in time.
-  void expire(std::uint64_t hold) {
+  // Ends a controller's hold, as when it isn't renewed in time.
+  void expire(std::uint64_t lease) {
     for (auto it = attached_.begin(); it != attached_.end();)
-      if (it->second == hold) {
+      if (it->second == lease) {
         drop(it->first);
         it = attached_.erase(it);
       } else {
         ++it;
       }
-    holds_.erase(hold);
+    holds_.erase(lease);
   }
   // Sets a key, as some other program would.
   void put(const std::string& key, Json value) {
@@ -209,7 +210,7 @@
         io, any_port(), net::ServerLimits{}, [](const Request&) { return false; },
         [this](Request r, HttpServer::Reply reply) { reply(handle(r)); });
     server->start();
-    report();
+    heartbeat();
   }
   void stop() {
     stopped_ = true;
@@ -268,7 +269,7 @@
     }
     return {200, body().dump()};
   }
-  void report() {
+  void heartbeat() {
     if (stopped_) return;
     for (auto& t : tasks) {
       if (t.state == "running" && !services.contains(t.id.substr(0, t.id.find('/'))) &&
@@ -298,7 +299,7 @@
       }
       timer_.expires_after(std::chrono::milliseconds(50));
       timer_.async_wait([this](std::error_code ec) {
-        if (!ec) report();
+        if (!ec) heartbeat();
       });
     });
   }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -2,30 +2,30 @@
 
 #include <map>
 
-#include "store/budget.h"
-#include "store/open_txns.h"
-#include "store/view.h"
+#include "state_store/pending_txns.h"
+#include "state_store/rate_limiter.h"
+#include "state_store/state_view.h"
 #include "store_world.h"
 
-namespace beaconsill::store {
+namespace beaconsill::state_store {
 namespace {
 
-using wire::Json;
+using protocol::Json;
 
 Instant at(double s) {
   return Instant{} + from_seconds(1000 + s);
 }
 
-TEST(Budget, KeepsToItsRate) {
-  Budget b(10, 1.0, at(0));
+TEST(RateLimiter, KeepsToItsRate) {
+  RateLimiter b(10, 1.0, at(0));
   int taken = 0;
   for (int ms = 0; ms < 10000; ms += 5)
     while (b.take(1, false, at(ms / 1000.0))) ++taken;
   EXPECT_NEAR(taken, 110, 1);  // a burst, then the rate
 }
 
-TEST(Budget, UrgentOverdrawsByOneBurstOnly) {
-  Budget b(10, 1.0, at(0));
+TEST(RateLimiter, UrgentOverdrawsByOneBurstOnly) {
+  RateLimiter b(10, 1.0, at(0));
   int normal = 0, urgent = 0;
   while (b.take(1, false, at(0))) ++normal;
   while (b.take(1, true, at(0))) ++urgent;
@@ -35,38 +35,38 @@
   EXPECT_TRUE(b.take(1, false, at(1.2)));
 }
 
-TEST(Budget, MoreThanABurstWaitsForAFullBucketOnly) {
-  Budget b(5, 1.0, at(0));
+TEST(RateLimiter, MoreThanABurstWaitsForAFullBucketOnly) {
+  RateLimiter b(5, 1.0, at(0));
   EXPECT_TRUE(b.take(8, false, at(0)));
   EXPECT_FALSE(b.take(8, false, at(1.0)));
   EXPECT_LE(b.ready_at(8, false, at(1.0)), at(1.7));
   EXPECT_TRUE(b.take(8, false, at(1.7)));
 }
 
-TEST(Budget, RefusalEmptiesIt) {
-  Budget b(10, 1.0, at(0));
+TEST(RateLimiter, RefusalEmptiesIt) {
+  RateLimiter b(10, 1.0, at(0));
   b.drain(at(0));
   EXPECT_FALSE(b.take(1, false, at(0.05)));
   EXPECT_TRUE(b.take(1, false, at(0.15)));
 }
 
 Json job(const char* id, int tasks) {
-  wire::JobSpec s;
+  protocol::JobSpec s;
   s.id = JobId(id);
   s.job_class = "c";
   s.team = Team("blue");
   s.tasks = static_cast<std::uint32_t>(tasks);
   s.image = ImageName("i");
-  return to_json(JobRecord{std::make_shared<const wire::JobSpec>(s), WallMs(5)});
+  return to_json(JobRecord{std::make_shared<const protocol::JobSpec>(s), WallMs(5)});
 }
 
-wire::Change set(std::string key, Json v, std::uint64_t rev) {
+protocol::Change set(std::string key, Json v, std::uint64_t rev) {
   return {std::move(key), std::move(v), Revision(rev)};
 }
 
 TEST(Records, SurviveTheRoundTrip) {
-  Grants g{{{Generation(3), PartId(1), Term(7), Ranges::span(0, 4), Zone("z"), true, Attempt(9)},
-            {Generation(4), PartId(0), Term(2), Ranges::span(4, 9), std::nullopt, false, {}}},
+  Grants g{{{Generation(3), ShardId(1), Term(7), Ranges::span(0, 4), Zone("z"), true, Attempt(9)},
+            {Generation(4), ShardId(0), Term(2), Ranges::span(4, 9), std::nullopt, false, {}}},
            Generation(4)};
   auto back = parse_grants(to_json(g));
   EXPECT_EQ(back.chunks, g.chunks);
@@ -76,12 +76,12 @@
   std::vector<MachineRecord> m{{MachineName("m"), MachineType("t"), Zone("z"), true, "10.0.0.1:9", true},
                                {MachineName("n"), MachineType("t"), Zone("z")}};
   EXPECT_EQ(parse_machines(to_json(m)), m);
-  EXPECT_EQ(parse_ending(to_json(Ending{End::kCancelled, 4})).done, 4u);
-  EXPECT_THROW(parse_grants(Json{{"last", 1}, {"chunks", 7}}), wire::WireError);
-  EXPECT_THROW(parse_progress(Json{{"done", "5-1"}, {"returned", Json::array()}}), wire::WireError);
+  EXPECT_EQ(parse_terminal_record(to_json(TerminalRecord{TerminalState::kCancelled, 4})).done, 4u);
+  EXPECT_THROW(parse_grants(Json{{"last", 1}, {"chunks", 7}}), protocol::ProtocolError);
+  EXPECT_THROW(parse_progress(Json{{"done", "5-1"}, {"returned", Json::array()}}), protocol::ProtocolError);
 }
 
-// A value over the state service's limit would stop the registration of its machines for good, and with it
+// A value over the state store's limit would stop the registration of its machines for good, and with it
 // all that runs there. 8 KiB is the least limit seen; one controller's part may have half the machines of
 // 1,050.
 TEST(Records, TheRegistryOfALargePartFitsIntoItsValues) {
@@ -96,45 +96,45 @@
   for (const auto& [b, machines] : buckets) EXPECT_LE(to_json(machines).dump().size(), 8 * 1024 * 0.9) << b;
 }
 
-TEST(View, OutstandingIsGrantedLessDoneAndReturned) {
+TEST(StateView, OutstandingIsGrantedLessDoneAndReturned) {
   JobId id("run-1");
-  View v;
+  StateView v;
   v.apply(set(job_key(id), job("run-1", 10), 1));
   v.apply(set(grants_key(id),
-              to_json(Grants{{{Generation(1), PartId(0), Term(1), Ranges::span(0, 4), {}, false, {}},
-                              {Generation(2), PartId(1), Term(1), Ranges::span(4, 9), {}, false, {}}},
+              to_json(Grants{{{Generation(1), ShardId(0), Term(1), Ranges::span(0, 4), {}, false, {}},
+                              {Generation(2), ShardId(1), Term(1), Ranges::span(4, 9), {}, false, {}}},
                              Generation(2)}),
               2));
   EXPECT_EQ(v.job(id)->outstanding().str(), "0-8");
-  v.apply(set(progress_key(PartId(0), id),
+  v.apply(set(progress_key(ShardId(0), id),
               to_json(Progress{Ranges::span(0, 2), {{Generation(1), Ranges::span(3, 4)}}}), 3));
-  EXPECT_EQ(v.job(id)->outstanding(PartId(0)).str(), "2");
+  EXPECT_EQ(v.job(id)->outstanding(ShardId(0)).str(), "2");
   EXPECT_EQ(v.job(id)->outstanding().str(), "2,4-8");
   // A return counts for its generation only: given out again, the task is out.
   v.apply(set(grants_key(id),
-              to_json(Grants{{{Generation(3), PartId(0), Term(1), Ranges::span(3, 4), {}, false, {}}},
+              to_json(Grants{{{Generation(3), ShardId(0), Term(1), Ranges::span(3, 4), {}, false, {}}},
                              Generation(3)}),
               4));
   EXPECT_EQ(v.job(id)->outstanding().str(), "3");
 }
 
-TEST(View, TheHighestVersionStandsWhateverTheOrder) {
+TEST(StateView, TheHighestVersionStandsWhateverTheOrder) {
   JobId id("run-1");
-  View v;
-  v.apply(set(end_key(id), to_json(Ending{End::kDone, 1}), 9));
-  v.apply(set(end_key(id), to_json(Ending{End::kCancelled, 0}), 5));
-  EXPECT_EQ(v.end(id), End::kDone);
-  v.apply(set(part_role_key(PartId(0)), to_json(Role{NodeName("a"), Term(2)}), 8));
-  v.apply(set(part_role_key(PartId(0)), to_json(Role{NodeName("b"), Term(1)}), 7));
-  EXPECT_EQ(v.part_role(PartId(0)).value.node, NodeName("a"));
-  v.apply(set(alive_key(NodeName("a")), Json{{"up", true}}, 3));
-  EXPECT_TRUE(v.alive(NodeName("a")));
-  v.apply({alive_key(NodeName("a")), std::nullopt, Revision(10)});
-  EXPECT_FALSE(v.alive(NodeName("a")));
+  StateView v;
+  v.apply(set(terminal_key(id), to_json(TerminalRecord{TerminalState::kDone, 1}), 9));
+  v.apply(set(terminal_key(id), to_json(TerminalRecord{TerminalState::kCancelled, 0}), 5));
+  EXPECT_EQ(v.end(id), TerminalState::kDone);
+  v.apply(set(shard_role_key(ShardId(0)), to_json(Role{ControllerName("a"), Term(2)}), 8));
+  v.apply(set(shard_role_key(ShardId(0)), to_json(Role{ControllerName("b"), Term(1)}), 7));
+  EXPECT_EQ(v.shard_role(ShardId(0)).value.controller, ControllerName("a"));
+  v.apply(set(alive_key(ControllerName("a")), Json{{"up", true}}, 3));
+  EXPECT_TRUE(v.alive(ControllerName("a")));
+  v.apply({alive_key(ControllerName("a")), std::nullopt, Revision(10)});
+  EXPECT_FALSE(v.alive(ControllerName("a")));
 }
 
-TEST(View, ValuesThatMakeNoSenseAreDropped) {
-  View v;
+TEST(StateView, ValuesThatMakeNoSenseAreDropped) {
+  StateView v;
   for (const char* key : {"jobs/run-1", "grants/run-1", "progress/0/run-1", "ends/run-1", "roles/leader",
                           "machines/0/1", "machines/x/y", "novel/thing"})
     v.apply(set(std::string(kPrefix) + key, Json{{"odd", 1}}, 1));
@@ -147,8 +147,8 @@
   return std::chrono::milliseconds(n);
 }
 
-wire::Txn create(const std::string& key, int writes = 1) {
-  wire::Txn t;
+protocol::Txn create(const std::string& key, int writes = 1) {
+  protocol::Txn t;
   for (int i = 0; i < writes; ++i) {
     auto name = std::string(kPrefix) + "test/" + key + std::to_string(i);
     t.conditions.push_back({name, Revision()});
@@ -158,10 +158,10 @@
 }
 
 // What the changes of a read tell of a transaction of two writes that has no answer.
-TEST(OpenTxns, AppliedOnlyIfAllWritesAreThereUnderOneLaterRevision) {
+TEST(PendingTxns, AppliedOnlyIfAllWritesAreThereUnderOneLaterRevision) {
   struct Case {
     const char* what;
-    std::vector<wire::Change> changes;
+    std::vector<protocol::Change> changes;
     bool sent;
     std::optional<Revision> applied;
   };
@@ -182,12 +182,12 @@
        Revision(7)},
   };
   for (const auto& c : cases) {
-    OpenTxns open;
+    PendingTxns open;
     std::optional<Revision> told;
     auto id = open.add({{}, {{"a", one, {}}, {"b", {}, {}}}}, [&](TxnResult r) { told = r.revision; });
     if (c.sent) open.sent(id, Revision(5), at(0));
     EXPECT_EQ(open.oldest_sent().has_value(), c.sent) << c.what;
-    for (auto& a : open.take_applied(c.changes)) a.done({Outcome::kOk, a.revision});
+    for (auto& a : open.take_applied(c.changes)) a.done({RequestOutcome::kOk, a.revision});
     EXPECT_EQ(told, c.applied) << c.what;
     EXPECT_EQ(static_cast<bool>(open.take(id)), !c.applied) << c.what;  // its own answer is then dropped
   }
@@ -197,14 +197,14 @@
 TEST(StoreClient, ReadsDoNotWaitForTheBudgetOfChanges) {
   StoreWorld w({1000, 4});
   for (int i = 0; i < 12; ++i)
-    w.client->txn(create("x" + std::to_string(i)), Urgency::kUser, [](TxnResult) {});
+    w.client->txn(create("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
-  w.client->get(wire::watch_target(kPrefix, Revision(), 0), Urgency::kUser, [&](ReadResult r) {
-    EXPECT_EQ(r.outcome, Outcome::kOk);
+  w.client->get(protocol::watch_target(kPrefix, Revision(), 0), Urgency::kUserRequest, [&](ReadResult r) {
+    EXPECT_EQ(r.outcome, RequestOutcome::kOk);
     read = true;
   });
   EXPECT_LT(w.run_until([&] { return read; }), ms(300));
-  EXPECT_GT(w.client->write_wait(Urgency::kUser), ms(1000));
+  EXPECT_GT(w.client->write_wait(Urgency::kUserRequest), ms(1000));
 }
 
 // Changes of a user that can't be sent soon are refused, and never sent.
@@ -212,8 +212,9 @@
   StoreWorld w({1000, 2});
   int refused = 0, ok = 0;
   for (int i = 0; i < 12; ++i)
-    w.client->txn(create("x" + std::to_string(i)), Urgency::kUser,
-                  [&](TxnResult r) { ++(r.outcome == Outcome::kRefused ? refused : ok); }, {ms(600), {}});
+    w.client->txn(create("x" + std::to_string(i)), Urgency::kUserRequest,
+                  [&](TxnResult r) { ++(r.outcome == RequestOutcome::kRefused ? refused : ok); },
+                  {ms(600), {}});
   EXPECT_LT(w.run_until([&] { return refused + ok == 12; }), ms(900));
   EXPECT_GT(refused, 6);
   EXPECT_EQ(w.state.requests["/txn"], ok);
@@ -224,47 +225,50 @@
   StoreWorld w;
   w.state.txn_answers_lost = true;
   for (int i = 0; i < 20; ++i)
-    w.client->txn(create("x" + std::to_string(i)), Urgency::kUser, [](TxnResult) {});
+    w.client->txn(create("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
-  w.client->get(wire::watch_target(kPrefix, Revision(), 0), Urgency::kUser, [&](ReadResult) { read = true; });
+  w.client->get(protocol::watch_target(kPrefix, Revision(), 0), Urgency::kUserRequest,
+                [&](ReadResult) { read = true; });
   EXPECT_LT(w.run_until([&] { return read; }), ms(500));
   EXPECT_TRUE(w.client->available());
 }
 
 // A lost answer is read back from what is stored, long before its timeout; one read serves all that are late.
-TEST(Mirror, ALostAnswerIsReadBack) {
+TEST(WatchCache, ALostAnswerIsReadBack) {
   StoreWorld w;
   w.state.txn_answers_lost = true;
   auto reads = w.state.requests["/watch"];
   int ok = 0;
   for (int i = 0; i < 10; ++i)
-    w.mirror->commit(create("x" + std::to_string(i), 1 + i % 3), Urgency::kUser, [&](TxnResult r) {
-      EXPECT_EQ(r.outcome, Outcome::kOk);
-      EXPECT_GT(r.revision, Revision());
-      ++ok;
-    });
+    w.watch_cache->commit(create("x" + std::to_string(i), 1 + i % 3), Urgency::kUserRequest,
+                          [&](TxnResult r) {
+                            EXPECT_EQ(r.outcome, RequestOutcome::kOk);
+                            EXPECT_GT(r.revision, Revision());
+                            ++ok;
+                          });
   EXPECT_LT(w.run_until([&] { return ok == 10; }), ms(350));
   EXPECT_LE(w.state.requests["/watch"] - reads, 4);
   w.state.unanswered.clear();
 }
 
 // What was not carried out yet proves nothing: it's unknown, and no sooner than its timeout.
-TEST(Mirror, WhatIsNotFoundStaysUnknown) {
+TEST(WatchCache, WhatIsNotFoundStaysUnknown) {
   StoreWorld w;
   w.state.silent = true;
-  std::optional<Outcome> outcome;
+  std::optional<RequestOutcome> outcome;
   bool sent_again = false;
-  w.mirror->commit(create("x"), Urgency::kUser, [&](TxnResult r) { outcome = r.outcome; });
+  w.watch_cache->commit(create("x"), Urgency::kUserRequest, [&](TxnResult r) { outcome = r.outcome; });
   w.io.run_for(ms(50));
   w.state.silent = false;  // reads are answered from here on, and show nothing
   EXPECT_GT(w.run_until([&] { return outcome.has_value(); }), ms(1000));
-  EXPECT_EQ(outcome, Outcome::kUnknown);
-  w.mirror->commit(create("x"), Urgency::kUser, [&](TxnResult r) { sent_again = r.outcome == Outcome::kOk; });
+  EXPECT_EQ(outcome, RequestOutcome::kUnknown);
+  w.watch_cache->commit(create("x"), Urgency::kUserRequest,
+                        [&](TxnResult r) { sent_again = r.outcome == RequestOutcome::kOk; });
   w.run_until([&] { return sent_again; });
 }
 
-// Whatever keeps the state service from answering, the node knows it soon, and knows its end soon.
-TEST(Mirror, KnowsWhetherItsQuestionsAreAnswered) {
+// Whatever keeps the state store from answering, the controller knows it soon, and knows its end soon.
+TEST(WatchCache, KnowsWhetherItsQuestionsAreAnswered) {
   struct Case {
     const char* what;
     std::function<void(standin::State&, bool)> fail;
@@ -277,16 +281,16 @@
   for (const auto& c : cases) {
     SCOPED_TRACE(c.what);
     StoreWorld w;
-    w.run_until([&] { return w.mirror->answers(); });
+    w.run_until([&] { return w.watch_cache->is_responsive(); });
     c.fail(w.state, true);
-    EXPECT_LT(w.run_until([&] { return !w.mirror->answers(); }), ms(1000));
+    EXPECT_LT(w.run_until([&] { return !w.watch_cache->is_responsive(); }), ms(1000));
     w.io.run_for(ms(1000));
-    EXPECT_FALSE(w.mirror->answers());
+    EXPECT_FALSE(w.watch_cache->is_responsive());
     // However many ask, the reads are probes of a few a second.
     auto refused = w.state.refused["/watch"];
     bool failing = true;
     for (int i = 0; i < 200; ++i) {
-      w.mirror->sync([&](bool ok) { EXPECT_FALSE(ok && failing); });
+      w.watch_cache->sync([&](bool ok) { EXPECT_FALSE(ok && failing); });
       w.io.run_for(ms(5));
     }
     failing = false;
@@ -296,9 +300,9 @@
       for (auto& reply : w.state.unanswered) reply({503, "{}"});
       w.state.unanswered.clear();
     }
-    EXPECT_LT(w.run_until([&] { return w.mirror->answers(); }), ms(550));
+    EXPECT_LT(w.run_until([&] { return w.watch_cache->is_responsive(); }), ms(550));
   }
 }
 
 }  // namespace
-}  // namespace beaconsill::store
+}  // namespace beaconsill::state_store
--- a/tests/store_world.h
+++ b/tests/store_world.h
@@ -1,25 +1,26 @@
-// A state client and a mirror on loopback, against this repository's stand-in of the state service.
+// A state client and a mirror on loopback, against this repository's stand-in of the state store.
 #pragma once
 
 #include <gtest/gtest.h>
 
 #include "base/log.h"
 #include "standins.h"
-#include "store/mirror.h"
+#include "state_store/watch_cache.h"
 
 namespace beaconsill {
 
 struct StoreWorld {
-  explicit StoreWorld(store::StoreLimits limits = {1000, 500}) : state(io) {
+  explicit StoreWorld(state_store::StoreLimits limits = {1000, 500}) : state(io) {
     spdlog::set_level(spdlog::level::err);
-    client = std::make_shared<store::StoreClient>(io, clock, state.doors[0]->local(), limits, limits, 1);
-    mirror = std::make_shared<store::Mirror>(io, clock, client, std::chrono::milliseconds(400),
-                                             [](const store::View::Touched&) {});
-    mirror->start();
-    run_until([&] { return mirror->ready(); });
+    client =
+        std::make_shared<state_store::StoreClient>(io, clock, state.doors[0]->local(), limits, limits, 1);
+    watch_cache = std::make_shared<state_store::WatchCache>(io, clock, client, std::chrono::milliseconds(400),
+                                                            [](const state_store::StateView::ChangeSet&) {});
+    watch_cache->start();
+    run_until([&] { return watch_cache->ready(); });
   }
   ~StoreWorld() {
-    mirror->stop();
+    watch_cache->stop();
     client->stop();
     for (auto& d : state.doors) d->stop();
     io.poll();
@@ -36,8 +37,8 @@
   asio::io_context io;
   SystemClock clock;
   standin::State state;
-  std::shared_ptr<store::StoreClient> client;
-  std::shared_ptr<store::Mirror> mirror;
+  std::shared_ptr<state_store::StoreClient> client;
+  std::shared_ptr<state_store::WatchCache> watch_cache;
 };
 
 }  // namespace beaconsill
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,12 +1,12 @@
 #include <gtest/gtest.h>
 
-#include "wire/api.h"
-#include "wire/cloud.h"
-#include "wire/peer.h"
-#include "wire/store.h"
-#include "wire/worker.h"
+#include "protocol/api.h"
+#include "protocol/cloud.h"
+#include "protocol/peer.h"
+#include "protocol/state_store.h"
+#include "protocol/worker.h"
 
-namespace beaconsill::wire {
+namespace beaconsill::protocol {
 namespace {
 
 const char* const kJob = R"({"ref":"run-000412","berth":"train","crew":"vision","shape":"batch",
@@ -49,20 +49,20 @@
     } else {
       j.erase(c.field);
     }
-    EXPECT_THROW(parse_job(j), WireError) << c.field << " = " << (c.value ? c.value : "missing");
+    EXPECT_THROW(parse_job(j), ProtocolError) << c.field << " = " << (c.value ? c.value : "missing");
   }
   for (const char* text : {"", "{", "[]", "null", "\"x\"", "{\"ref\":1e999}", "\xff\xfe", "{}x", "NaN"})
-    EXPECT_THROW(parse_object(text), WireError) << text;
+    EXPECT_THROW(parse_object(text), ProtocolError) << text;
 }
 
-TEST(Report, ParsesAndRefuses) {
+TEST(WorkerHeartbeat, ParsesAndRefuses) {
   auto good =
       parse_object(R"({"beacon":"host-1","address":"10.1.0.2:9000","hull":"g8","harbour":"a","driftwood":true,
     "watch":2,"tally":88,"helm":41,"recallS":12.5,
     "lamps":[{"lamp":"run-000412/3","launch":2,"bearing":"running"},
              {"lamp":"run-000398/0","launch":1,"bearing":"ended","cause":"halted","stored":true},
              {"lamp":"run-000399/0","launch":1,"bearing":"ended","cause":"some_new_cause"}]})");
-  auto r = parse_report(good);
+  auto r = parse_worker_heartbeat(good);
   EXPECT_EQ(r.machine, MachineName("host-1"));
   EXPECT_EQ(r.token, Token(41));
   ASSERT_EQ(r.tasks.size(), 3u);
@@ -78,37 +78,37 @@
                         Case{"lamps", "[1]"}, Case{"lamps", "[{\"lamp\":\"x\"}]"}, Case{"beacon", "\"\""}}) {
     auto j = good;
     j[c.field] = Json::parse(c.value);
-    EXPECT_THROW(parse_report(j), WireError) << c.field;
+    EXPECT_THROW(parse_worker_heartbeat(j), ProtocolError) << c.field;
   }
 }
 
-TEST(Report, NewerBySessionThenSequence) {
-  Report r;
-  r.session = Session(2);
+TEST(WorkerHeartbeat, NewerBySessionThenSequence) {
+  WorkerHeartbeat r;
+  r.incarnation = Incarnation(2);
   r.sequence = Sequence(5);
   struct Case {
-    std::uint64_t session, sequence;
+    std::uint64_t incarnation, sequence;
     bool newer;
   };
   for (const auto& c :
        {Case{1, 99, true}, Case{2, 4, true}, Case{2, 5, false}, Case{2, 6, false}, Case{3, 1, false}})
-    EXPECT_EQ(r.newer_than(Session(c.session), Sequence(c.sequence)), c.newer)
-        << c.session << '/' << c.sequence;
+    EXPECT_EQ(r.newer_than(Incarnation(c.incarnation), Sequence(c.sequence)), c.newer)
+        << c.incarnation << '/' << c.sequence;
 }
 
 TEST(Commands, HaveTheFormOfTheProtocol) {
   std::vector<Command> commands{{Command::Op::kStart, {JobId("run-1"), 4}, Attempt(2), 0},
                                 {Command::Op::kStop, {JobId("run-2"), 0}, Attempt(1), 10},
                                 {Command::Op::kForget, {JobId("run-3"), 0}, Attempt(1), 0}};
-  EXPECT_EQ(parse_object(render_commands(Token(41), Session(1), commands)), parse_object(R"(
+  EXPECT_EQ(parse_object(render_commands(Token(41), Incarnation(1), commands)), parse_object(R"(
     {"helm":41,"watch":1,"signals":[{"signal":"run","lamp":"run-1/4","launch":2},
      {"signal":"kill","lamp":"run-2/0","launch":1,"dousingS":10.0},{"signal":"clear","lamp":"run-3/0","launch":1}]})"));
-  EXPECT_EQ(render_redirect(NodeName("n2")), R"({"keeper":"n2"})");
+  EXPECT_EQ(render_redirect(ControllerName("n2")), R"({"keeper":"n2"})");
   EXPECT_EQ(render_redirect(std::nullopt), "{}");
 }
 
 TEST(Store, Forms) {
-  Txn t{{{"a/b", Revision()}}, {{"a/b", Json{{"x", 1}}, HoldId(7)}, {"c/d", std::nullopt, std::nullopt}}};
+  Txn t{{{"a/b", Revision()}}, {{"a/b", Json{{"x", 1}}, LeaseId(7)}, {"c/d", std::nullopt, std::nullopt}}};
   EXPECT_EQ(
       parse_object(render_txn(t)),
       parse_object(
@@ -119,55 +119,55 @@
   EXPECT_TRUE(c.changes[0].value);
   EXPECT_FALSE(c.changes[1].value);
   EXPECT_EQ(c.revision, Revision(433));
-  EXPECT_THROW(parse_changes(parse_object(R"({"news":[{"set":"x"}],"logline":1})")), WireError);
-  EXPECT_THROW(parse_page(parse_object(R"({"rows":7,"logline":1})")), WireError);
+  EXPECT_THROW(parse_changes(parse_object(R"({"news":[{"set":"x"}],"logline":1})")), ProtocolError);
+  EXPECT_THROW(parse_page(parse_object(R"({"rows":7,"logline":1})")), ProtocolError);
 }
 
 TEST(Peer, EveryKindSurvivesTheRoundTrip) {
-  Shape shape{{1, 0, 2},
-              std::vector<MachineType>{MachineType("g8")},
-              Zone("a"),
-              true,
-              ImageName("i"),
-              Priority::kHigh,
-              7};
-  Summary summary{PartId(1),
+  ResourceRequest resource_request{{1, 0, 2},
+                                   std::vector<MachineType>{MachineType("g8")},
+                                   Zone("a"),
+                                   true,
+                                   ImageName("i"),
+                                   Priority::kHigh,
+                                   7};
+  Summary summary{ShardId(1),
                   Term(2),
                   Revision(3),
                   {{MachineName("m"), MachineType("t"), Zone("z"), true, {1, 2, 3}, 4.5, false}},
                   {{JobId("run-1"), 6}}};
-  const PeerBody bodies[] = {
-      Heartbeat{Revision(5), {{PartId(1), Term(9)}}, 11, 12, true, {}},
+  const PeerPayload bodies[] = {
+      Heartbeat{Revision(5), {{ShardId(1), Term(9)}}, 11, 12, true, {}},
       Heartbeat{Revision(5),
                 {},
                 11,
                 12,
                 true,
-                Disclosure{true,
-                           Revision(30),
-                           std::chrono::milliseconds(7500),
-                           true,
-                           {{Revision(31), JobId("run-1"), 4}, {Revision(40), JobId("run-2"), 0}}}},
-      Nudge{Revision(8)},
-      Ask{4, {shape, Shape{}}},
-      Answer{4, PartId(2), Term(3), Revision(6), {{{Zone("a"), 1, 2, 3, 4}}, {}}},
+                CancellationSync{true,
+                                 Revision(30),
+                                 std::chrono::milliseconds(7500),
+                                 true,
+                                 {{Revision(31), JobId("run-1"), 4}, {Revision(40), JobId("run-2"), 0}}}},
+      ChangeNotification{Revision(8)},
+      EstimateRequest{4, {resource_request, ResourceRequest{}}},
+      EstimateResponse{4, ShardId(2), Term(3), Revision(6), {{{Zone("a"), 1, 2, 3, 4}}, {}}},
       summary,
-      Release{{MachineName("x"), MachineName("y")}},
-      Gone{{MachineName("z")}},
-      Relay{5, "{}"},
-      Relayed{5, 421, "{}"},
-      Outcomes{PartId(1),
-               Term(4),
-               {{JobId("run-1"), Ranges::span(0, 7), {{Generation(3), Ranges::span(9, 12)}}},
-                {},
-                {JobId("run-2"), {}, {}, Verdict::kFails},
-                {JobId("run-3"), {}, {}, Verdict::kWorks}}},
+      ReleaseMachines{{MachineName("x"), MachineName("y")}},
+      TerminatedMachines{{MachineName("z")}},
+      RelayedHeartbeat{5, "{}"},
+      RelayedReply{5, 421, "{}"},
+      ProgressReport{ShardId(1),
+                     Term(4),
+                     {{JobId("run-1"), Ranges::span(0, 7), {{Generation(3), Ranges::span(9, 12)}}},
+                      {},
+                      {JobId("run-2"), {}, {}, JobHealth::kFails},
+                      {JobId("run-3"), {}, {}, JobHealth::kWorks}}},
   };
   for (const auto& body : bodies) {
-    auto bytes = encode_peer({NodeName("n1"), body});
+    auto bytes = encode_peer({ControllerName("n1"), body});
     auto back = decode_peer(bytes);
     ASSERT_TRUE(back) << body.index();
-    EXPECT_EQ(back->from, NodeName("n1"));
+    EXPECT_EQ(back->from, ControllerName("n1"));
     EXPECT_EQ(back->body.index(), body.index());
     EXPECT_EQ(encode_peer(*back), bytes) << body.index();
     // Cut off anywhere, it must be refused or read as something, never crash.
@@ -175,25 +175,28 @@
   }
   EXPECT_FALSE(decode_peer("garbage!"));
   EXPECT_FALSE(decode_peer("odd"));
-  auto ask = std::get<Ask>(decode_peer(encode_peer({NodeName("n"), bodies[3]}))->body);
-  EXPECT_EQ(ask.shapes[0], shape);
-  auto outcomes = std::get<Outcomes>(decode_peer(encode_peer({NodeName("n"), *std::rbegin(bodies)}))->body);
-  std::vector<Verdict> verdicts;
-  for (const auto& job : outcomes.jobs) verdicts.push_back(job.verdict);
-  EXPECT_EQ(verdicts, (std::vector{Verdict::kNone, Verdict::kNone, Verdict::kFails, Verdict::kWorks}));
+  auto estimate_request =
+      std::get<EstimateRequest>(decode_peer(encode_peer({ControllerName("n"), bodies[3]}))->body);
+  EXPECT_EQ(estimate_request.resource_requests[0], resource_request);
+  auto progress_report =
+      std::get<ProgressReport>(decode_peer(encode_peer({ControllerName("n"), *std::rbegin(bodies)}))->body);
+  std::vector<JobHealth> verdicts;
+  for (const auto& job : progress_report.jobs) verdicts.push_back(job.verdict);
+  EXPECT_EQ(verdicts,
+            (std::vector{JobHealth::kNone, JobHealth::kNone, JobHealth::kFails, JobHealth::kWorks}));
   // A heartbeat of a version without disclosures is told from one that discloses nothing.
   auto heartbeat = [&](std::size_t i) {
-    return std::get<Heartbeat>(decode_peer(encode_peer({NodeName("n"), bodies[i]}))->body);
+    return std::get<Heartbeat>(decode_peer(encode_peer({ControllerName("n"), bodies[i]}))->body);
   };
-  EXPECT_FALSE(heartbeat(0).disclosure);
-  auto disclosure = heartbeat(1).disclosure;
-  ASSERT_TRUE(disclosure);
-  EXPECT_TRUE(disclosure->ready);
-  EXPECT_TRUE(disclosure->complete);
-  EXPECT_EQ(disclosure->read_until, Revision(30));
-  EXPECT_EQ(disclosure->promise, std::chrono::milliseconds(7500));
-  EXPECT_EQ(disclosure->cancelled, std::get<Heartbeat>(bodies[1]).disclosure->cancelled);
+  EXPECT_FALSE(heartbeat(0).cancellation_sync);
+  auto cancellation_sync = heartbeat(1).cancellation_sync;
+  ASSERT_TRUE(cancellation_sync);
+  EXPECT_TRUE(cancellation_sync->ready);
+  EXPECT_TRUE(cancellation_sync->complete);
+  EXPECT_EQ(cancellation_sync->read_until, Revision(30));
+  EXPECT_EQ(cancellation_sync->read_lease, std::chrono::milliseconds(7500));
+  EXPECT_EQ(cancellation_sync->cancelled, std::get<Heartbeat>(bodies[1]).cancellation_sync->cancelled);
 }
 
 }  // namespace
-}  // namespace beaconsill::wire
+}  // namespace beaconsill::protocol
