--- /dev/null
+++ b/src/shard/command_channel.cpp
@@ -0,0 +1,50 @@
+#include "shard/command_channel.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace beaconsill::shard {
+
+void DispatchQueue::push(Machine& machine) {
+  if (machine.dispatch_pending) return;
+  machine.dispatch_pending = true;
+  machines_.push_back(&machine);
+}
+
+std::vector<Machine*> DispatchQueue::take_all() {
+  auto queued = std::exchange(machines_, {});
+  std::sort(queued.begin(), queued.end(),
+            [](const auto* left, const auto* right) { return left->name < right->name; });
+  for (auto* machine : queued) machine->dispatch_pending = false;
+  return queued;
+}
+
+void request_probe(Machine& machine, DispatchQueue& queue, Instant now) {
+  if (machine.probed && now - *machine.probed < kProbeInterval) return;
+  machine.retry_at = now;
+  queue.push(machine);
+}
+
+void begin_fencing(Machine& machine, DispatchQueue& queue, Instant now) {
+  if (machine.channel == Machine::Channel::kBusy) return;
+  if (machine.channel != Machine::Channel::kFencing) {
+    machine.channel = Machine::Channel::kFencing;
+    machine.token = machine.token.raised();
+    machine.retry_at = now;
+    queue.push(machine);
+  }
+  if (!machine.suspected_since) machine.suspected_since = now;
+}
+
+void resolve_in_flight(Machine& machine, DispatchQueue& queue) {
+  queue.push(machine);
+  machine.channel = Machine::Channel::kIdle;
+  machine.retry_at.reset();
+  machine.suspected_since.reset();
+  for (auto& [key, task] : machine.tasks) {
+    if (task.start == MachineTask::Start::kSent) task.start = MachineTask::Start::kAcknowledged;
+    task.stop_sent = task.forget_sent = false;
+  }
+}
+
+}  // namespace beaconsill::shard
--- /dev/null
+++ b/src/shard/command_delivery.cpp
@@ -0,0 +1,158 @@
+#include "shard/command_delivery.h"
+
+#include <algorithm>
+
+namespace beaconsill::shard {
+namespace {
+
+using Op = protocol::Command::Op;
+using Start = MachineTask::Start;
+
+// After a probe that told nothing of the machine.
+constexpr Duration kNextProbeAfter = std::chrono::seconds(1);
+
+}  // namespace
+
+std::vector<CommandBatch> CommandDelivery::take_batches() {
+  std::vector<CommandBatch> batches;
+  if (state_.superseded) return batches;
+  for (auto* machine : state_.dispatch_queue.take_all()) {
+    state_.visited_count += 1 + machine->tasks.size();
+    if (machine->address.empty() || machine->deleting) continue;
+    bool probe_due = machine->retry_at && now_ >= *machine->retry_at;
+    if (auto batch = command_batch(*machine)) {
+      // Commands tell as much as a probe.
+      if (probe_due) machine->retry_at.reset();
+      batches.push_back(std::move(*batch));
+    } else if (probe_due) {
+      batches.push_back(probe_batch(*machine));
+    }
+  }
+  return batches;
+}
+
+// An empty batch: to learn whether the machine receives commands, or, after a failover, to be obeyed and to
+// get its heartbeat at once. Otherwise a worker would not come here whose earlier leader is partitioned from
+// all but its workers, and still answers them.
+CommandBatch CommandDelivery::probe_batch(Machine& machine) {
+  machine.retry_at.reset();
+  machine.probed = now_;
+  machine.probe_under_way = true;
+  machine.on_sent(now_);
+  return {machine.name, machine.address, std::max(machine.incarnation, Incarnation(1)), machine.token, {}};
+}
+
+std::optional<CommandBatch> CommandDelivery::command_batch(Machine& machine) {
+  if (machine.channel != Machine::Channel::kIdle || !machine.confirmed) return std::nullopt;
+  drop_cancelled_starts(machine);
+  CommandBatch batch{machine.name, machine.address, machine.incarnation, {}, {}};
+  for (auto& [key, task] : machine.tasks) {
+    if (batch.commands.size() >= kMaxCommands) break;
+    if (auto command = next_command(key, task)) batch.commands.push_back(std::move(*command));
+  }
+  if (batch.commands.empty()) return std::nullopt;
+  // A token of its own for every batch: a copy of it that arrives late is refused.
+  machine.token = machine.token.raised();
+  batch.token = machine.token;
+  machine.channel = Machine::Channel::kBusy;
+  machine.on_sent(now_);
+  return batch;
+}
+
+// Cancelled between placing and sending: they never leave this controller.
+void CommandDelivery::drop_cancelled_starts(Machine& machine) {
+  state_.drop_tasks_if(
+      machine,
+      [&](const TaskKey& key, const MachineTask& task) {
+        if (task.start != Start::kQueued) return false;
+        const auto* job = state_.jobs.find(key.task.job);
+        return !job || job->end.has_value();
+      },
+      now_);
+}
+
+std::optional<protocol::Command> CommandDelivery::next_command(const TaskKey& key, MachineTask& task) const {
+  if (task.start == Start::kQueued) {
+    task.start = Start::kSent;
+    return protocol::Command{Op::kStart, key.task, key.attempt, 0};
+  }
+  if (task.start == Start::kAcknowledged && is_live(task) && task.stop_grace && !task.stop_sent) {
+    task.stop_sent = true;
+    return protocol::Command{Op::kStop, key.task, key.attempt, *task.stop_grace};
+  }
+  if (!is_live(task) && !task.forget_sent && (task.is_disposable || state_.jobs.is_durable(key.task))) {
+    task.forget_sent = true;
+    return protocol::Command{Op::kForget, key.task, key.attempt, 0};
+  }
+  return std::nullopt;
+}
+
+void CommandDelivery::on_result(Machine& machine, const CommandBatch& batch, CommandResult result) {
+  state_.dispatch_queue.push(machine);
+  if (result == CommandResult::kNoAnswer) {
+    if (machine.unanswered_since) ++machine.unanswered;
+  } else {
+    machine.forget_unanswered();
+    machine.commands_answered = now_;
+    state_.failure_detector.on_commands_answered(machine.zone, now_);
+  }
+  if (batch.commands.empty()) {
+    machine.probe_under_way = false;
+    return;
+  }
+  // The tasks of an earlier incarnation have been dropped already.
+  if (machine.incarnation != batch.incarnation) return;
+  machine.channel = Machine::Channel::kIdle;
+  switch (result) {
+    case CommandResult::kNoAnswer:
+      return begin_fencing(machine, state_.dispatch_queue, now_);
+    case CommandResult::kExecuted:
+      return on_executed(machine, batch);
+    case CommandResult::kRejected:
+      return on_rejected(machine, batch);
+  }
+}
+
+void CommandDelivery::on_executed(Machine& machine, const CommandBatch& batch) {
+  for (const auto& command : batch.commands) {
+    auto task = machine.tasks.find({command.task, command.attempt});
+    if (task != machine.tasks.end() && task->second.start == Start::kSent)
+      task->second.start = Start::kAcknowledged;
+  }
+}
+
+// Rejected for its token or incarnation, and so it always will be.
+void CommandDelivery::on_rejected(Machine& machine, const CommandBatch& batch) {
+  for (const auto& command : batch.commands) {
+    auto task = machine.tasks.find({command.task, command.attempt});
+    if (task == machine.tasks.end()) continue;
+    if (task->second.start != Start::kSent) {
+      task->second.stop_sent = task->second.forget_sent = false;
+      continue;
+    }
+    auto key = task->first;
+    state_.locations.drop(machine, task);
+    machine.invalidate_load();
+    state_.requeue(key, now_);
+  }
+}
+
+void CommandDelivery::schedule_next_probe(Machine& machine, const CommandBatch& probe) {
+  if (machine.confirmed && machine.channel != Machine::Channel::kFencing) return;
+  // An incarnation that was guessed wrong is known now.
+  machine.retry_at = machine.incarnation > probe.incarnation ? now_ : now_ + kNextProbeAfter;
+}
+
+HeartbeatResponse CommandDelivery::heartbeat_response(Machine& machine) {
+  machine.last_answered = now_;
+  HeartbeatResponse response{machine.token, {}};
+  // A machine that is being deleted may go on after all: until the deletion is answered, what was cancelled
+  // there is stopped this way, since it gets no other commands.
+  if (machine.channel != Machine::Channel::kFencing && !machine.deleting) return response;
+  for (const auto& [key, task] : machine.tasks)
+    if (is_live(task) && task.stop_grace && response.commands.size() < kMaxCommands)
+      response.commands.push_back({Op::kStop, key.task, key.attempt, *task.stop_grace});
+  return response;
+}
+
+}  // namespace beaconsill::shard
--- a/src/shard/estimator.cpp
+++ b/src/shard/estimator.cpp
@@ -6,22 +6,21 @@
 namespace beaconsill::shard {
 namespace {
 constexpr double kSlack = 1e-6;  // amounts are decimal numbers: 3 * 0.1 must fit into 0.3
-// At the same time on one machine. One alone is the quickest, but then the shards promise room that the first
-// of several jobs takes from the others.
+// At the same time on one machine. One alone is the quickest, but then the shards promise capacity that the
+// first of several jobs takes from the others.
 constexpr std::size_t kMaxFetches = 2;
 
-protocol::CapacityByZone as_list(const std::map<Zone, protocol::ZoneCapacity>& zones) {
+protocol::CapacityByZone without_empty(const std::map<Zone, protocol::ZoneCapacity>& zones) {
   protocol::CapacityByZone out;
-  for (const auto& [z, r] : zones)
-    if (r.free || r.preemptible) out.push_back(r);
+  for (const auto& [name, capacity] : zones)
+    if (capacity.free || capacity.preemptible) out.push_back(capacity);
   return out;
 }
 
-Resources open_to(const Resources& free, const Resources& total, const protocol::ResourceRequest& s,
-                  const PackingRules& rules) {
-  Resources r = free;
-  if (s.priority <= Priority::kNormal) r.cpus -= total.cpus * rules.reserve;
-  return r;
+Resources without_reserve(Resources idle, const Resources& total, const protocol::ResourceRequest& request,
+                          const PackingRules& rules) {
+  if (request.priority <= Priority::kNormal) idle.cpus -= total.cpus * rules.reserve;
+  return idle;
 }
 }  // namespace
 
@@ -29,104 +28,108 @@
   return {spec.each, spec.types, spec.zone, spec.spot, spec.image, spec.priority, wanted};
 }
 
-bool allowed(const protocol::ResourceRequest& s, const MachineType& type, const Zone& zone, bool spot) {
-  if (spot && !s.spot) return false;
-  if (s.zone && *s.zone != zone) return false;
-  return !s.types || std::find(s.types->begin(), s.types->end(), type) != s.types->end();
+bool allowed(const protocol::ResourceRequest& request, const MachineType& type, const Zone& zone, bool spot) {
+  if (spot && !request.spot) return false;
+  if (request.zone && *request.zone != zone) return false;
+  return !request.types ||
+         std::find(request.types->begin(), request.types->end(), type) != request.types->end();
 }
 
 std::uint32_t fits(const Resources& idle, const Resources& each) {
-  double n = protocol::kMaxTasks;
-  auto limit = [&n](double have, double want) {
-    if (want > 0) n = std::min(n, std::floor(have / want + kSlack));
+  double count = protocol::kMaxTasks;
+  auto limit = [&count](double available, double wanted) {
+    if (wanted > 0) count = std::min(count, std::floor(available / wanted + kSlack));
   };
   limit(idle.cpus, each.cpus);
   limit(idle.gpus, each.gpus);
   limit(idle.memory_gb, each.memory_gb);
-  return n <= 0 ? 0 : static_cast<std::uint32_t>(n);
+  return count <= 0 ? 0 : static_cast<std::uint32_t>(count);
 }
 
-std::uint32_t available_tasks(const Machine& m, const protocol::ResourceRequest& s, const PackingRules& rules,
-                              bool preempt) {
-  Resources idle = m.total - (preempt ? m.used_from(s.priority) : m.used());
-  auto tasks = preempt ? m.tasks_from(s.priority) : m.live_tasks();
-  std::uint32_t r1 = fits(open_to(idle, m.total, s, rules), s.each);
-  std::uint32_t r2 = tasks >= rules.task_cap ? 0 : rules.task_cap - static_cast<std::uint32_t>(tasks);
-  return std::min(r1, r2);
+std::uint32_t available_tasks(const Machine& machine, const protocol::ResourceRequest& request,
+                              const PackingRules& rules, bool preempt) {
+  Resources idle = machine.total - (preempt ? machine.used_from(request.priority) : machine.used());
+  auto tasks = preempt ? machine.tasks_from(request.priority) : machine.live_tasks();
+  auto by_resources = fits(without_reserve(idle, machine.total, request, rules), request.each);
+  auto by_cap = tasks >= rules.task_cap ? 0 : rules.task_cap - static_cast<std::uint32_t>(tasks);
+  return std::min(by_resources, by_cap);
 }
 
 protocol::CapacityByZone estimate(const std::map<MachineName, Machine>& machines,
-                                  const protocol::ResourceRequest& s, const PackingRules& rules,
+                                  const protocol::ResourceRequest& request, const PackingRules& rules,
                                   Instant now) {
   std::map<Zone, protocol::ZoneCapacity> zones;
-  for (const auto& [name, m] : machines) {
-    if (!m.usable(now) || !allowed(s, m.type, m.zone, m.spot)) continue;
-    auto n = available_tasks(m, s, rules, false);
-    auto more = std::max(available_tasks(m, s, rules, true), n) - n;
-    if (n == 0 && more == 0) continue;
-    auto image = image_state(m, s.image);
-    if (image == ImageState::kBehind) continue;
-    auto& z = zones[m.zone];
-    z.zone = m.zone;
-    z.free += n;
-    z.preemptible += more;
-    if (image == ImageState::kHere) {
-      z.warm += n;
-      z.warm_preemptible += more;
+  for (const auto& [name, machine] : machines) {
+    if (!machine.usable(now) || !allowed(request, machine.type, machine.zone, machine.spot)) continue;
+    auto free = available_tasks(machine, request, rules, false);
+    auto preemptible = std::max(available_tasks(machine, request, rules, true), free) - free;
+    if (free == 0 && preemptible == 0) continue;
+    auto image = image_state(machine, request.image);
+    if (image == ImageState::kFetchLimitReached) continue;
+    auto& zone = zones[machine.zone];
+    zone.zone = machine.zone;
+    zone.free += free;
+    zone.preemptible += preemptible;
+    if (image == ImageState::kCached) {
+      zone.warm += free;
+      zone.warm_preemptible += preemptible;
     }
   }
-  return as_list(zones);
+  return without_empty(zones);
 }
 
-protocol::CapacityByZone estimate(const protocol::Summary& summary, const protocol::ResourceRequest& s,
+protocol::CapacityByZone estimate(const protocol::Summary& summary, const protocol::ResourceRequest& request,
                                   const PackingRules& rules) {
   std::map<Zone, protocol::ZoneCapacity> zones;
-  for (const auto& m : summary.machines) {
-    if (!m.usable || !allowed(s, m.type, m.zone, m.spot)) continue;
-    auto& z = zones[m.zone];
-    z.zone = m.zone;
-    z.free += std::min(fits(m.free, s.each), rules.task_cap);
+  for (const auto& machine : summary.machines) {
+    if (!machine.usable || !allowed(request, machine.type, machine.zone, machine.spot)) continue;
+    auto& zone = zones[machine.zone];
+    zone.zone = machine.zone;
+    zone.free += std::min(fits(machine.free, request.each), rules.task_cap);
   }
-  return as_list(zones);
+  return without_empty(zones);
 }
 
-ImageState image_state(const Machine& m, const ImageName& image) {
-  if (m.images.has(image)) return ImageState::kHere;
-  if (m.fetches(image)) return ImageState::kComing;
-  auto n = m.fetches();
-  return n == 0 ? ImageState::kAbsent : n < kMaxFetches ? ImageState::kBeside : ImageState::kBehind;
+ImageState image_state(const Machine& machine, const ImageName& image) {
+  if (machine.images.has(image)) return ImageState::kCached;
+  if (machine.is_fetching(image)) return ImageState::kFetching;
+  auto fetches = machine.fetch_count();
+  if (fetches == 0) return ImageState::kNoFetch;
+  return fetches < kMaxFetches ? ImageState::kBesideOtherFetch : ImageState::kFetchLimitReached;
 }
 
-bool has_capacity(const Machine& m, const PackingRules& rules) {
-  auto idle = m.total - m.used();
-  return idle.cpus > 0 && idle.memory_gb > 0 && m.live_tasks() < rules.task_cap;
+bool has_capacity(const Machine& machine, const PackingRules& rules) {
+  auto idle = machine.total - machine.used();
+  return idle.cpus > 0 && idle.memory_gb > 0 && machine.live_tasks() < rules.task_cap;
 }
 
 std::vector<Machine*> choose_machines(const std::vector<Machine*>& machines,
-                                      const protocol::ResourceRequest& s, const std::optional<Zone>& zone,
-                                      const PackingRules& rules, const std::set<MachineName>& avoid,
-                                      bool warm, Instant now) {
+                                      const protocol::ResourceRequest& request,
+                                      const std::optional<Zone>& zone, const PackingRules& rules,
+                                      const std::set<MachineName>& avoided, bool image_cached, Instant now) {
   struct Ranked {
     ImageState image;
-    double idle;
+    double idle_cpus;
     Machine* machine;
   };
-  std::vector<Ranked> found;
-  for (auto* m : machines) {
-    if (!m->usable(now) || !allowed(s, m->type, m->zone, m->spot) || (zone && *zone != m->zone)) continue;
-    auto image = image_state(*m, s.image);
-    if (!accepts_image_state(image, warm)) continue;
-    if (avoid.contains(m->name)) continue;
-    if (available_tasks(*m, s, rules, false) == 0) continue;
-    found.push_back({image, (m->total - m->used()).cpus, m});
+  std::vector<Ranked> ranked;
+  for (auto* machine : machines) {
+    if (!machine->usable(now) || !allowed(request, machine->type, machine->zone, machine->spot) ||
+        (zone && *zone != machine->zone))
+      continue;
+    auto image = image_state(*machine, request.image);
+    if (!accepts_image_state(image, image_cached)) continue;
+    if (avoided.contains(machine->name)) continue;
+    if (available_tasks(*machine, request, rules, false) == 0) continue;
+    ranked.push_back({image, (machine->total - machine->used()).cpus, machine});
   }
   // Equals stay in the order of their names.
-  std::stable_sort(found.begin(), found.end(), [](const auto& a, const auto& b) {
-    return a.image != b.image ? a.image < b.image : a.idle < b.idle;
+  std::stable_sort(ranked.begin(), ranked.end(), [](const auto& left, const auto& right) {
+    return left.image != right.image ? left.image < right.image : left.idle_cpus < right.idle_cpus;
   });
   std::vector<Machine*> out;
-  out.reserve(found.size());
-  for (const auto& f : found) out.push_back(f.machine);
+  out.reserve(ranked.size());
+  for (const auto& entry : ranked) out.push_back(entry.machine);
   return out;
 }
 
--- a/src/shard/estimator.h
+++ b/src/shard/estimator.h
@@ -1,7 +1,11 @@
-// How many tasks fit: for each matching machine min(r1, r2), summed. Pure functions.
+// Bin packing: how many tasks of a request fit on machines, and which machines suit them best. Pure
+// functions.
 #pragma once
 
 #include <map>
+#include <optional>
+#include <set>
+#include <vector>
 
 #include "protocol/peer.h"
 #include "shard/machine.h"
@@ -9,54 +13,56 @@
 namespace beaconsill::shard {
 
 struct PackingRules {
-  std::uint32_t task_cap = 64;
-  double reserve = 0;  // share of a machine's CPUs that arrays leave free
+  std::uint32_t task_cap = 64;  // most tasks on one machine
+  double reserve = 0;           // share of a machine's CPUs that arrays leave free
 };
 
-// The shape of a job's tasks.
+// The request of `wanted` tasks of the job.
 protocol::ResourceRequest request_of(const protocol::JobSpec& spec, std::uint32_t wanted);
 
-// Whether tasks of this shape are allowed on such a machine, room aside.
-bool allowed(const protocol::ResourceRequest& s, const MachineType& type, const Zone& zone, bool spot);
+// Whether the request's tasks may run on such a machine, capacity aside.
+bool allowed(const protocol::ResourceRequest& request, const MachineType& type, const Zone& zone, bool spot);
 
-// r1: how often `each` fits into `idle`, the scarcest resource deciding.
+// How often `each` fits into `idle`, the scarcest resource deciding.
 std::uint32_t fits(const Resources& idle, const Resources& each);
 
-// min(r1, r2) of one machine. `preempt`: as if all work of lower priority were stopped.
-std::uint32_t available_tasks(const Machine& m, const protocol::ResourceRequest& s, const PackingRules& rules,
-                              bool preempt);
+// How many tasks of the request fit on the machine, by its resources and the task cap. `preempt`: as if all
+// work of lower priority were stopped.
+std::uint32_t available_tasks(const Machine& machine, const protocol::ResourceRequest& request,
+                              const PackingRules& rules, bool preempt);
 
-// The shard's answer, by zone.
+// How many tasks of the request fit on the machines, by zone.
 protocol::CapacityByZone estimate(const std::map<MachineName, Machine>& machines,
-                                  const protocol::ResourceRequest& s, const PackingRules& rules, Instant now);
+                                  const protocol::ResourceRequest& request, const PackingRules& rules,
+                                  Instant now);
 
-// The same from a summary, which knows free room only.
-protocol::CapacityByZone estimate(const protocol::Summary& summary, const protocol::ResourceRequest& s,
+// The same from a summary, which knows free capacity only.
+protocol::CapacityByZone estimate(const protocol::Summary& summary, const protocol::ResourceRequest& request,
                                   const PackingRules& rules);
 
-// How soon a task could run on a machine, as far as its image tells.
+// How soon a task could run on a machine, as far as its image tells; the soonest first.
 enum class ImageState {
-  kHere,
-  kComing,  // being fetched
-  kAbsent,  // nothing is being fetched
-  kBeside,  // another is being fetched
-  kBehind   // as many others are being fetched as may be at the same time: no task is sent there
+  kCached,
+  kFetching,          // it is being fetched
+  kNoFetch,           // nothing is being fetched
+  kBesideOtherFetch,  // another image is being fetched
+  kFetchLimitReached  // as many others are being fetched as may be at the same time: no task is sent there
 };
-ImageState image_state(const Machine& m, const ImageName& image);
+ImageState image_state(const Machine& machine, const ImageName& image);
 
-// Whether a task may go where its image is like that. `warm`: only where the image is.
-inline bool accepts_image_state(ImageState image, bool warm) {
-  return warm ? image == ImageState::kHere : image != ImageState::kBehind;
+// Whether a task may be placed where its image is in this state. `image_cached`: only where it is cached.
+inline bool accepts_image_state(ImageState state, bool image_cached) {
+  return image_cached ? state == ImageState::kCached : state != ImageState::kFetchLimitReached;
 }
 
-// Some room for some task: what is full needn't be looked at shape by shape.
-bool has_capacity(const Machine& m, const PackingRules& rules);
+// Some capacity for some task: what is full needn't be looked at request by request.
+bool has_capacity(const Machine& machine, const PackingRules& rules);
 
-// Placement: those of the machines that have room, best first: where the image is, then by how soon it will
-// be; among equals the fullest. `avoid`: left out.
+// The machines on which a task of the request fits, best first: by the state of its image; among equals the
+// fullest. `zone`: the only one allowed, if any. `avoided`: left out.
 std::vector<Machine*> choose_machines(const std::vector<Machine*>& machines,
-                                      const protocol::ResourceRequest& s, const std::optional<Zone>& zone,
-                                      const PackingRules& rules, const std::set<MachineName>& avoid,
-                                      bool warm, Instant now);
+                                      const protocol::ResourceRequest& request,
+                                      const std::optional<Zone>& zone, const PackingRules& rules,
+                                      const std::set<MachineName>& avoided, bool image_cached, Instant now);
 
 }  // namespace beaconsill::shard
--- /dev/null
+++ b/src/shard/heartbeat_reconciler.cpp
@@ -0,0 +1,245 @@
+#include "shard/heartbeat_reconciler.h"
+
+#include <algorithm>
+
+#include "base/log.h"
+
+namespace beaconsill::shard {
+namespace {
+
+using protocol::EndCause;
+using protocol::TaskState;
+
+// A task that has run for so long shows that its job doesn't fail wherever it's started.
+constexpr Duration kRunsWellAfter = std::chrono::seconds(10);
+
+}  // namespace
+
+Machine& HeartbeatReconciler::find_or_add_machine(const protocol::WorkerHeartbeat& heartbeat) {
+  auto [it, inserted] = state_.machines.try_emplace(heartbeat.machine);
+  auto& machine = it->second;
+  if (inserted) {
+    machine.name = heartbeat.machine;
+    machine.first_seen = machine.last_own_heartbeat = machine.idle_since = now_;
+    machine.token = Token::first_of(state_.term);
+    state_.failure_detector.set_timeouts(machine);
+  }
+  if (machine.type != heartbeat.type || !machine.type_known) {
+    machine.type = heartbeat.type;
+    state_.apply_catalogue(machine);
+  }
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
+  machine.address = heartbeat.address;
+  return machine;
+}
+
+bool HeartbeatReconciler::is_of_later_term(const protocol::WorkerHeartbeat& heartbeat) {
+  if (heartbeat.token.term() <= state_.term) return false;
+  if (!state_.superseded)
+    spdlog::info("shard_superseded shard={} term={} machine={} later_term={}", state_.id.value(),
+                 state_.term.value(), heartbeat.machine.value(), heartbeat.token.term().value());
+  state_.supersede();
+  return true;
+}
+
+bool HeartbeatReconciler::reconcile(const protocol::WorkerHeartbeat& heartbeat, bool answers_commands) {
+  if (state_.terminated.contains(heartbeat.machine) || is_of_later_term(heartbeat)) return false;
+  auto& machine = find_or_add_machine(heartbeat);
+  if (!heartbeat.newer_than(machine.incarnation, machine.sequence)) {
+    spdlog::debug("heartbeat_dropped shard={} machine={} incarnation={} sequence={} reason=stale",
+                  state_.id.value(), machine.name.value(), heartbeat.incarnation.value(),
+                  heartbeat.sequence.value());
+    return false;
+  }
+  bool lease_expired = heartbeat.incarnation != machine.incarnation;
+  if (lease_expired) on_new_incarnation(machine);
+  update_contact(machine, heartbeat, answers_commands, lease_expired);
+  update_reclaim_notice(machine, heartbeat);
+  // The worker obeys nothing older than the fencing token any more.
+  if (machine.channel == Machine::Channel::kFencing && heartbeat.token >= machine.token)
+    resolve_in_flight(machine, state_.dispatch_queue);
+  state_.dispatch_queue.push(machine);
+  update_tasks(machine, heartbeat);
+  state_.check_reconciled(now_);
+  return true;
+}
+
+void HeartbeatReconciler::on_new_incarnation(Machine& machine) {
+  if (!machine.tasks.empty())
+    spdlog::info("lease_expired shard={} machine={} count={} reason=new_incarnation", state_.id.value(),
+                 machine.name.value(), machine.tasks.size());
+  state_.drop_all_tasks(machine, now_);
+}
+
+// Not so if a pause like that lies within what heartbeats vary by.
+bool HeartbeatReconciler::likely_missed_answer(const Machine& machine) const {
+  auto timeout = std::max(kHeartbeatAnswerTimeout, state_.failure_detector.suspicion_timeout());
+  return machine.last_answered >= machine.last_contact && now_ - machine.last_contact >= timeout;
+}
+
+void HeartbeatReconciler::update_contact(Machine& machine, const protocol::WorkerHeartbeat& heartbeat,
+                                         bool answers_commands, bool lease_expired) {
+  bool missed_answer = likely_missed_answer(machine);
+  machine.incarnation = heartbeat.incarnation;
+  machine.sequence = heartbeat.sequence;
+  machine.last_contact = now_;
+  if (!answers_commands) machine.last_own_heartbeat = now_;
+  machine.forget_unanswered();
+  machine.token = std::max(machine.token, heartbeat.token);
+  // It sends heartbeats, but may receive nothing.
+  if (machine.confirmed && !answers_commands && (lease_expired || missed_answer))
+    begin_fencing(machine, state_.dispatch_queue, now_);
+  if (!machine.confirmed && heartbeat.token >= Token::first_of(state_.term)) {
+    machine.confirmed = true;
+    state_.registry.mark_dirty();
+    machine.retry_at.reset();
+  }
+}
+
+void HeartbeatReconciler::update_reclaim_notice(Machine& machine,
+                                                const protocol::WorkerHeartbeat& heartbeat) const {
+  if (!heartbeat.notice_s) {
+    machine.reclaimed_at.reset();
+    return;
+  }
+  if (!machine.reclaimed_at)
+    spdlog::info("spot_reclaim_notice shard={} machine={} seconds={:.1f}", state_.id.value(),
+                 machine.name.value(), *heartbeat.notice_s);
+  machine.reclaimed_at = now_ + from_seconds(*heartbeat.notice_s);
+}
+
+void HeartbeatReconciler::update_tasks(Machine& machine, const protocol::WorkerHeartbeat& heartbeat) {
+  ++state_.heartbeat_count;
+  state_.visited_count += heartbeat.tasks.size() + machine.tasks.size();
+  for (const auto& status : heartbeat.tasks) {
+    TaskKey key{status.task, status.attempt};
+    auto [task, inserted] = state_.locations.put(machine, key);
+    if (inserted) {
+      task.since = now_;
+      if (const auto* job = state_.jobs.find(status.task.job)) task.spec = job->record.spec;
+    }
+    task.last_listed = state_.heartbeat_count;
+    update_task(machine, key, task, status);
+  }
+  // A start in flight may still be executed: its absence from a heartbeat proves nothing.
+  state_.drop_tasks_if(
+      machine,
+      [&](const TaskKey&, const MachineTask& task) {
+        return task.start == MachineTask::Start::kAcknowledged && task.last_listed != state_.heartbeat_count;
+      },
+      now_);
+  machine.invalidate_load();
+  if (machine.live_tasks() > 0) machine.idle_since = now_;
+}
+
+void HeartbeatReconciler::update_task(Machine& machine, const TaskKey& key, MachineTask& task,
+                                      const protocol::TaskStatus& status) {
+  bool was_live = is_live(task) || task.since == now_;
+  task.start = MachineTask::Start::kAcknowledged;
+  task.state = status.state;
+  task.cause = status.cause;
+  task.saved = status.saved;
+  if (status.state == TaskState::kRunning && !task.running_since) {
+    task.running_since = now_;
+    spdlog::debug("task_running shard={} machine={} task={} seconds={:.2f}", state_.id.value(),
+                  machine.name.value(), protocol::task_name(key.task), to_seconds(now_ - task.since));
+  }
+  if (task.running_since && !task.runs_well && is_live(task) &&
+      now_ - *task.running_since >= kRunsWellAfter) {
+    task.runs_well = true;
+    on_task_worked(machine, key.task.job, task.since);
+  }
+  if (task.spec && (status.state == TaskState::kRunning || status.state == TaskState::kWaiting))
+    machine.images.use(task.spec->image, task.spec->image_gb, now_);
+  if (is_live(task)) {
+    adopt(machine, key, task);
+  } else if (was_live) {
+    on_ended(machine, key, task);
+  }
+}
+
+// After a failover, or since the grant of the task wasn't known yet.
+void HeartbeatReconciler::adopt(Machine& machine, const TaskKey& key, MachineTask& task) {
+  using Status = GrantedTask::Status;
+  auto* granted_task = state_.jobs.find_task(key.task);
+  if (!granted_task) return;
+  bool unplaced =
+      granted_task->status == Status::kAwaitingReconciliation || granted_task->status == Status::kWaiting;
+  bool placed_elsewhere = granted_task->status == Status::kPlaced &&
+                          (granted_task->machine != machine.name || granted_task->attempt != key.attempt) &&
+                          !task.stop_grace;
+  if (!unplaced && !placed_elsewhere) return;
+  if (placed_elsewhere && !machine.confirmed) return;
+  if (unplaced || is_outdated(*granted_task, key.task, machine, task)) {
+    granted_task->status = Status::kPlaced;
+    granted_task->started = true;
+    granted_task->machine = machine.name;
+    granted_task->attempt = key.attempt;
+    return;
+  }
+  spdlog::error("duplicate_execution shard={} machine={} task={} other_machine={}", state_.id.value(),
+                machine.name.value(), protocol::task_name(key.task), granted_task->machine.value());
+  state_.stop(machine, task, 0);
+}
+
+// Whether the placement of a granted task rests on an old heartbeat. A new leader can't tell an old one from
+// a new one until the machine sends one under its term: a copy that came late, from a terminated machine
+// say, would have the sound task stopped for a second one.
+bool HeartbeatReconciler::is_outdated(const GrantedTask& granted_task, const TaskId& id,
+                                      const Machine& machine, const MachineTask& task) {
+  const auto* placed_on = state_.find_machine(granted_task.machine);
+  if (!placed_on) return true;
+  if (placed_on != &machine) return !placed_on->confirmed;
+  auto placed = machine.tasks.find({id, granted_task.attempt});
+  if (placed == machine.tasks.end()) return true;
+  return placed->second.start == MachineTask::Start::kAcknowledged &&
+         placed->second.last_listed < task.last_listed;
+}
+
+void HeartbeatReconciler::on_ended(Machine& machine, const TaskKey& key, MachineTask& task) {
+  if (task.cause == EndCause::kDone) {
+    on_task_worked(machine, key.task.job, task.since);
+    if (auto* granted_task = state_.jobs.find_task(key.task)) {
+      if (granted_task->status != GrantedTask::Status::kReleased)
+        granted_task->status = GrantedTask::Status::kDone;
+      state_.jobs.at(key.task.job).mark_progress();
+    }
+    return;
+  }
+  task.is_disposable = true;
+  if (task.cause == EndCause::kError || task.cause == EndCause::kUnknown)
+    on_task_failed(machine, key.task.job);
+  state_.requeue(key, now_);
+}
+
+void HeartbeatReconciler::on_task_failed(Machine& machine, const JobId& id) {
+  auto& attribution = state_.failure_attribution;
+  auto* job = state_.jobs.find(id);
+  attribution.on_failed(machine.name, id, job && job->works, now_);
+  machine.avoided_until = attribution.suspect_until(machine.name);
+  quarantine_if_faulty(machine);
+  if (job && attribution.job_fails(id, now_)) job->report_health(protocol::JobHealth::kFails);
+}
+
+void HeartbeatReconciler::on_task_worked(Machine& machine, const JobId& id, Instant placed) {
+  auto& attribution = state_.failure_attribution;
+  auto* job = state_.jobs.find(id);
+  if (job) job->works = true;
+  if (!attribution.concerns(machine.name, id)) return;
+  if (job && attribution.job_fails(id, now_)) job->report_health(protocol::JobHealth::kWorks);
+  attribution.on_worked(machine.name, id, placed);
+  machine.avoided_until = attribution.suspect_until(machine.name);
+  for (const auto& name : attribution.failed_on(id, now_))
+    if (auto* other = state_.find_machine(name)) quarantine_if_faulty(*other);
+}
+
+void HeartbeatReconciler::quarantine_if_faulty(Machine& machine) {
+  if (machine.quarantined || !state_.failure_attribution.machine_faulty(machine.name)) return;
+  machine.quarantined = true;
+  state_.registry.mark_dirty();
+  spdlog::info("machine_quarantined shard={} machine={} reason=jobs_fail_only_here", state_.id.value(),
+               machine.name.value());
+}
+
+}  // namespace beaconsill::shard
--- a/src/shard/machine.cpp
+++ b/src/shard/machine.cpp
@@ -4,17 +4,20 @@
 
 namespace beaconsill::shard {
 
-void ImageCache::use(const ImageName& image, double gb, Instant now) {
-  auto [it, fresh] = images_.try_emplace(image);
-  it->second = {gb, now};
-  if (!fresh) return;
-  double sum = 0;
-  for (const auto& [name, e] : images_) sum += e.gb;
-  while (sum > capacity_gb_ && images_.size() > 1) {
-    auto oldest = std::min_element(images_.begin(), images_.end(), [](const auto& a, const auto& b) {
-      return a.second.used < b.second.used;
+void ImageCache::use(const ImageName& image, double size_gb, Instant now) {
+  auto [it, inserted] = images_.try_emplace(image);
+  it->second = {size_gb, now};
+  if (inserted) evict_to_capacity();
+}
+
+void ImageCache::evict_to_capacity() {
+  double total_gb = 0;
+  for (const auto& [name, entry] : images_) total_gb += entry.size_gb;
+  while (total_gb > capacity_gb_ && images_.size() > 1) {
+    auto oldest = std::min_element(images_.begin(), images_.end(), [](const auto& left, const auto& right) {
+      return left.second.last_used < right.second.last_used;
     });
-    sum -= oldest->second.gb;
+    total_gb -= oldest->second.size_gb;
     images_.erase(oldest);
   }
 }
@@ -22,15 +25,15 @@
 const MachineLoad& Machine::load() const {
   if (load_) return *load_;
   load_.emplace();
-  for (const auto& [key, t] : tasks) {
-    if (t.state == protocol::TaskState::kEnded) continue;
-    if (t.state == protocol::TaskState::kFetching && t.spec && !images.has(t.spec->image))
-      load_->fetching.insert(t.spec->image);
-    // What isn't known can't be stopped for anything.
-    auto priority = t.spec ? t.spec->priority : Priority::kProduction;
-    for (std::size_t p = 0; p <= static_cast<std::size_t>(priority); ++p) {
-      ++load_->tasks_from[p];
-      if (t.spec) load_->used_from[p] += t.spec->each;
+  for (const auto& [key, task] : tasks) {
+    if (!is_live(task)) continue;
+    if (task.state == protocol::TaskState::kFetching && task.spec && !images.has(task.spec->image))
+      load_->fetching.insert(task.spec->image);
+    // A task of an unknown job can't be preempted by any.
+    auto priority = task.spec ? task.spec->priority : Priority::kProduction;
+    for (std::size_t level = 0; level <= static_cast<std::size_t>(priority); ++level) {
+      ++load_->tasks_from[level];
+      if (task.spec) load_->used_from[level] += task.spec->each;
     }
   }
   return *load_;
--- /dev/null
+++ b/src/shard/periodic_checks.cpp
@@ -0,0 +1,101 @@
+#include "shard/periodic_checks.h"
+
+#include "base/log.h"
+
+namespace beaconsill::shard {
+namespace {
+
+// Clocks drift apart by 0.05%; a lease has expired for sure after this much more, and a margin for steps of
+// timers.
+constexpr double kClockDriftFactor = 1.002;
+constexpr Duration kLeaseMargin = std::chrono::milliseconds(500);
+// A task's grant may be on its way to this controller: it is judged by what was read so long after the task
+// was seen.
+constexpr Duration kOrphanGracePeriod = std::chrono::seconds(2);
+
+// Whether the task should complete before the machine is reclaimed: stopped, it would only lose work.
+bool completes_within(const MachineTask& task, double seconds, Instant now) {
+  return task.spec->kind == JobKind::kArray && task.running_since &&
+         task.spec->estimate_s - to_seconds(now - *task.running_since) < seconds;
+}
+
+void abandon(ShardState& state, Machine& machine, MachineTask& task) {
+  if (is_live(task)) {
+    if (task.stop_grace != 0.0) state.stop(machine, task, 0);
+  } else if (!task.is_disposable) {
+    task.is_disposable = true;
+    state.dispatch_queue.push(machine);
+  }
+}
+
+void stop_orphaned_tasks_on(ShardState& state, Machine& machine, Instant read_until) {
+  machine.may_have_orphans = false;
+  for (auto& [key, task] : machine.tasks) {
+    const auto* job = state.jobs.find(key.task.job);
+    if (job && job->end) {
+      machine.may_have_orphans = true;
+      abandon(state, machine, task);
+      continue;
+    }
+    if (job && job->granted_tasks.contains(key.task.index)) continue;
+    machine.may_have_orphans = true;
+    if (read_until < task.since + kOrphanGracePeriod) continue;
+    if (is_live(task) && !task.stop_grace)
+      spdlog::info("orphaned_task_stopped shard={} machine={} task={} reason=not_granted", state.id.value(),
+                   machine.name.value(), protocol::task_name(key.task));
+    abandon(state, machine, task);
+  }
+}
+
+}  // namespace
+
+void expire_leases(ShardState& state, Instant read_until, Instant now) {
+  state.visited_count += state.machines.size();
+  for (auto& [name, machine] : state.machines) {
+    // A confirmed worker has seen this leader's term, and obeys no earlier leader.
+    if (!machine.confirmed || machine.tasks.empty()) continue;
+    // Any heartbeat that was answered was sent before the newest one came: the lease can't last longer than
+    // from then on. (Answers to late copies of older heartbeats don't lengthen it.)
+    auto expiry = machine.last_contact +
+                  std::chrono::duration_cast<Duration>(state.params.lease * kClockDriftFactor) + kLeaseMargin;
+    if (now <= expiry || read_until <= expiry || state.superseded) continue;
+    spdlog::info("lease_expired shard={} machine={} count={} reason=no_contact", state.id.value(),
+                 name.value(), machine.tasks.size());
+    state.drop_all_tasks(machine, now);
+    // A heartbeat of that incarnation can only be a late one.
+    machine.incarnation = Incarnation(machine.incarnation.value() + 1);
+    machine.sequence = Sequence();
+  }
+}
+
+void stop_tasks_before_reclaim(ShardState& state, Instant now) {
+  for (auto& [name, machine] : state.machines) {
+    if (!machine.reclaimed_at || !machine.confirmed) continue;
+    double seconds_left = to_seconds(*machine.reclaimed_at - now);
+    for (auto& [key, task] : machine.tasks) {
+      if (!is_live(task) || !task.spec || task.stop_grace) continue;
+      if (completes_within(task, seconds_left, now)) continue;
+      state.stop(machine, task, task.spec->checkpoint_s > 0 ? task.spec->save_s : 0);
+      // A gang saves only if all of its tasks are told to stop within a short time.
+      if (task.spec->kind == JobKind::kGang) state.stop_job(key.task.job, task.spec->save_s);
+    }
+  }
+}
+
+void stop_orphaned_tasks(ShardState& state, Instant read_until) {
+  for (auto& [name, machine] : state.machines) {
+    ++state.visited_count;
+    if (!machine.may_have_orphans) continue;
+    state.visited_count += machine.tasks.size();
+    stop_orphaned_tasks_on(state, machine, read_until);
+  }
+}
+
+void schedule_probes(ShardState& state, Instant now) {
+  for (auto* machine : state.failure_detector.machines_to_probe(state.machines, now))
+    request_probe(*machine, state.dispatch_queue, now);
+  for (auto& [name, machine] : state.machines)
+    if (machine.retry_at && now >= *machine.retry_at) state.dispatch_queue.push(machine);
+}
+
+}  // namespace beaconsill::shard
--- /dev/null
+++ b/src/shard/placer.cpp
@@ -0,0 +1,157 @@
+#include "shard/placer.h"
+
+#include <algorithm>
+
+#include "shard/gang_scheduling.h"
+
+namespace beaconsill::shard {
+namespace {
+
+// Of jobs without a deadline, after their submission.
+constexpr double kDefaultDeadlineSeconds = 3600;
+
+std::int64_t deadline_ms(const ShardJob& job) {
+  auto seconds = job.record.spec->deadline_s.value_or(kDefaultDeadlineSeconds);
+  return job.record.submitted.value() + static_cast<std::int64_t>(seconds * 1000);
+}
+
+Priority priority_of(const ShardJob& job) {
+  return job.record.spec->priority;
+}
+
+bool same_machines(const protocol::ResourceRequest& left, const protocol::ResourceRequest& right) {
+  return left.image == right.image && left.types == right.types && left.zone == right.zone &&
+         left.spot == right.spot && left.priority == right.priority;
+}
+
+bool needs_no_more(const Resources& left, const Resources& right) {
+  return left.cpus <= right.cpus && left.gpus <= right.gpus && left.memory_gb <= right.memory_gb;
+}
+
+}  // namespace
+
+std::vector<Placer::WaitingJob> Placer::collect_waiting_jobs() {
+  std::vector<WaitingJob> waiting;
+  state_.jobs.for_each_waiting([&](const JobId& id, ShardJob& job) {
+    if (!job.end && !in_crash_loop_backoff(id)) waiting.push_back({id, &job});
+  });
+  std::sort(waiting.begin(), waiting.end(), [](const auto& left, const auto& right) {
+    if (priority_of(*left.job) != priority_of(*right.job))
+      return priority_of(*left.job) > priority_of(*right.job);
+    return deadline_ms(*left.job) < deadline_ms(*right.job);
+  });
+  return waiting;
+}
+
+void Placer::place_all() {
+  auto waiting = collect_waiting_jobs();
+  if (waiting.empty()) return;
+  state_.visited_count += state_.machines.size();
+  for (auto& [name, machine] : state_.machines)
+    if (machine.usable(now_) && has_capacity(machine, state_.params.rules))
+      open_machines_.push_back(&machine);
+  for (auto first = waiting.begin(); first != waiting.end();) {
+    auto priority = priority_of(*first->job);
+    auto last = std::find_if(first, waiting.end(),
+                             [&](const auto& entry) { return priority_of(*entry.job) != priority; });
+    for (bool image_cached : {true, false})
+      for (auto entry = first; entry != last; ++entry) place_job(entry->id, *entry->job, image_cached);
+    first = last;
+  }
+}
+
+// Found on recorded days with jobs submitted with a mistake: each of their hundreds of tasks was started
+// again and again. One task at a time shows as much.
+bool Placer::in_crash_loop_backoff(const JobId& id) const {
+  if (!state_.failure_attribution.job_fails(id, now_)) return false;
+  if (now_ < state_.failure_attribution.retry_at(id)) return true;
+  bool being_tried = false;
+  state_.locations.for_each_of_job(id, [&](const Machine&, const TaskKey&, const MachineTask& task) {
+    being_tried = being_tried || is_live(task);
+  });
+  return being_tried;
+}
+
+void Placer::place_job(const JobId& id, ShardJob& job, bool image_cached) {
+  if (job.record.spec->kind == JobKind::kGang) {
+    if (!image_cached) place_gang(state_, id, job, open_machines_, now_);
+    return;
+  }
+  JobPlacement placement{id,
+                         job,
+                         image_cached,
+                         request_of(*job.record.spec, 1),
+                         state_.failure_attribution.failed_on(id, now_),
+                         state_.failure_attribution.job_fails(id, now_),
+                         {}};
+  for (auto& [index, task] : job.granted_tasks) {
+    if (task.status != GrantedTask::Status::kWaiting) continue;
+    if (place_task(placement, index, task) == Next::kNextJob) return;
+  }
+}
+
+Placer::Next Placer::place_task(JobPlacement& placement, std::uint32_t index, GrantedTask& task) {
+  const auto& request = placement.request;
+  if (!placement.image_cached && !task.preempt && !task.preemption_target &&
+      is_unplaceable(request, task.zone))
+    return Next::kNextTask;
+  auto* best = best_candidate(placement, task.zone);
+  if (placement.image_cached && !best) return task.zone ? Next::kNextTask : Next::kNextJob;
+  TaskId id{placement.id, index};
+  // A guard against every mistake elsewhere: what any machine still lists is not started.
+  if (state_.locations.is_live_anywhere(id)) return Next::kNextTask;
+  // Where room is being made for it, and the image is, it starts sooner than anywhere else.
+  if (auto* target = usable_preemption_target(task)) {
+    if (available_tasks(*target, request, state_.params.rules, false) == 0) return Next::kNextTask;
+    preemption_.on_placed(target->name, request.each);
+    state_.place(*target, id, placement.job, task, now_);
+    return placement.fails_everywhere ? Next::kNextJob : Next::kNextTask;
+  }
+  if (task.preempt && preempt(placement, task, best)) return Next::kNextTask;
+  if (!best) {
+    // A job that failed on machines avoids them: that they have no room for it says nothing of others.
+    if (!placement.avoided.empty()) return Next::kNextJob;
+    unplaceable_.push_back({request, task.zone});
+    return Next::kNextTask;
+  }
+  state_.place(*best, id, placement.job, task, now_);
+  return placement.fails_everywhere ? Next::kNextJob : Next::kNextTask;
+}
+
+Machine* Placer::best_candidate(JobPlacement& placement, const std::optional<Zone>& zone) {
+  const auto& rules = state_.params.rules;
+  auto& candidates = placement.candidates;
+  if (!candidates.searched || candidates.zone != zone) {
+    state_.visited_count += open_machines_.size();
+    auto machines = choose_machines(open_machines_, placement.request, zone, rules, placement.avoided,
+                                    placement.image_cached, now_);
+    candidates = {true, zone, std::move(machines), 0};
+  }
+  auto& next = candidates.next;
+  while (next < candidates.machines.size() &&
+         available_tasks(*candidates.machines[next], placement.request, rules, false) == 0)
+    ++next;
+  return next < candidates.machines.size() ? candidates.machines[next] : nullptr;
+}
+
+bool Placer::is_unplaceable(const protocol::ResourceRequest& request, const std::optional<Zone>& zone) const {
+  return std::any_of(unplaceable_.begin(), unplaceable_.end(), [&](const auto& known) {
+    return known.zone == zone && same_machines(known.request, request) &&
+           needs_no_more(known.request.each, request.each);
+  });
+}
+
+Machine* Placer::usable_preemption_target(const GrantedTask& task) {
+  if (!awaits_preemption(task, state_.params.heartbeat_period, now_)) return nullptr;
+  auto* target = state_.find_machine(*task.preemption_target);
+  return target && target->usable(now_) ? target : nullptr;
+}
+
+// Rather where the image is, and otherwise only if there is no machine without preemption.
+bool Placer::preempt(const JobPlacement& placement, GrantedTask& task, const Machine* best) {
+  bool must_fetch = !best || !best->images.has(placement.request.image);
+  if (must_fetch && preemption_.make_room_for(placement.job, task, true)) return true;
+  return !best && preemption_.make_room_for(placement.job, task, false);
+}
+
+}  // namespace beaconsill::shard
--- /dev/null
+++ b/src/shard/preemption.cpp
@@ -0,0 +1,99 @@
+#include "shard/preemption.h"
+
+#include <algorithm>
+
+namespace beaconsill::shard {
+namespace {
+
+// What stopping the task loses: its work since the last checkpoint.
+double lost_cpu_seconds(const MachineTask& task, Instant now) {
+  double seconds = task.running_since ? to_seconds(now - *task.running_since) : 0;
+  if (task.spec->checkpoint_s > 0) seconds = std::min(seconds, task.spec->checkpoint_s);
+  return seconds * task.spec->each.cpus;
+}
+
+// Gangs are spared: one task less stops them all.
+bool is_preemptible(const MachineTask& task, Priority by) {
+  return is_live(task) && task.spec && task.spec->priority < by && task.spec->kind != JobKind::kGang;
+}
+
+}  // namespace
+
+bool awaits_preemption(const GrantedTask& task, Duration heartbeat_period, Instant now) {
+  return task.status == GrantedTask::Status::kWaiting && task.preemption_target &&
+         now - task.since < heartbeat_period;
+}
+
+// Found on recorded days when services with the right to preempt waited for a second or two, some of them
+// several times over: the room made for one of them passed for that of the next as well.
+void Preemption::collect_reservations() {
+  if (reserved_) return;
+  reserved_.emplace();
+  for (const auto& id : state_.jobs.waiting()) {
+    const auto& job = state_.jobs.at(id);
+    if (job.end) continue;
+    for (const auto& [index, task] : job.granted_tasks)
+      if (awaits_preemption(task, state_.params.heartbeat_period, now_))
+        (*reserved_)[*task.preemption_target] += job.record.spec->each;
+  }
+}
+
+void Preemption::on_placed(const MachineName& target, const Resources& resources) {
+  if (reserved_) (*reserved_)[target] -= resources;
+}
+
+bool Preemption::is_candidate(const Machine& machine, const protocol::ResourceRequest& request,
+                              const GrantedTask& task, bool image_cached) const {
+  return machine.usable(now_) && allowed(request, machine.type, machine.zone, machine.spot) &&
+         (!task.zone || *task.zone == machine.zone) &&
+         accepts_image_state(image_state(machine, request.image), image_cached) &&
+         available_tasks(machine, request, state_.params.rules, true) > 0;
+}
+
+std::optional<Preemption::Plan> Preemption::plan_on(Machine& machine,
+                                                    const protocol::ResourceRequest& request) const {
+  Resources idle = machine.total - machine.used();
+  if (auto it = reserved_->find(machine.name); it != reserved_->end()) idle -= it->second;
+  std::vector<MachineTask*> preemptible;
+  for (auto& [key, task] : machine.tasks) {
+    if (!is_preemptible(task, request.priority)) continue;
+    if (task.stop_grace) {
+      idle += task.spec->each;  // being stopped already
+    } else if (task.start == MachineTask::Start::kAcknowledged) {
+      preemptible.push_back(&task);
+    }
+  }
+  std::sort(preemptible.begin(), preemptible.end(), [this](const auto* left, const auto* right) {
+    return lost_cpu_seconds(*left, now_) < lost_cpu_seconds(*right, now_);
+  });
+  Plan plan{&machine, {}, 0};
+  for (auto* task : preemptible) {
+    if (fits(idle, request.each) > 0) break;
+    idle += task->spec->each;
+    plan.lost_cpu_seconds += lost_cpu_seconds(*task, now_);
+    plan.victims.push_back(task);
+  }
+  if (fits(idle, request.each) == 0) return std::nullopt;
+  return plan;
+}
+
+bool Preemption::make_room_for(const ShardJob& job, GrantedTask& task, bool image_cached) {
+  auto request = request_of(*job.record.spec, 1);
+  collect_reservations();
+  std::optional<Plan> best;
+  for (auto& [name, machine] : state_.machines) {
+    if (!is_candidate(machine, request, task, image_cached)) continue;
+    auto plan = plan_on(machine, request);
+    if (plan && (!best || plan->lost_cpu_seconds < best->lost_cpu_seconds)) best = std::move(plan);
+  }
+  if (!best) return false;
+  for (auto* victim : best->victims)
+    state_.stop(*best->machine, *victim, victim->spec->checkpoint_s > 0 ? victim->spec->save_s : 0);
+  task.preempt = false;
+  task.preemption_target = best->machine->name;
+  task.since = now_;
+  (*reserved_)[best->machine->name] += request.each;
+  return true;
+}
+
+}  // namespace beaconsill::shard
--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -4,304 +4,283 @@
 #include <cmath>
 
 #include "base/log.h"
+#include "shard/gang_scheduling.h"
+#include "shard/heartbeat_reconciler.h"
+#include "shard/periodic_checks.h"
+#include "shard/placer.h"
 
 namespace beaconsill::shard {
+namespace {
 
 using protocol::TaskState;
 
-namespace {
 // What only the passing of time brings about is looked for so often: some hundred events a second would
 // otherwise go through all machines each.
-constexpr Duration kTimeoutCheckPeriod = std::chrono::milliseconds(100);
+constexpr Duration kPeriodicCheckPeriod = std::chrono::milliseconds(100);
 constexpr Duration kOrphanCheckPeriod = std::chrono::milliseconds(500);
-}  // namespace
+// A worker is redirected here no more often than this.
+constexpr Duration kRedirectInterval = std::chrono::seconds(20);
+constexpr Duration kRetryDeletionAfter = std::chrono::seconds(2);
+// Of waiting tasks, in divisions that should come out even.
+constexpr double kRoundingSlack = 1e-9;
 
-ShardManager::ShardManager(ShardId id, Term term, ShardParams params, Instant now)
-    : id_(id),
-      term_(term),
-      params_(params),
-      began_(now),
-      next_attempt_((term.value() << Token::kFenceBits) + 1) {}
+}  // namespace
 
-void ShardManager::set_catalogue(std::shared_ptr<const protocol::Catalogue> c) {
-  catalogue_ = std::move(c);
-  for (auto& [name, m] : machines_) set_type(m);
-}
+ShardManager::ShardManager(ShardId id, Term term, const ShardParams& params, Instant now)
+    : state_(id, term, params, now) {}
 
-void ShardManager::set_type(Machine& m) {
-  if (!catalogue_) return;
-  auto it = catalogue_->find(m.type);
-  if (it == catalogue_->end()) return;
-  m.total = it->second.total;
-  m.images.set_capacity(it->second.cache_gb);
-  m.type_known = true;
+void ShardManager::set_catalogue(std::shared_ptr<const protocol::Catalogue> catalogue) {
+  state_.catalogue = std::move(catalogue);
+  for (auto& [name, machine] : state_.machines) state_.apply_catalogue(machine);
 }
 
-Machine* ShardManager::find_machine(const MachineName& name) {
-  auto it = machines_.find(name);
-  return it == machines_.end() ? nullptr : &it->second;
+void ShardManager::supersede(Term term) {
+  if (term > state_.term) state_.supersede();
 }
 
-ShardManager::ShardJob* ShardManager::find_job(const JobId& id) {
-  auto it = jobs_.find(id);
-  return it == jobs_.end() ? nullptr : &it->second;
+bool ShardManager::is_stable(Instant now) const {
+  return state_.reconciled &&
+         std::none_of(state_.machines.begin(), state_.machines.end(), [&](const auto& entry) {
+           return FailureDetector::is_unreachable(entry.second, entry.second.contact_timeout, now);
+         });
 }
 
-ShardManager::GrantedTask* ShardManager::find_granted_task(const TaskId& id) {
-  auto* job = find_job(id.job);
-  if (!job) return nullptr;
-  auto it = job->granted_tasks.find(id.index);
-  return it == job->granted_tasks.end() ? nullptr : &it->second;
-}
+// ---------------------------------------------------------------- events
 
-std::pair<MachineTask&, bool> ShardManager::put(Machine& m, const TaskKey& key) {
-  auto [it, fresh] = m.tasks.try_emplace(key);
-  if (fresh) {
-    where_[key.first].push_back(&m);
-    m.may_have_orphans = true;
+void ShardManager::on_registry(const std::vector<state_store::MachineRecord>& records, Instant now) {
+  std::set<MachineName> registered;
+  for (const auto& record : records) {
+    registered.insert(record.name);
+    if (state_.terminated.contains(record.name)) continue;
+    auto [it, inserted] = state_.machines.try_emplace(record.name);
+    if (!inserted) continue;
+    auto& machine = it->second;
+    machine.name = record.name;
+    machine.type = record.type;
+    machine.zone = record.zone;
+    machine.spot = record.spot;
+    machine.first_seen = machine.last_contact = machine.last_own_heartbeat = now;
+    machine.idle_since = now;
+    machine.token = Token::first_of(state_.term);
+    state_.failure_detector.set_timeouts(machine);
+    machine.address = record.address;
+    machine.quarantined = record.quarantined;
+    machine.retry_at = now;
+    state_.dispatch_queue.push(machine);
+    state_.apply_catalogue(machine);
   }
-  return {it->second, fresh};
-}
-
-std::map<TaskKey, MachineTask>::iterator ShardManager::drop(Machine& m,
-                                                            std::map<TaskKey, MachineTask>::iterator t) {
-  auto w = where_.find(t->first.first);
-  w->second.erase(std::find(w->second.begin(), w->second.end(), &m));
-  if (w->second.empty()) where_.erase(w);
-  return m.tasks.erase(t);
+  for (auto& [name, machine] : state_.machines) machine.registered = registered.contains(name);
+  state_.registry.on_read(records);
+  state_.check_reconciled(now);
 }
 
-void ShardManager::mark_for_dispatch(Machine& m) {
-  if (m.dispatch_pending) return;
-  m.dispatch_pending = true;
-  dispatch_queue_.push_back(&m);
+bool ShardManager::on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat, Instant now) {
+  return HeartbeatReconciler(state_, now).reconcile(heartbeat, false);
 }
 
-void ShardManager::erase_job(const JobId& id) {
-  waiting_.erase(id);
-  gangs_.erase(id);
-  jobs_.erase(id);
-  mark_possible_orphans(id);
+HeartbeatResponse ShardManager::answer(const MachineName& name, Instant now) {
+  return CommandDelivery(state_, now).heartbeat_response(state_.machines.at(name));
 }
 
-void ShardManager::mark_possible_orphans(const JobId& id) {
-  each_listed(id, [](Machine& m, const TaskKey&, MachineTask&) { m.may_have_orphans = true; });
+// A worker with running tasks that comes by way of another controller may be partitioned from this one.
+// Redirected here in vain it waits for an answer, then goes to the next controller, and its lease may have
+// expired by then: on a recorded day whole shards lost their tasks in a controller's second partition, since
+// each machine had been redirected in the first one and so wasn't answered at once in the second. So it is
+// redirected only if it has answered commands of this controller lately, and otherwise answered and probed.
+bool ShardManager::should_redirect_here(const protocol::WorkerHeartbeat& heartbeat, Instant now) {
+  auto* machine = state_.find_machine(heartbeat.machine);
+  bool has_live_tasks = std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                                    [](const auto& task) { return task.state != TaskState::kEnded; });
+  if (!machine || !has_live_tasks) return true;
+  if (!machine->relayed_since) machine->relayed_since = now;
+  if (now - machine->commands_answered > kHeartbeatAnswerTimeout) {
+    if (machine->can_be_probed()) request_probe(*machine, state_.dispatch_queue, now);
+    return false;
+  }
+  if (machine->redirected && now - *machine->redirected < kRedirectInterval) return false;
+  machine->redirected = now;
+  return true;
 }
 
-// What the task ended with is recorded, or of no use to anybody.
-bool ShardManager::is_durable(const TaskId& id) const {
-  auto it = jobs_.find(id.job);
-  if (it == jobs_.end()) return false;
-  return it->second.end || it->second.recorded.done.contains(id.index);
+void ShardManager::on_direct_contact(const MachineName& name) {
+  if (auto* machine = state_.find_machine(name)) machine->relayed_since.reset();
 }
 
-// ---------------------------------------------------------------- jobs
-
 void ShardManager::on_job(const JobId& id, const state_store::Job* job,
                           std::optional<state_store::TerminalState> end, Instant now) {
-  if (!job) return erase_job(id);
+  if (!job) return state_.erase_job(id);
   if (!job->record.spec) {
-    if (auto* known = find_job(id); known && end) {
+    if (auto* known = state_.jobs.find(id); known && end) {
       known->end = end;
-      mark_possible_orphans(id);
+      state_.mark_possible_orphans(id);
     }
     return;
   }
-  bool ours = std::any_of(job->grants.value.chunks.begin(), job->grants.value.chunks.end(),
-                          [&](const auto& c) { return c.shard == id_; });
-  if (!ours && !jobs_.contains(id)) return;
-  auto& pj = jobs_[id];
-  set_record(pj, *job);
-  if (pj.record.spec->kind == JobKind::kGang) gangs_.insert(id);
-  pj.end = end;
-  auto recorded = job->progress.find(id_);
-  pj.recorded = recorded == job->progress.end() ? state_store::Progress{} : recorded->second.value;
-  pj.works = pj.works || std::any_of(job->progress.begin(), job->progress.end(),
-                                     [](const auto& p) { return !p.second.value.done.empty(); });
-  if (pj.works) failure_attribution_.on_job_works(id);
-  pj.revoked = job->grants.value.revoke;
-  pj.generations.clear();
-  std::set<std::uint32_t> wanted;
-  for (const auto& c : job->grants.value.chunks) {
-    if (c.shard != id_) continue;
-    pj.generations.insert(c.generation);
-    if (c.term > term_) continue;  // meant for a later owner
-    Ranges tasks = c.tasks;
-    tasks.remove(state_store::released_tasks(pj.recorded, c.generation));
-    tasks.remove(pj.recorded.done);
-    for (auto [first, last] : tasks.spans())
-      for (auto n = first; n < last; ++n) {
-        wanted.insert(n);
-        auto [it, fresh] = pj.granted_tasks.try_emplace(n);
-        auto& granted_task = it->second;
-        if (!fresh && granted_task.generation == c.generation) continue;
-        granted_task = {};
-        granted_task.generation = c.generation;
-        granted_task.earlier = c.term < term_;
-        granted_task.preempt = c.preempt;
-        granted_task.zone = c.zone;
-        granted_task.attempt = c.gang_attempt;
-        granted_task.since = now;
-        granted_task.status = granted_task.earlier && !reconciled_
-                                  ? GrantedTask::Status::kAwaitingReconciliation
-                                  : GrantedTask::Status::kWaiting;
-        wait(id);
-      }
-  }
-  std::erase_if(pj.granted_tasks, [&](const auto& s) { return !wanted.contains(s.first); });
-  each_listed(id, [&](Machine& m, const TaskKey& key, MachineTask& t) {
-    mark_for_dispatch(m);  // what it ended with may be recorded now, or the job be over
-    m.may_have_orphans = true;
-    if (!t.spec) {
-      t.spec = pj.record.spec;
-      m.changed();
+  auto* shard_job = state_.jobs.apply(id, *job, end, state_.reconciled, now);
+  if (!shard_job) return;
+  if (shard_job->works) state_.failure_attribution.on_job_works(id);
+  apply_to_listed_tasks(id, *shard_job, now);
+  shard_job->unwritten = true;
+  if (shard_job->granted_tasks.empty() && shard_job->generations.empty()) state_.erase_job(id);
+}
+
+void ShardManager::apply_to_listed_tasks(const JobId& id, ShardJob& job, Instant now) {
+  HeartbeatReconciler reconciler(state_, now);
+  state_.locations.for_each_of_job(id, [&](Machine& machine, const TaskKey& key, MachineTask& task) {
+    state_.dispatch_queue.push(machine);  // what it ended with may be recorded now, or the job have ended
+    machine.may_have_orphans = true;
+    if (!task.spec) {
+      task.spec = job.record.spec;
+      machine.invalidate_load();
     }
-    if (live(t)) {
-      adopt(m, key, t, now);
-      if (end == state_store::TerminalState::kCancelled) stop(m, t, 0);
-      if (pj.revoked) stop(m, t, pj.record.spec->save_s);
-    } else if (t.cause == protocol::EndCause::kDone) {
-      auto* granted_task = find_granted_task(key.first);
-      if (granted_task && granted_task->status != GrantedTask::Status::kReleased &&
-          granted_task->status != GrantedTask::Status::kDone) {
-        granted_task->status = GrantedTask::Status::kDone;
-        pj.mark();
-      }
+    if (is_live(task)) {
+      reconciler.adopt(machine, key, task);
+      if (job.end == state_store::TerminalState::kCancelled) state_.stop(machine, task, 0);
+      if (job.revoked) state_.stop(machine, task, job.record.spec->save_s);
+    } else if (task.cause == protocol::EndCause::kDone) {
+      auto* granted_task = state_.jobs.find_task(key.task);
+      if (!granted_task || granted_task->is_finished()) return;
+      granted_task->status = GrantedTask::Status::kDone;
+      job.mark_progress();
     }
   });
-  pj.dirty = true;
-  if (pj.granted_tasks.empty() && pj.generations.empty()) erase_job(id);
 }
 
-// In this shard the job has the priority of the jobs that need it, as the leader granted it.
-void ShardManager::set_record(ShardJob& pj, const state_store::Job& job) const {
-  auto priority = job.record.spec->priority;
-  for (const auto& c : job.grants.value.chunks)
-    if (c.shard == id_ && c.priority) priority = std::max(priority, *c.priority);
-  pj.record.submitted = job.record.submitted;
-  if (pj.record.spec && pj.record.spec->priority == priority) return;
-  pj.record.spec = job.record.spec;
-  if (priority == job.record.spec->priority) return;
-  auto raised = *job.record.spec;
-  raised.priority = priority;
-  pj.record.spec = std::make_shared<const protocol::JobSpec>(std::move(raised));
+void ShardManager::tick(Instant now, Instant cancellations_known_until, Instant read_until) {
+  state_.check_reconciled(now);
+  run_periodic_checks(now, read_until);
+  // Starting a task needs recent knowledge of cancellations, well inside the time limit that they have.
+  if (now - cancellations_known_until < state_.params.cancel_limit / 4) Placer(state_, now).place_all();
+  state_.jobs.release_unplaced(state_.params.heartbeat_period, now);
 }
 
-state_store::Progress ShardManager::progress_of(const ShardJob& job) const {
-  state_store::Progress p;
-  p.done = job.recorded.done;
-  for (const auto& r : job.recorded.released)
-    if (job.generations.contains(r.generation)) p.released.push_back(r);
-  for (const auto& [n, granted_task] : job.granted_tasks) {
-    if (granted_task.status == GrantedTask::Status::kDone) p.done.add(n);
-    if (granted_task.status != GrantedTask::Status::kReleased) continue;
-    auto it = std::find_if(
-        p.released.begin(), p.released.end(),
-        [&granted_task = granted_task](const auto& r) { return r.generation == granted_task.generation; });
-    if (it == p.released.end()) it = p.released.insert(p.released.end(), {granted_task.generation, {}});
-    it->tasks.add(n);
+void ShardManager::run_periodic_checks(Instant now, Instant read_until) {
+  if (now - periodic_checks_at_ >= kPeriodicCheckPeriod) {
+    periodic_checks_at_ = now;
+    expire_leases(state_, read_until, now);
+    stop_tasks_before_reclaim(state_, now);
+    stop_broken_gangs(state_);
+    schedule_probes(state_, now);
+  }
+  if (now - orphan_check_at_ >= kOrphanCheckPeriod) {
+    orphan_check_at_ = now;
+    stop_orphaned_tasks(state_, read_until);
   }
-  return p;
 }
 
-std::map<JobId, state_store::Progress> ShardManager::unwritten_progress() {
-  std::map<JobId, state_store::Progress> out;
-  for (auto& [id, job] : jobs_) {
-    if (!job.dirty) continue;
-    auto p = progress_of(job);
-    bool news = std::any_of(job.granted_tasks.begin(), job.granted_tasks.end(), [](const auto& s) {
-      return s.second.status == GrantedTask::Status::kDone ||
-             s.second.status == GrantedTask::Status::kReleased;
-    });
-    job.dirty = news && p != job.recorded;  // until it's seen as written
-    if (job.dirty) out[id] = std::move(p);
-  }
-  return out;
+// ---------------------------------------------------------------- commands
+
+std::vector<CommandBatch> ShardManager::take_command_batches(Instant now) {
+  return CommandDelivery(state_, now).take_batches();
 }
 
-std::vector<protocol::JobProgress> ShardManager::progress_report(bool all) {
-  std::vector<protocol::JobProgress> out;
-  for (auto& [id, job] : jobs_) {
-    if (!job.unacknowledged && !(all && job.dirty)) continue;
-    job.unacknowledged = false;
-    auto p = progress_of(job);
-    auto verdict = std::exchange(job.verdict, protocol::JobHealth::kNone);
-    if (p != job.recorded || verdict != protocol::JobHealth::kNone)
-      out.push_back({id, std::move(p.done), std::move(p.released), verdict});
-  }
-  return out;
+void ShardManager::on_commands(const Batch& batch, CommandResult result,
+                               const std::optional<protocol::WorkerHeartbeat>& heartbeat, Instant now) {
+  auto* machine = state_.find_machine(batch.machine);
+  if (!machine) return;
+  CommandDelivery delivery(state_, now);
+  delivery.on_result(*machine, batch, result);
+  if (heartbeat && heartbeat->machine == batch.machine)
+    HeartbeatReconciler(state_, now).reconcile(*heartbeat, true);
+  if (batch.commands.empty()) delivery.schedule_next_probe(*machine, batch);
 }
 
-bool ShardManager::holds_no_tasks_of(const JobId& id) const {
-  auto it = jobs_.find(id);
-  return it == jobs_.end() ||
-         std::all_of(it->second.granted_tasks.begin(), it->second.granted_tasks.end(), [](const auto& s) {
-           return s.second.status == GrantedTask::Status::kDone ||
-                  s.second.status == GrantedTask::Status::kReleased;
-         });
+// ---------------------------------------------------------------- machines
+
+RegistryState::RecordsByBucket ShardManager::unregistered_machines() {
+  return state_.registry.buckets_to_write(state_.machines);
 }
 
-// ---------------------------------------------------------------- time
-
-void ShardManager::tick(Instant now, Instant word, Instant read) {
-  check_reconciled(now);
-  if (now - timeouts_checked_ >= kTimeoutCheckPeriod) {
-    timeouts_checked_ = now;
-    check_leases(now, read);
-    check_reclaim_notices(now);
-    check_gangs(now);
-    probe_late(now);
-    for (auto& [name, m] : machines_)
-      if (m.retry_at && now >= *m.retry_at) mark_for_dispatch(m);
-  }
-  if (now - orphans_checked_ >= kOrphanCheckPeriod) stop_orphaned_tasks(now, read);
-  // Starting a task needs recent word of cancellations, well inside the time that they have.
-  if (now - word < params_.cancel_limit / 4) place_all(now);
-  release_unplaced(now);
+void ShardManager::on_process_pause(Instant now) {
+  state_.failure_detector.on_process_pause(state_.machines, now);
 }
 
-// ---------------------------------------------------------------- questions
-
-protocol::CapacityByZone ShardManager::estimate(const protocol::ResourceRequest& s, Instant now) const {
-  visited_count_ += machines_.size();
-  auto rooms = shard::estimate(machines_, s, params_.rules, now);
-  if (s.each.cpus <= 0) return rooms;
-  // Tasks that wait here already will take their room first.
-  double waiting = 0;
-  for (const auto& id : waiting_) {
-    const auto& job = jobs_.at(id);
-    if (job.end || job.record.spec->priority < s.priority) continue;
-    for (const auto& [n, granted_task] : job.granted_tasks)
-      if (granted_task.status == GrantedTask::Status::kWaiting) waiting += job.record.spec->each.cpus;
+std::vector<MachineName> ShardManager::take_machines_to_delete(Instant now) {
+  std::vector<MachineName> names;
+  if (state_.superseded) return names;
+  auto partitioned_zones = state_.failure_detector.update_partitioned_zones(state_.machines, now);
+  // A zone that becomes reachable after all must not find hundreds marked, by this request or by others that
+  // are not answered yet: what is being deleted gets no commands but the stops in answers to its heartbeats.
+  auto under_way =
+      static_cast<std::size_t>(std::count_if(state_.machines.begin(), state_.machines.end(),
+                                             [](const auto& entry) { return entry.second.deleting; }));
+  for (auto& [name, machine] : state_.machines) {
+    if (names.size() + under_way >= protocol::kMaxDelete) break;
+    if (machine.deleting || (machine.delete_retry && now < *machine.delete_retry)) continue;
+    bool partitioned = partitioned_zones.contains(machine.zone);
+    auto reason = state_.failure_detector.reason_to_delete(machine, partitioned, now);
+    if (!reason) continue;
+    spdlog::info("machine_deletion_requested shard={} machine={} reason={}", state_.id.value(), name.value(),
+                 to_string(*reason));
+    machine.deleting = true;
+    names.push_back(name);
   }
-  auto taken = static_cast<std::uint32_t>(std::ceil(waiting / s.each.cpus - 1e-9));
-  for (auto& z : rooms) {
-    auto n = std::min(taken, z.free);
-    z.free -= n;
-    z.warm = std::min(z.warm, z.free);
-    taken -= n;
+  return names;
+}
+
+void ShardManager::on_deleted(const MachineName& name, Instant now) {
+  state_.terminated.insert(name);
+  auto* machine = state_.find_machine(name);
+  if (!machine) return;
+  state_.drop_all_tasks(*machine, now);
+  state_.dispatch_queue.remove(*machine);
+  state_.failure_attribution.on_machine_terminated(name);
+  state_.machines.erase(name);
+  state_.registry.mark_dirty();
+  state_.check_reconciled(now);
+}
+
+void ShardManager::on_delete_failed(const MachineName& name, Instant now) {
+  auto* machine = state_.find_machine(name);
+  if (!machine) return;
+  machine->deleting = false;
+  state_.dispatch_queue.push(*machine);
+  machine->delete_retry = now + kRetryDeletionAfter;
+}
+
+void ShardManager::release(const MachineName& name) {
+  auto* machine = state_.find_machine(name);
+  if (machine && machine->tasks.empty()) machine->draining = true;
+}
+
+// ---------------------------------------------------------------- queries
+
+protocol::CapacityByZone ShardManager::estimate(const protocol::ResourceRequest& request, Instant now) const {
+  state_.visited_count += state_.machines.size();
+  auto zones = shard::estimate(state_.machines, request, state_.params.rules, now);
+  if (request.each.cpus <= 0) return zones;
+  // Tasks that wait here already will take their capacity first.
+  auto waiting_cpus = state_.jobs.waiting_cpus(request.priority);
+  auto reserved = static_cast<std::uint32_t>(std::ceil(waiting_cpus / request.each.cpus - kRoundingSlack));
+  for (auto& zone : zones) {
+    auto count = std::min(reserved, zone.free);
+    zone.free -= count;
+    zone.warm = std::min(zone.warm, zone.free);
+    reserved -= count;
   }
-  return rooms;
+  return zones;
 }
 
 protocol::Summary ShardManager::summary(Instant now) const {
-  protocol::Summary s{id_, term_, {}, {}, {}};
+  protocol::Summary summary{state_.id, state_.term, {}, {}, {}};
   std::map<JobId, std::uint32_t> running;
-  for (const auto& [name, m] : machines_) {
-    double idle = m.tasks.empty() ? to_seconds(now - m.idle_since) : 0;
-    s.machines.push_back({name, m.type, m.zone, m.spot, m.total - m.used(), idle, m.usable(now)});
-    for (const auto& [key, t] : m.tasks)
-      if (t.state == TaskState::kRunning || t.state == TaskState::kSaving) ++running[key.first.job];
+  for (const auto& [name, machine] : state_.machines) {
+    double idle_seconds = machine.tasks.empty() ? to_seconds(now - machine.idle_since) : 0;
+    summary.machines.push_back({name, machine.type, machine.zone, machine.spot,
+                                machine.total - machine.used(), idle_seconds, machine.usable(now)});
+    for (const auto& [key, task] : machine.tasks)
+      if (task.state == TaskState::kRunning || task.state == TaskState::kSaving) ++running[key.task.job];
   }
-  for (const auto& [id, n] : running) s.running.push_back({id, n});
-  return s;
+  for (const auto& [id, count] : running) summary.running.push_back({id, count});
+  return summary;
 }
 
 std::uint32_t ShardManager::running(const JobId& id) const {
-  std::uint32_t n = 0;
-  each_listed(id,
-              [&](Machine&, const TaskKey&, const MachineTask& t) { n += t.state == TaskState::kRunning; });
-  return n;
+  std::uint32_t count = 0;
+  state_.locations.for_each_of_job(id, [&](const Machine&, const TaskKey&, const MachineTask& task) {
+    count += task.state == TaskState::kRunning;
+  });
+  return count;
 }
 
 }  // namespace beaconsill::shard
--- a/tests/disclosure_test.cpp
+++ b/tests/cancellation_barrier_test.cpp
@@ -1,7 +1,7 @@
 // When a cancellation may be disclosed to users, and how far an owner knows all that were.
 #include <gtest/gtest.h>
 
-#include "disclosure_model.h"
+#include "cancellation_barrier_model.h"
 #include "state_store/records.h"
 #include "state_store/state_view.h"
 
--- a/tests/part_machines_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -1,6 +1,6 @@
 // What the owner concludes from reports that come, come late or fail to come, and how it deals with a
 // machine.
-#include "part_bench.h"
+#include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
--- a/tests/part_placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,5 +1,5 @@
 // Estimates and where tasks go: by room, image, priority, and gangs as a whole.
-#include "part_bench.h"
+#include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
--- a/tests/part_takeover_test.cpp
+++ b/tests/shard_failover_test.cpp
@@ -1,5 +1,5 @@
 // A new owner rebuilds its shard before it starts what an earlier one may have started.
-#include "part_bench.h"
+#include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
--- a/tests/part_test.cpp
+++ b/tests/shard_manager_test.cpp
@@ -1,5 +1,5 @@
 // The life of granted tasks: starts and how they are settled, outcomes, failures, cost of an event.
-#include "part_bench.h"
+#include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
