--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,8 +1,11 @@
+// The program: reads settings and policy, and runs a controller until SIGINT or SIGTERM.
 #include <CLI/CLI.hpp>
 #include <asio/signal_set.hpp>
 #include <cstdio>
 #include <exception>
 #include <iostream>
+#include <string>
+#include <utility>
 
 #include "base/log.h"
 #include "controller/controller.h"
@@ -11,7 +14,12 @@
 
 using namespace beaconsill;
 
-int run(const std::string& settings_path, const std::string& policy_path) {
+// Exit statuses.
+constexpr int kSuccess = 0;
+constexpr int kFailure = 1;
+constexpr int kBadUsage = 2;  // command line, settings or policy
+
+int run_controller(const std::string& settings_path, const std::string& policy_path) {
   auto settings = config::load_settings(settings_path);
   auto policy = config::load_policy(policy_path, settings);
   asio::io_context io(1);
@@ -23,47 +31,48 @@
   });
   controller.start();
   io.run();
-  return 0;
+  return kSuccess;
 }
 
-int check(const std::string& settings_path, const std::string& policy_path) {
+int check_configuration(const std::string& settings_path, const std::string& policy_path) {
   auto settings = config::load_settings(settings_path);
   config::load_policy(policy_path, settings);
   std::cout << settings_path << ": good\n";
   if (!policy_path.empty()) std::cout << policy_path << ": good\n";
   std::cout << "\npolicy settings (type, default, meaning):\n";
-  for (const auto& k : config::default_variables())
-    std::cout << "  " << k.name << " (" << k.type << ") = " << k.expression << "   # " << k.meaning << '\n';
+  for (const auto& variable : config::default_variables())
+    std::cout << "  " << variable.name << " (" << variable.type << ") = " << variable.expression << "   # "
+              << variable.meaning << '\n';
   std::cout << "\nnames for expressions, with their values here:\n" << config::describe_names(settings);
-  return 0;
+  return kSuccess;
 }
 
 int run_command_line(int argc, char** argv) {
   CLI::App app{"beaconsill: a cluster scheduler"};
   app.set_version_flag("--version", std::string("beaconsill ") + BEACONSILL_VERSION);
-  std::string settings, policy;
-  app.add_option("--config", settings, "the settings file (TOML)");
-  app.add_option("--policy", policy, "the operators' policy file (name = expression)");
+  std::string settings_path, policy_path;
+  app.add_option("--config", settings_path, "the settings file (TOML)");
+  app.add_option("--policy", policy_path, "the operators' policy file (name = expression)");
   auto* check_command =
       app.add_subcommand("check", "check settings and policy, and list what the policy can say");
-  check_command->add_option("--config", settings, "the settings file (TOML)")->required();
-  check_command->add_option("--policy", policy, "the operators' policy file");
+  check_command->add_option("--config", settings_path, "the settings file (TOML)")->required();
+  check_command->add_option("--policy", policy_path, "the operators' policy file");
   app.footer("LOG_LEVEL sets the log on standard error: error, info (default) or debug.");
   CLI11_PARSE(app, argc, argv);
   init_logging();
   try {
-    if (check_command->parsed()) return check(settings, policy);
-    if (settings.empty()) {
+    if (check_command->parsed()) return check_configuration(settings_path, policy_path);
+    if (settings_path.empty()) {
       std::cerr << "--config is required; see --help\n";
-      return 2;
+      return kBadUsage;
     }
-    return run(settings, policy);
-  } catch (const config::ConfigError& e) {
-    std::cerr << e.what() << '\n';
-    return 2;
-  } catch (const std::exception& e) {
-    spdlog::critical("{}", e.what());
-    return 1;
+    return run_controller(settings_path, policy_path);
+  } catch (const config::ConfigError& error) {
+    std::cerr << error.what() << '\n';
+    return kBadUsage;
+  } catch (const std::exception& error) {
+    spdlog::critical("controller_failed reason=\"{}\"", error.what());
+    return kFailure;
   }
 }
 
@@ -72,8 +81,8 @@
 int main(int argc, char** argv) {
   try {
     return run_command_line(argc, argv);
-  } catch (const std::exception& e) {
-    std::fputs(e.what(), stderr);
-    return 1;
+  } catch (const std::exception& error) {
+    std::fputs(error.what(), stderr);
+    return kFailure;
   }
 }
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -6,15 +6,21 @@
 #include <string_view>
 
 namespace beaconsill {
+namespace {
+
+spdlog::level::level_enum parse_level(std::string_view name) {
+  if (name == "error") return spdlog::level::err;
+  if (name == "debug") return spdlog::level::debug;
+  return spdlog::level::info;
+}
+
+}  // namespace
 
 void init_logging() {
   auto logger = spdlog::stderr_logger_st("beaconsill");
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
-  const char* env = std::getenv("LOG_LEVEL");
-  std::string_view level = env ? env : "info";
-  logger->set_level(level == "error"   ? spdlog::level::err
-                    : level == "debug" ? spdlog::level::debug
-                                       : spdlog::level::info);
+  const char* level = std::getenv("LOG_LEVEL");
+  logger->set_level(parse_level(level ? level : "info"));
   spdlog::set_default_logger(logger);
 }
 
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -1,5 +1,7 @@
 #include "cloud/client.h"
 
+#include <utility>
+
 #include "base/log.h"
 
 namespace beaconsill::cloud {
@@ -7,119 +9,154 @@
 constexpr Duration kTimeout = std::chrono::seconds(3);
 constexpr Duration kQueueWait = std::chrono::seconds(4);
 constexpr std::size_t kConnections = 2;
+constexpr double kBurstSeconds = 1.5;
+constexpr std::size_t kMaxLoggedBody = 200;
+constexpr int kHttpOk = 200;
+constexpr int kHttpBadRequest = 400;
+constexpr int kHttpTooManyRequests = 429;
+constexpr int kHttpUnavailable = 503;
 
+// The answer as `parse` reads it; none if it isn't 200 or malformed. `request`: for the log.
 template <class Parse>
-auto parsed(const net::Result& r, const char* what, Parse parse)
+auto parse_answer(const net::Result& result, const char* request, Parse parse)
     -> std::optional<decltype(parse(protocol::Json()))> {
-  if (r.status != 200) return std::nullopt;
+  if (result.status != kHttpOk) return std::nullopt;
   try {
-    return parse(protocol::parse_object(r.body));
-  } catch (const protocol::ProtocolError& e) {
-    spdlog::error("cloud: {} dropped: {}", what, e.what());
+    return parse(protocol::parse_object(result.body));
+  } catch (const protocol::ProtocolError& error) {
+    spdlog::error("cloud_answer_malformed request={} reason=\"{}\"", request, error.what());
     return std::nullopt;
   }
 }
+
+bool says_no_capacity(const net::Result& result) {
+  if (result.status != kHttpUnavailable) return false;
+  try {
+    return protocol::get_string(protocol::parse_object(result.body), "error") == "no capacity";
+  } catch (const protocol::ProtocolError&) {
+    return false;
+  }
+}
 }  // namespace
 
-CloudClient::CloudClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& at, double rps)
+CloudClient::CloudClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& endpoint,
+                         double rps)
     : clock_(clock),
-      http_(std::make_shared<net::HttpClient>(io, at, kConnections)),
-      budget_(rps, 1.5, clock.now()),
+      http_(std::make_shared<net::HttpClient>(io, endpoint, kConnections)),
+      rate_limiter_(rps, kBurstSeconds, clock.now()),
       timer_(io) {}
 
 void CloudClient::set_rate(double rps) {
-  budget_.set_rate(rps, clock_.now());
+  rate_limiter_.set_rate(rps, clock_.now());
 }
 
-void CloudClient::enqueue(bool first, std::string method, std::string target, std::string body,
+void CloudClient::enqueue(QueuePosition position, std::string method, std::string target, std::string body,
                           std::function<void(net::Result)> done) {
-  if (stopped_) return done({});
-  Job j{std::move(method), std::move(target), std::move(body), std::move(done), clock_.now() + kQueueWait};
-  if (first) {
-    queue_.push_front(std::move(j));
+  if (stopped_) {
+    done({});
+    return;
+  }
+  QueuedRequest request{std::move(method), std::move(target), std::move(body), std::move(done),
+                        clock_.now() + kQueueWait};
+  if (position == QueuePosition::kFront) {
+    queue_.push_front(std::move(request));
   } else {
-    queue_.push_back(std::move(j));
+    queue_.push_back(std::move(request));
   }
   send_queued();
 }
 
 void CloudClient::send_queued() {
   if (stopped_) return;
+  // Called back last: a callback may enqueue the next request.
+  for (auto& expired : send_until_rate_limit()) expired.done({});
+}
+
+// Returns the requests that waited for too long.
+std::vector<CloudClient::QueuedRequest> CloudClient::send_until_rate_limit() {
   auto now = clock_.now();
-  std::vector<Job> late;
+  std::vector<QueuedRequest> expired;
   while (!queue_.empty()) {
     if (queue_.front().deadline <= now) {
-      late.push_back(std::move(queue_.front()));
+      expired.push_back(std::move(queue_.front()));
       queue_.pop_front();
       continue;
     }
-    if (!budget_.take(1, false, now)) {
-      timer_.expires_at(budget_.ready_at(1, false, now));
-      timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-        if (auto me = weak.lock(); me && !ec) me->send_queued();
-      });
+    if (!rate_limiter_.take(1, false, now)) {
+      wait_for_rate_limit(now);
       break;
     }
-    Job j = std::move(queue_.front());
+    auto request = std::move(queue_.front());
     queue_.pop_front();
-    http_->request(j.method, j.target, j.body, kTimeout,
-                   [weak = weak_from_this(), done = std::move(j.done)](net::Result r) {
-                     if (auto me = weak.lock(); me && r.status == 429) me->budget_.drain(me->clock_.now());
-                     done(std::move(r));
-                   });
+    send(std::move(request));
   }
-  for (auto& j : late) j.done({});
+  return expired;
 }
 
-void CloudClient::catalogue(std::function<void(std::optional<protocol::Catalogue>)> done) {
-  enqueue(false, "GET", "/catalog", "", [done = std::move(done)](const net::Result& r) {
-    done(parsed(r, "catalogue", protocol::parse_catalogue));
+void CloudClient::wait_for_rate_limit(Instant now) {
+  timer_.expires_at(rate_limiter_.ready_at(1, false, now));
+  timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
+    if (auto self = weak.lock(); self && !ec) self->send_queued();
   });
 }
 
-void CloudClient::list(std::function<void(std::optional<std::vector<protocol::ListedMachine>>)> done) {
-  next_page(std::make_shared<std::vector<protocol::ListedMachine>>(), std::nullopt, std::move(done));
+void CloudClient::send(QueuedRequest request) {
+  auto on_answer = [weak = weak_from_this(), done = std::move(request.done)](net::Result result) {
+    if (auto self = weak.lock(); self && result.status == kHttpTooManyRequests)
+      self->rate_limiter_.drain(self->clock_.now());
+    done(std::move(result));
+  };
+  http_->request(request.method, request.target, request.body, kTimeout, std::move(on_answer));
 }
 
-void CloudClient::next_page(const std::shared_ptr<std::vector<protocol::ListedMachine>>& so_far,
-                            const std::optional<MachineName>& after,
-                            std::function<void(std::optional<std::vector<protocol::ListedMachine>>)> done) {
-  enqueue(false, "GET", protocol::machine_page_target(after), "",
-          [weak = weak_from_this(), so_far, done = std::move(done)](const net::Result& r) mutable {
-            auto me = weak.lock();
-            auto page = parsed(r, "list of machines", protocol::parse_machine_page);
-            if (!me || !page) return done(std::nullopt);
-            for (auto& m : page->machines) so_far->push_back(std::move(m));
-            if (page->more && !so_far->empty())
-              return me->next_page(so_far, so_far->back().name, std::move(done));
-            done(std::move(*so_far));
-          });
+void CloudClient::catalogue(CatalogueCallback done) {
+  enqueue(QueuePosition::kBack, "GET", "/catalog", "", [done = std::move(done)](const net::Result& result) {
+    done(parse_answer(result, "catalogue", protocol::parse_catalogue));
+  });
+}
+
+void CloudClient::list(ListCallback done) {
+  fetch_page(std::make_shared<std::vector<protocol::ListedMachine>>(), std::nullopt, std::move(done));
+}
+
+void CloudClient::fetch_page(const std::shared_ptr<std::vector<protocol::ListedMachine>>& machines,
+                             const std::optional<MachineName>& after, ListCallback done) {
+  auto on_page = [weak = weak_from_this(), machines,
+                  done = std::move(done)](const net::Result& result) mutable {
+    auto self = weak.lock();
+    auto page = parse_answer(result, "list_machines", protocol::parse_machine_page);
+    if (!self || !page) {
+      done(std::nullopt);
+      return;
+    }
+    for (auto& machine : page->machines) machines->push_back(std::move(machine));
+    if (page->more && !machines->empty()) {
+      self->fetch_page(machines, machines->back().name, std::move(done));
+      return;
+    }
+    done(std::move(*machines));
+  };
+  enqueue(QueuePosition::kBack, "GET", protocol::machine_page_target(after), "", std::move(on_page));
 }
 
-void CloudClient::remove(const std::vector<MachineName>& names, std::function<void(bool)> done) {
-  enqueue(true, "POST", "/machines/delete", protocol::render_delete(names),
-          [done = std::move(done)](const net::Result& r) { done(r.status == 200); });
+void CloudClient::remove(const std::vector<MachineName>& machines, std::function<void(bool)> done) {
+  enqueue(QueuePosition::kFront, "POST", "/machines/delete", protocol::render_delete(machines),
+          [done = std::move(done)](const net::Result& result) { done(result.status == kHttpOk); });
 }
 
-void CloudClient::rent(const protocol::RentRequest& req,
-                       std::function<void(RentOutcome, std::vector<MachineName>)> done) {
-  enqueue(false, "POST", "/machines", protocol::render_rent(req),
-          [done = std::move(done)](const net::Result& r) {
-            if (auto names = parsed(r, "answer to a rental request", protocol::parse_rented)) {
-              return done(RentOutcome::kRented, std::move(*names));
-            }
-            bool none = false;
-            if (r.status == 503) {
-              try {
-                none = protocol::get_string(protocol::parse_object(r.body), "error") == "no capacity";
-              } catch (const protocol::ProtocolError&) {
-                none = false;
-              }
-            }
-            if (r.status == 400)
-              spdlog::error("cloud: a rental request was malformed: {}", r.body.substr(0, 200));
-            done(none || r.status == 400 ? RentOutcome::kNoCapacity : RentOutcome::kUnanswered, {});
-          });
+void CloudClient::rent(const protocol::RentRequest& request, RentCallback done) {
+  auto on_answer = [done = std::move(done)](const net::Result& result) {
+    if (auto machines = parse_answer(result, "rent_machines", protocol::parse_rented)) {
+      done(RentOutcome::kRented, std::move(*machines));
+      return;
+    }
+    bool malformed = result.status == kHttpBadRequest;
+    if (malformed)
+      spdlog::error("cloud_request_refused request=rent_machines reason=\"{}\"",
+                    result.body.substr(0, kMaxLoggedBody));
+    done(malformed || says_no_capacity(result) ? RentOutcome::kNoCapacity : RentOutcome::kUnanswered, {});
+  };
+  enqueue(QueuePosition::kBack, "POST", "/machines", protocol::render_rent(request), std::move(on_answer));
 }
 
 void CloudClient::stop() {
@@ -127,7 +164,7 @@
   timer_.cancel();
   auto queue = std::move(queue_);
   queue_.clear();
-  for (auto& j : queue) j.done({});
+  for (auto& request : queue) request.done({});
   http_->stop();
 }
 
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -1,4 +1,4 @@
-// Client of the cloud's API, within its limit of requests.
+// Client of the cloud's API, within its rate limit.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -6,6 +6,9 @@
 #include <deque>
 #include <functional>
 #include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "net/http_client.h"
 #include "protocol/cloud.h"
@@ -14,39 +17,49 @@
 namespace beaconsill::cloud {
 
 // Owns the queue of requests and the connections. A request waits for its turn within `rps` (requests per
-// second) for a few seconds. Errors aren't thrown: a callback gets nothing (nullopt, false, kUnanswered) if
-// there was no well-formed answer in time.
+// second) for a few seconds, and isn't repeated. Errors aren't thrown: a callback gets nothing (nullopt,
+// false, kUnanswered) if there was no well-formed answer in time. Every callback is called once, at the
+// latest by stop(). One thread.
 class CloudClient : public std::enable_shared_from_this<CloudClient> {
  public:
-  CloudClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& at, double rps);
-
-  void catalogue(std::function<void(std::optional<protocol::Catalogue>)> done);
-  // All pages.
-  void list(std::function<void(std::optional<std::vector<protocol::ListedMachine>>)> done);
-  // 200: true. Deletions go before everything else: tasks wait for them.
-  void remove(const std::vector<MachineName>& names, std::function<void(bool)> done);
+  using CatalogueCallback = std::function<void(std::optional<protocol::Catalogue>)>;
+  using ListCallback = std::function<void(std::optional<std::vector<protocol::ListedMachine>>)>;
   enum class RentOutcome { kRented, kNoCapacity, kUnanswered };
-  void rent(const protocol::RentRequest& r, std::function<void(RentOutcome, std::vector<MachineName>)> done);
+  using RentCallback = std::function<void(RentOutcome, std::vector<MachineName>)>;
+
+  CloudClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& endpoint, double rps);
+
+  void catalogue(CatalogueCallback done);
+  // All pages of the list of machines.
+  void list(ListCallback done);
+  // Deletes machines; true: they are deleted. Deletions go before everything else: tasks wait for them.
+  void remove(const std::vector<MachineName>& machines, std::function<void(bool)> done);
+  // kUnanswered: the request may have been carried out, or may yet be.
+  void rent(const protocol::RentRequest& request, RentCallback done);
   void set_rate(double rps);
   void stop();
 
  private:
-  struct Job {
+  struct QueuedRequest {
     std::string method, target, body;
     std::function<void(net::Result)> done;
     Instant deadline;
   };
-  void enqueue(bool first, std::string method, std::string target, std::string body,
+  enum class QueuePosition { kFront, kBack };
+
+  void enqueue(QueuePosition position, std::string method, std::string target, std::string body,
                std::function<void(net::Result)> done);
   void send_queued();
-  void next_page(const std::shared_ptr<std::vector<protocol::ListedMachine>>& so_far,
-                 const std::optional<MachineName>& after,
-                 std::function<void(std::optional<std::vector<protocol::ListedMachine>>)> done);
+  void send(QueuedRequest request);
+  void wait_for_rate_limit(Instant now);
+  std::vector<QueuedRequest> send_until_rate_limit();
+  void fetch_page(const std::shared_ptr<std::vector<protocol::ListedMachine>>& machines,
+                  const std::optional<MachineName>& after, ListCallback done);
 
   const Clock& clock_;
   std::shared_ptr<net::HttpClient> http_;
-  state_store::RateLimiter budget_;
-  std::deque<Job> queue_;
+  state_store::RateLimiter rate_limiter_;
+  std::deque<QueuedRequest> queue_;
   asio::steady_timer timer_;
   bool stopped_ = false;
 };
