--- /dev/null
+++ b/src/controller/command_sender.cpp
@@ -0,0 +1,77 @@
+#include "controller/command_sender.h"
+
+#include <utility>
+
+#include "base/log.h"
+#include "controller/socket_limits.h"
+
+namespace beaconsill::controller {
+namespace {
+constexpr Duration kCommandTimeout = std::chrono::seconds(2);
+constexpr int kHttpOk = 200;
+constexpr int kHttpConflict = 409;
+
+using CommandResult = shard::ShardManager::CommandResult;
+
+// What the worker made of the commands; `heartbeat` is set if the answer holds its state.
+CommandResult parse_answer(const MachineName& machine, const net::Result& result,
+                           std::optional<protocol::WorkerHeartbeat>& heartbeat) {
+  if (!result.answered()) {
+    spdlog::debug("commands_unanswered machine={}", machine.value());
+    return CommandResult::kNoAnswer;
+  }
+  if (result.status != kHttpOk && result.status != kHttpConflict) {
+    spdlog::error("commands_refused machine={} reason=status_{}", machine.value(), result.status);
+    return CommandResult::kNoAnswer;
+  }
+  try {
+    heartbeat = protocol::parse_worker_heartbeat(protocol::parse_object(result.body));
+  } catch (const protocol::ProtocolError& error) {
+    spdlog::error("command_answer_malformed machine={} reason=\"{}\"", machine.value(), error.what());
+    return CommandResult::kNoAnswer;
+  }
+  return result.status == kHttpOk ? CommandResult::kExecuted : CommandResult::kRejected;
+}
+}  // namespace
+
+CommandSender::CommandSender(ControllerContext& ctx, LedShards& shards, std::function<void()> on_answer)
+    : ctx_(ctx),
+      shards_(shards),
+      on_answer_(std::move(on_answer)),
+      connections_(ctx.io, plan_socket_limits(ctx.settings).commands) {}
+
+void CommandSender::stop() {
+  stopped_ = true;
+  connections_.stop();
+}
+
+void CommandSender::send(ShardId id, LedShard& shard, shard::ShardManager::Batch batch) {
+  auto endpoint = net::parse_endpoint(batch.address);
+  if (!endpoint) {
+    spdlog::error("worker_address_invalid machine={} reason=\"{}\"", batch.machine.value(), batch.address);
+    // Otherwise the shard would wait for an answer for good, and so would the tasks that it placed there.
+    shard.manager->on_commands(batch, CommandResult::kNoAnswer, std::nullopt, ctx_.now());
+    return;
+  }
+  auto client = connections_.acquire(batch.machine, batch.address, *endpoint, ctx_.now()).client;
+  auto body = protocol::render_commands(batch.token, batch.incarnation, batch.commands);
+  auto done = [this, id, term = shard.manager->term(), batch = std::move(batch),
+               sender = std::weak_ptr(client)](const net::Result& result) {
+    if (stopped_) return;
+    connections_.release(batch.machine, sender.lock());
+    on_result(id, term, batch, result);
+  };
+  client->request("POST", "/do", body, kCommandTimeout, std::move(done));
+}
+
+void CommandSender::on_result(ShardId id, Term term, const shard::ShardManager::Batch& batch,
+                              const net::Result& result) {
+  auto* shard = shards_.find(id, term);
+  if (!shard) return;
+  std::optional<protocol::WorkerHeartbeat> heartbeat;
+  auto outcome = parse_answer(batch.machine, result, heartbeat);
+  shard->manager->on_commands(batch, outcome, heartbeat, ctx_.now());
+  on_answer_();
+}
+
+}  // namespace beaconsill::controller
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,51 +1,60 @@
-// One controller: wires the packages together and runs the duties until it's stopped.
+// One controller: connects the packages with each other and runs until it's stopped.
 #pragma once
 
 #include <memory>
 
 #include "api/api.h"
+#include "controller/catalogue_refresher.h"
+#include "controller/controller_context.h"
 #include "controller/leader_election.h"
+#include "controller/peer_message_dispatcher.h"
 #include "controller/peer_service.h"
+#include "controller/rate_limit_apportioner.h"
 #include "controller/scheduler_service.h"
 #include "controller/shard_service.h"
-#include "protocol/paging.h"
+#include "controller/summary_exchange.h"
+#include "net/http_server.h"
 
 namespace beaconsill::controller {
 
-// Owns all duties of one controller, its clients and its server; the event loop and the clock have to outlive
-// it. Constructor: config::ConfigError if an address of the settings can't be parsed.
+// Owns all components of one controller, its clients and its server; the event loop and the clock have to
+// outlive it. Everything runs on the event loop's one thread. Constructor: config::ConfigError if an address
+// of the settings can't be parsed.
 class Controller {
  public:
   Controller(asio::io_context& io, const Clock& clock, config::Settings settings, config::Policy policy);
+  Controller(const Controller&) = delete;
+  Controller& operator=(const Controller&) = delete;
   ~Controller();
   // Throws std::system_error if an address can't be bound.
   void start();
+  // Ends all requests under way. The event loop runs out of work afterwards; a second call does nothing.
   void stop();
   net::Tcp::endpoint listening() const { return server_->local(); }
 
  private:
-  void on_request(const net::Request& r, net::HttpServer::Reply reply);
-  void on_view(const state_store::StateView::ChangeSet& t);
-  void on_peer_message(const protocol::PeerMessage& m);
-  void fetch_catalogue();
-  void send_summaries();
-  void on_summary_page(const ControllerName& from, const protocol::Summary& page);
-  void adjust_rate_limits();
+  void make_clients();
+  void make_services();
+  void make_election();
+  void make_api();
+  void make_server();
+  void send_to_leader(protocol::ProgressReport report);
+  void on_request(const net::Request& request, net::HttpServer::Reply reply);
+  void on_view(const state_store::StateView::ChangeSet& changes);
+  void on_catalogue();
   bool healthy() const;
-  std::uint32_t running(const JobId& id) const;
 
   ControllerContext ctx_;
   std::unique_ptr<PeerService> peers_;
-  std::unique_ptr<ShardService> workers_;
-  std::unique_ptr<SchedulerService> leader_;
-  std::unique_ptr<LeaderElection> roles_;
+  std::unique_ptr<ShardService> shards_;
+  std::unique_ptr<SchedulerService> scheduler_;
+  std::unique_ptr<LeaderElection> election_;
+  std::unique_ptr<CatalogueRefresher> catalogue_refresher_;
+  std::unique_ptr<SummaryExchange> summaries_;
+  std::unique_ptr<RateLimitApportioner> rate_limits_;
+  std::unique_ptr<PeerMessageDispatcher> dispatcher_;
   std::unique_ptr<api::Api> api_;
   std::shared_ptr<net::HttpServer> server_;
-  PeriodicTimer catalogue_tick_, summary_tick_, rate_limit_tick_;
-  std::map<ControllerName, protocol::SummaryAssembler> summaries_;
-  std::map<ShardId, std::map<JobId, std::uint32_t>> running_elsewhere_;
-  Instant catalogue_at_{};
-  bool fetching_ = false;
   bool stopped_ = false;
 };
 
--- /dev/null
+++ b/src/controller/garbage_collector.cpp
@@ -0,0 +1,88 @@
+#include "controller/garbage_collector.h"
+
+#include <algorithm>
+#include <utility>
+#include <vector>
+
+namespace beaconsill::controller {
+namespace {
+constexpr Duration kPeriod = std::chrono::seconds(1);
+// Keys deleted in one transaction: it must not delay changes that somebody waits for.
+constexpr std::size_t kMaxDeletedKeys = 8;
+// Users retry a submission for a minute; a transaction may be carried out minutes late.
+constexpr Duration kAbandonedSubmissionAge = std::chrono::minutes(15);
+}  // namespace
+
+GarbageCollector::GarbageCollector(ControllerContext& ctx, Leadership& leadership)
+    : ctx_(ctx), leadership_(leadership), timer_(ctx.io, [this] { run(); }) {}
+
+void GarbageCollector::start() {
+  timer_.start(kPeriod);
+}
+
+void GarbageCollector::stop() {
+  timer_.stop();
+}
+
+void GarbageCollector::run() {
+  auto leader = leadership_.still_leader();
+  auto spare_writes = ctx_.store->spare_writes();
+  if (!leader || !collecting_.empty() || spare_writes == 0) return;
+  state_store::TxnDraft draft(std::min({ctx_.store->sizes().txn_ops(), kMaxDeletedKeys, spare_writes}));
+  draft.require(*leader);
+  for (const auto& id : leadership_.scheduler().collectable())
+    if (!delete_job_keys(id, draft)) break;
+  for (const auto& [id, keys] : ctx_.view().all_dependency_keys())
+    if (!delete_dependency_keys(id, keys, draft)) break;
+  if (draft.empty()) return;
+  auto done = [this, txn = draft.txn()](state_store::TxnResult result) {
+    if (result.outcome == state_store::RequestOutcome::kOk) {
+      ctx_.watch_cache->apply_own(txn, result.revision);
+      collecting_.clear();
+      return;
+    }
+    ctx_.watch_cache->sync([this](bool) { collecting_.clear(); });
+  };
+  ctx_.store->txn(draft.txn(), state_store::Urgency::kGarbageCollection, std::move(done));
+}
+
+bool GarbageCollector::delete_job_keys(const JobId& id, state_store::TxnDraft& draft) {
+  const auto* job = ctx_.view().job(id);
+  // Without a terminal record of its own, the jobs that it was cancelled through are still needed to know its
+  // state.
+  if (!job || !ctx_.view().terminal_record(id).exists()) return true;
+  // The job's record last: if not all go at once, what is left is still known to be of a job that is over.
+  std::vector<protocol::Condition> keys;
+  if (job->grants.exists()) keys.push_back({state_store::grants_key(id), job->grants.version});
+  for (const auto& [shard, progress] : job->progress)
+    keys.push_back({state_store::progress_key(shard, id), progress.version});
+  keys.push_back({state_store::job_key(id), job->created});
+  keys.resize(std::min(keys.size(), ctx_.store->sizes().txn_ops()));
+  std::vector<protocol::Write> deletions;
+  deletions.reserve(keys.size());
+  for (const auto& condition : keys) deletions.push_back({condition.key, std::nullopt, std::nullopt});
+  if (!draft.add(keys, deletions)) return draft.empty();
+  collecting_.insert(id);
+  return true;
+}
+
+// The keys with a job's dependencies go once its record is gone, or was never written and its user has long
+// given up. The first key goes first, on which the record's transaction is conditional.
+bool GarbageCollector::delete_dependency_keys(const JobId& id,
+                                              const state_store::StateView::DependencyKeys& keys,
+                                              state_store::TxnDraft& draft) const {
+  const auto& view = ctx_.view();
+  if (auto job = view.jobs().find(id); job != view.jobs().end() && job->second.record.spec) return true;
+  const auto age =
+      std::chrono::milliseconds(ctx_.clock.wall().value() - keys.begin()->second.value.written.value());
+  if (!view.terminal_record(id).exists() && age < kAbandonedSubmissionAge) return true;
+  for (const auto& [piece, value] : keys) {
+    auto key = state_store::dependency_key(id, piece);
+    if (!draft.add({{key, value.version}, {state_store::job_key(id), Revision()}},
+                   {{key, std::nullopt, std::nullopt}}))
+      return false;
+  }
+  return true;
+}
+
+}  // namespace beaconsill::controller
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -1,211 +1,195 @@
 #include "controller/leader_election.h"
 
-#include <algorithm>
+#include <utility>
 
 #include "base/log.h"
 
 namespace beaconsill::controller {
 namespace {
-constexpr std::uint32_t kLeaseTtlMs = 2000;
-constexpr Duration kKeepAlivePeriod = std::chrono::milliseconds(500);
-constexpr Duration kCheck = std::chrono::milliseconds(200);
-// Each candidate waits this much longer than the one before it, so that one claims and the others see it.
+constexpr Duration kCheckPeriod = std::chrono::milliseconds(200);
+// Each candidate waits this much longer than the one before it, so that one acquires the role and the others
+// see it.
 constexpr Duration kCandidateDelay = std::chrono::milliseconds(1200);
-// While a machine is silent, its shard stays where it is: the new owner would have to wait for it. But not
-// for longer than so many times the usual delay.
+// While a machine is silent, its shard stays where it is: the new shard leader would have to wait for it. But
+// not for longer than so many times the usual delay.
 constexpr int kMaxFailBackDelayFactor = 4;
 }  // namespace
 
 LeaderElection::LeaderElection(ControllerContext& ctx, Hooks hooks)
-    : ctx_(ctx),
-      hooks_(std::move(hooks)),
-      keep_alive_(ctx.io, [this] { keep_alive(); }),
-      check_(ctx.io, [this] { on_view(); }) {
-  for (std::uint32_t p = 0; p < ctx.partitioning.shards(); ++p)
-    shards_[ShardId(p)].key = state_store::shard_role_key(ShardId(p));
+    : ctx_(ctx), hooks_(std::move(hooks)), liveness_(ctx), check_timer_(ctx.io, [this] { on_view(); }) {
+  for (std::uint32_t number = 0; number < ctx.partitioning.shards(); ++number) {
+    ShardId shard(number);
+    shards_[shard].key = state_store::shard_role_key(shard);
+    shards_[shard].shard = shard;
+  }
   leader_.key = state_store::leader_role_key();
 }
 
 void LeaderElection::start() {
-  keep_alive_.start(kKeepAlivePeriod);
-  check_.start(kCheck);
+  liveness_.start();
+  check_timer_.start(kCheckPeriod);
 }
 
 void LeaderElection::stop() {
-  keep_alive_.stop();
-  check_.stop();
+  liveness_.stop();
+  check_timer_.stop();
 }
 
-void LeaderElection::keep_alive() {
-  if (keep_alive_pending_) return;
-  keep_alive_pending_ = true;
-  if (!lease_) {
-    return ctx_.store->grant_lease(kLeaseTtlMs, [this](const state_store::ReadResult& r) {
-      keep_alive_pending_ = false;
-      if (r.outcome != state_store::RequestOutcome::kOk) return;
-      try {
-        lease_ = protocol::parse_lease(r.body);
-      } catch (const protocol::ProtocolError& e) {
-        spdlog::error("state service: hold dropped: {}", e.what());
-        return;
-      }
-      liveness_written_ = false;
-      write_liveness();
-    });
+void LeaderElection::on_view() {
+  if (!ctx_.watch_cache->ready()) return;
+  // What was seen before a pause of the process, a vacant role or a preferred controller alive, may be over.
+  if (!ctx_.roles_read_since_pause()) {
+    reset_observations();
+    return;
   }
-  ctx_.store->renew(*lease_, [this](const state_store::ReadResult& r) {
-    keep_alive_pending_ = false;
-    if (r.status == 404) {
-      spdlog::info("this node's hold has run out, taking a new one");
-      lease_.reset();
-      return keep_alive();
-    }
-    if (r.outcome != state_store::RequestOutcome::kOk) return;
-    // The key may have gone although the hold stands: an earlier process of this controller wrote it, its
-    // transaction was carried out late and tied the key to that process's hold, which has run out since.
-    bool gone = ctx_.watch_cache->ready() && !ctx_.view().alive(ctx_.settings.controller);
-    if (!liveness_written_ || gone) write_liveness();
-  });
+  for (auto& [shard, state] : shards_) check(state, ctx_.view().shard_role(shard));
+  check(leader_, ctx_.view().leader());
 }
 
-void LeaderElection::write_liveness() {
-  if (keep_alive_pending_) return;
-  keep_alive_pending_ = true;
-  protocol::Txn t;
-  t.writes = {{state_store::alive_key(ctx_.settings.controller), state_store::alive_value(), lease_}};
-  ctx_.store->txn(t, state_store::Urgency::kElection, [this, t](state_store::TxnResult r) {
-    keep_alive_pending_ = false;
-    if (r.outcome == state_store::RequestOutcome::kBad) lease_.reset();  // the hold ran out meanwhile
-    if (r.outcome != state_store::RequestOutcome::kOk) return;
-    liveness_written_ = true;
-    ctx_.watch_cache->apply_own(t, r.revision);
-  });
+void LeaderElection::reset_observations() {
+  for (auto& [shard, state] : shards_) {
+    state.vacant_since.reset();
+    state.preferred_alive_since.reset();
+  }
+  leader_.vacant_since.reset();
 }
 
-// This controller's place among those that may take a vacant role: a shard's home first, then by a fixed
-// order.
-std::size_t LeaderElection::rank(std::optional<ShardId> shard) const {
-  const auto& controllers = ctx_.partitioning.controllers();
-  std::size_t n = controllers.size();
-  std::size_t first = shard ? shard->value() : 0;
-  std::size_t place = 0;
-  for (std::size_t i = 0; i < n; ++i) {
-    const auto& controller = controllers[(first + i) % n];
-    if (controller == ctx_.settings.controller) break;
-    if (ctx_.view().alive(controller)) ++place;
-  }
-  return place;
+bool LeaderElection::is_own(const RoleRecord& role) const {
+  return role.exists() && role.value.controller == ctx_.settings.controller;
 }
 
-void LeaderElection::on_view() {
-  if (!ctx_.watch_cache->ready()) return;
-  // What was seen before it stood still, a role vacant or a home controller well, may be over.
-  if (!ctx_.roles_read_since_pause()) return reset_vacancy_timers();
-  for (auto& [shard, s] : shards_) check(s, ctx_.view().shard_role(shard), shard);
-  check(leader_, ctx_.view().leader(), std::nullopt);
+void LeaderElection::check(RoleState& state, const RoleRecord& role) {
+  check_superseded(state, role);
+  if (state.writing) return;
+  if (!state.acquired_term) {
+    check_vacancy(state, role);
+  } else if (state.shard) {
+    check_fail_back(state, role, *state.shard);
+  }
 }
 
-void LeaderElection::reset_vacancy_timers() {
-  for (auto& [shard, s] : shards_) s.vacant_since = s.preferred_alive_since = std::nullopt;
-  leader_.vacant_since.reset();
+void LeaderElection::check_superseded(RoleState& state, const RoleRecord& role) {
+  if (!state.acquired_term) return;
+  if (is_own(role) && role.value.term <= *state.acquired_term) return;
+  spdlog::info("role_lost role={} controller={} term={}", state.key, role.value.controller.value(),
+               role.value.term.value());
+  lose_role(state);
 }
 
-void LeaderElection::lose_role(RoleState& s, std::optional<ShardId> shard) {
-  s.held.reset();
-  if (shard) {
-    hooks_.release_shard(*shard);
+void LeaderElection::lose_role(RoleState& state) {
+  state.acquired_term.reset();
+  if (state.shard) {
+    hooks_.release_shard(*state.shard);
   } else {
     hooks_.step_down();
   }
 }
 
-void LeaderElection::check(RoleState& s, const state_store::Versioned<state_store::Role>& role,
-                           std::optional<ShardId> shard) {
-  bool mine = role.exists() && role.value.controller == ctx_.settings.controller;
-  if (s.held && (!mine || role.value.term > *s.held)) {
-    spdlog::info("{} is now held by {} under term {}", s.key, role.value.controller.value(),
-                 role.value.term.value());
-    lose_role(s, shard);
+// A shard that another controller is preferred for fails back once that controller has been alive for a
+// while.
+void LeaderElection::check_fail_back(RoleState& state, const RoleRecord& role, ShardId shard) {
+  const auto& preferred = ctx_.partitioning.preferred_controller(shard);
+  if (preferred == ctx_.settings.controller || !ctx_.view().alive(preferred)) {
+    state.preferred_alive_since.reset();
+    return;
   }
-  if (s.acquiring) return;
   auto now = ctx_.now();
-  if (s.held) {
-    // Another's home: it goes back once that controller has been well for a while.
-    bool away = shard && ctx_.partitioning.preferred_controller(*shard) != ctx_.settings.controller &&
-                ctx_.view().alive(ctx_.partitioning.preferred_controller(*shard));
-    if (!away) {
-      s.preferred_alive_since.reset();
-    } else if (!s.preferred_alive_since) {
-      s.preferred_alive_since = now;
-    } else if (now - *s.preferred_alive_since > ctx_.policy.home_delay &&
-               (hooks_.is_stable(*shard) ||
-                now - *s.preferred_alive_since > kMaxFailBackDelayFactor * ctx_.policy.home_delay)) {
-      s.preferred_alive_since.reset();
-      fail_back(s, role, *shard);
-    }
+  if (!state.preferred_alive_since) {
+    state.preferred_alive_since = now;
+    return;
+  }
+  auto alive_for = now - *state.preferred_alive_since;
+  if (alive_for <= ctx_.policy.home_delay) return;
+  if (!hooks_.is_stable(shard) && alive_for <= kMaxFailBackDelayFactor * ctx_.policy.home_delay) return;
+  state.preferred_alive_since.reset();
+  fail_back(state, role, shard);
+}
+
+void LeaderElection::check_vacancy(RoleState& state, const RoleRecord& role) {
+  if (!liveness_.liveness_written() || !ctx_.view().alive(ctx_.settings.controller)) return;
+  // Acquired by an earlier process of this controller, or failed back to it.
+  if (is_own(role)) {
+    acquire(state, role);
     return;
   }
-  if (!liveness_written_ || !ctx_.view().alive(ctx_.settings.controller)) return;
-  // Held by an earlier process of this controller, or given to it.
-  if (mine) return acquire(s, role, shard);
   if (role.exists() && ctx_.view().alive(role.value.controller)) {
-    s.vacant_since.reset();
+    state.vacant_since.reset();
     return;
   }
-  if (!s.vacant_since) s.vacant_since = now;
-  if (now - *s.vacant_since >= kCandidateDelay * static_cast<int>(rank(shard))) acquire(s, role, shard);
+  auto now = ctx_.now();
+  if (!state.vacant_since) state.vacant_since = now;
+  if (now - *state.vacant_since >= kCandidateDelay * static_cast<int>(candidate_rank(state.shard)))
+    acquire(state, role);
+}
+
+// This controller's place among those that may acquire a vacant role: a shard's preferred controller first,
+// then in a fixed order. Those that aren't alive don't count.
+std::size_t LeaderElection::candidate_rank(std::optional<ShardId> shard) const {
+  const auto& controllers = ctx_.partitioning.controllers();
+  std::size_t count = controllers.size();
+  std::size_t first = shard ? shard->value() : 0;
+  std::size_t rank = 0;
+  for (std::size_t i = 0; i < count; ++i) {
+    const auto& controller = controllers[(first + i) % count];
+    if (controller == ctx_.settings.controller) break;
+    if (ctx_.view().alive(controller)) ++rank;
+  }
+  return rank;
 }
 
-void LeaderElection::acquire(RoleState& s, const state_store::Versioned<state_store::Role>& role,
-                             std::optional<ShardId> shard) {
-  s.acquiring = true;
+void LeaderElection::acquire(RoleState& state, const RoleRecord& role) {
+  state.writing = true;
   Term term(role.value.term.value() + 1);
-  protocol::Txn t;
-  t.conditions = {{s.key, role.version}};
-  // Only an owner that is gone, or is this very controller, may be replaced.
+  protocol::Txn txn;
+  txn.conditions = {{state.key, role.version}};
+  // Only a holder that isn't alive, or is this very controller, may be replaced.
   if (role.exists() && role.value.controller != ctx_.settings.controller)
-    t.conditions.push_back({state_store::alive_key(role.value.controller), Revision()});
+    txn.conditions.push_back({state_store::alive_key(role.value.controller), Revision()});
   state_store::Role acquired{ctx_.settings.controller, term, role.value.readable_since};
-  t.writes = {{s.key, state_store::to_json(acquired), std::nullopt}};
-  ctx_.watch_cache->commit(t, state_store::Urgency::kElection,
-                           [this, &s, t, term, shard](state_store::TxnResult r) {
-                             if (r.outcome == state_store::RequestOutcome::kOk) {
-                               s.acquiring = false;
-                               s.vacant_since.reset();
-                               s.held = term;
-                               spdlog::info("holding {} under term {}", s.key, term.value());
-                               ctx_.watch_cache->apply_own(t, r.revision);
-                               if (!s.held) return;  // lost again within the call above
-                               if (shard) {
-                                 hooks_.acquire_shard(*shard, term);
-                               } else {
-                                 hooks_.become_leader(term);
-                               }
-                               return;
-                             }
-                             // Whoever won, or an own claim without an answer: read before trying again.
-                             ctx_.watch_cache->sync([&s](bool) { s.acquiring = false; });
-                           });
+  txn.writes = {{state.key, state_store::to_json(acquired), std::nullopt}};
+  auto done = [this, &state, txn, term](state_store::TxnResult result) {
+    if (result.outcome == state_store::RequestOutcome::kOk) {
+      on_acquired(state, term, txn, result.revision);
+      return;
+    }
+    // Another controller won, or this one's transaction had no answer: read before trying again.
+    ctx_.watch_cache->sync([&state](bool) { state.writing = false; });
+  };
+  ctx_.watch_cache->commit(txn, state_store::Urgency::kElection, std::move(done));
+}
+
+void LeaderElection::on_acquired(RoleState& state, Term term, const protocol::Txn& txn, Revision revision) {
+  state.writing = false;
+  state.vacant_since.reset();
+  state.acquired_term = term;
+  spdlog::info("role_acquired role={} term={}", state.key, term.value());
+  ctx_.watch_cache->apply_own(txn, revision);
+  if (!state.acquired_term) return;  // lost again within the call above
+  if (state.shard) {
+    hooks_.acquire_shard(*state.shard, term);
+  } else {
+    hooks_.become_leader(term);
+  }
 }
 
-void LeaderElection::fail_back(RoleState& s, const state_store::Versioned<state_store::Role>& role,
-                               ShardId shard) {
-  const auto& preferred_controller = ctx_.partitioning.preferred_controller(shard);
-  // A process of an earlier version there couldn't read the role, and nobody would own the shard.
-  if (ctx_.view().advertised_version(preferred_controller).value_or(0) < role.value.readable_since) return;
-  spdlog::info("{} goes home to {}", s.key, preferred_controller.value());
-  // This controller goes on as the owner until it sees that the change was applied, as any owner does that is
-  // replaced. If it stopped here and the state store did not answer, the leases of all the shard's workers
-  // would run out.
-  protocol::Txn t;
-  t.conditions = {{s.key, role.version}};
-  state_store::Role transferred{preferred_controller, Term(s.held->value() + 1), role.value.readable_since};
-  t.writes = {{s.key, state_store::to_json(transferred), std::nullopt}};
-  s.acquiring = true;
-  ctx_.store->txn(t, state_store::Urgency::kElection, [this, &s, t](state_store::TxnResult r) {
-    s.acquiring = false;
-    if (r.outcome == state_store::RequestOutcome::kOk) ctx_.watch_cache->apply_own(t, r.revision);
-  });
+void LeaderElection::fail_back(RoleState& state, const RoleRecord& role, ShardId shard) {
+  const auto& preferred = ctx_.partitioning.preferred_controller(shard);
+  // A process of an earlier version there couldn't read the role, and the shard would have no leader.
+  if (ctx_.view().advertised_version(preferred).value_or(0) < role.value.readable_since) return;
+  spdlog::info("shard_fail_back shard={} controller={}", shard.value(), preferred.value());
+  // This controller goes on as the shard leader until it sees that the change was applied, as any that is
+  // replaced does. If it stopped here and the state store did not answer, the leases of all the shard's
+  // workers would expire. (Found when the state store failed at that moment.)
+  protocol::Txn txn;
+  txn.conditions = {{state.key, role.version}};
+  state_store::Role transferred{preferred, Term(state.acquired_term->value() + 1), role.value.readable_since};
+  txn.writes = {{state.key, state_store::to_json(transferred), std::nullopt}};
+  state.writing = true;
+  auto done = [this, &state, txn](state_store::TxnResult result) {
+    state.writing = false;
+    if (result.outcome == state_store::RequestOutcome::kOk) ctx_.watch_cache->apply_own(txn, result.revision);
+  };
+  ctx_.store->txn(txn, state_store::Urgency::kElection, std::move(done));
 }
 
 }  // namespace beaconsill::controller
--- /dev/null
+++ b/src/controller/leader_notifier.cpp
@@ -0,0 +1,28 @@
+#include "controller/leader_notifier.h"
+
+#include <utility>
+
+namespace beaconsill::controller {
+namespace {
+// Everything unwritten is sent again this often, in case that a message was lost.
+constexpr Duration kFullNotificationPeriod = std::chrono::seconds(2);
+}  // namespace
+
+LeaderNotifier::LeaderNotifier(ControllerContext& ctx, Send send) : ctx_(ctx), send_(std::move(send)) {}
+
+void LeaderNotifier::run(ShardId id, LedShard& shard) {
+  if (shard.manager->superseded()) return;
+  const auto& leader = ctx_.view().leader();
+  if (!leader.exists()) return;
+  auto now = ctx_.now();
+  bool full = !shard.next_full_notification || now >= *shard.next_full_notification ||
+              shard.fully_notified != leader.value.term;
+  if (full) {
+    shard.next_full_notification = now + kFullNotificationPeriod;
+    shard.fully_notified = leader.value.term;
+  }
+  auto jobs = shard.manager->progress_report(full);
+  if (!jobs.empty()) send_({id, shard.manager->term(), std::move(jobs)});
+}
+
+}  // namespace beaconsill::controller
--- /dev/null
+++ b/src/controller/liveness_lease.cpp
@@ -0,0 +1,86 @@
+#include "controller/liveness_lease.h"
+
+#include <utility>
+
+#include "base/log.h"
+
+namespace beaconsill::controller {
+namespace {
+constexpr std::uint32_t kLeaseTtlMs = 2000;
+constexpr Duration kKeepAlivePeriod = std::chrono::milliseconds(500);
+constexpr int kHttpNotFound = 404;
+}  // namespace
+
+LivenessLease::LivenessLease(ControllerContext& ctx) : ctx_(ctx), timer_(ctx.io, [this] { run(); }) {}
+
+void LivenessLease::start() {
+  timer_.start(kKeepAlivePeriod);
+}
+
+void LivenessLease::stop() {
+  timer_.stop();
+}
+
+void LivenessLease::run() {
+  if (request_pending_) return;
+  if (lease_) {
+    renew();
+  } else {
+    grant();
+  }
+}
+
+void LivenessLease::grant() {
+  request_pending_ = true;
+  ctx_.store->grant_lease(kLeaseTtlMs, [this](const state_store::ReadResult& result) { on_granted(result); });
+}
+
+void LivenessLease::on_granted(const state_store::ReadResult& result) {
+  request_pending_ = false;
+  if (result.outcome != state_store::RequestOutcome::kOk) return;
+  try {
+    lease_ = protocol::parse_lease(result.body);
+  } catch (const protocol::ProtocolError& error) {
+    spdlog::error("lease_answer_malformed reason=\"{}\"", error.what());
+    return;
+  }
+  liveness_written_ = false;
+  write_liveness();
+}
+
+void LivenessLease::renew() {
+  request_pending_ = true;
+  ctx_.store->renew(*lease_, [this](const state_store::ReadResult& result) { on_renewed(result); });
+}
+
+void LivenessLease::on_renewed(const state_store::ReadResult& result) {
+  request_pending_ = false;
+  if (result.status == kHttpNotFound) {
+    spdlog::info("lease_expired controller={}", ctx_.settings.controller.value());
+    lease_.reset();
+    run();
+    return;
+  }
+  if (result.outcome != state_store::RequestOutcome::kOk) return;
+  // The key may have gone although the lease stands: an earlier process of this controller wrote it, its
+  // transaction was carried out late and attached the key to that process's lease, which has expired since.
+  bool key_gone = ctx_.watch_cache->ready() && !ctx_.view().alive(ctx_.settings.controller);
+  if (!liveness_written_ || key_gone) write_liveness();
+}
+
+void LivenessLease::write_liveness() {
+  if (request_pending_) return;
+  request_pending_ = true;
+  protocol::Txn txn;
+  txn.writes = {{state_store::alive_key(ctx_.settings.controller), state_store::alive_value(), lease_}};
+  auto done = [this, txn](state_store::TxnResult result) {
+    request_pending_ = false;
+    if (result.outcome == state_store::RequestOutcome::kBad) lease_.reset();  // expired meanwhile
+    if (result.outcome != state_store::RequestOutcome::kOk) return;
+    liveness_written_ = true;
+    ctx_.watch_cache->apply_own(txn, result.revision);
+  };
+  ctx_.store->txn(txn, state_store::Urgency::kElection, std::move(done));
+}
+
+}  // namespace beaconsill::controller
--- a/src/controller/pause_detector.h
+++ b/src/controller/pause_detector.h
@@ -1,25 +1,29 @@
-// Notices that the process has stood still while its clocks ran on: frozen, or starved of processor time.
+// Detects that the process was paused while its clocks ran on: frozen, or starved of processor time.
 #pragma once
 
+#include <optional>
+
 #include "base/types.h"
 
 namespace beaconsill::controller {
 
-// The duty that wakes up most often calls `observe`, and so does whoever is to act on a right. What a
-// controller knew before it stood still gives it no right afterwards: another may have taken its roles
-// meanwhile. And that it heard nobody says nothing of others.
+// A pause is a gap of more than a second between two observations. The component with the shortest timer
+// calls observe(), and so does whoever is about to act on a role: what a controller knew before a pause gives
+// it no right to act afterwards, since another controller may have taken its roles meanwhile. Nor does the
+// silence of others during a pause say anything about them.
 class PauseDetector {
  public:
   void observe(Instant now) {
-    if (observed_ != Instant{} && now - observed_ > kMaxObservationGap) over_ = now;
-    observed_ = now;
+    if (last_observed_ && now - *last_observed_ > kMaxObservationGap) last_pause_end_ = now;
+    last_observed_ = now;
   }
-  // When it stood still last, or the epoch. A right holds only by what was read later than that.
-  Instant over() const { return over_; }
+  // When the last pause was noticed; none if there was none. Only what was read later than that counts.
+  std::optional<Instant> last_pause_end() const { return last_pause_end_; }
 
  private:
   static constexpr Duration kMaxObservationGap = std::chrono::seconds(1);
-  Instant observed_{}, over_{};
+  std::optional<Instant> last_observed_;
+  std::optional<Instant> last_pause_end_;
 };
 
 }  // namespace beaconsill::controller
--- /dev/null
+++ b/src/controller/peer_message_dispatcher.h
@@ -0,0 +1,41 @@
+// Hands the messages of other controllers to the components that they are for.
+#pragma once
+
+#include "controller/controller_context.h"
+#include "controller/peer_service.h"
+#include "controller/scheduler_service.h"
+#include "controller/shard_service.h"
+#include "controller/summary_exchange.h"
+#include "protocol/peer.h"
+
+namespace beaconsill::controller {
+
+// Throws nothing; one thread.
+class PeerMessageDispatcher {
+ public:
+  PeerMessageDispatcher(ControllerContext& ctx, PeerService& peers, ShardService& shards,
+                        SchedulerService& scheduler, SummaryExchange& summaries)
+      : ctx_(ctx), peers_(peers), shards_(shards), scheduler_(scheduler), summaries_(summaries) {}
+  void dispatch(const protocol::PeerMessage& message);
+
+ private:
+  // One for each alternative of protocol::PeerPayload.
+  void handle(const ControllerName& from, const protocol::Heartbeat& heartbeat);
+  void handle(const ControllerName& from, const protocol::ChangeNotification& notification);
+  void handle(const ControllerName& from, const protocol::EstimateRequest& request);
+  void handle(const ControllerName& from, const protocol::EstimateResponse& response);
+  void handle(const ControllerName& from, const protocol::Summary& page);
+  void handle(const ControllerName& from, const protocol::ReleaseMachines& release);
+  void handle(const ControllerName& from, const protocol::TerminatedMachines& terminated);
+  void handle(const ControllerName& from, const protocol::RelayedHeartbeat& relayed);
+  void handle(const ControllerName& from, const protocol::RelayedReply& relayed);
+  void handle(const ControllerName& from, const protocol::ProgressReport& report);
+
+  ControllerContext& ctx_;
+  PeerService& peers_;
+  ShardService& shards_;
+  SchedulerService& scheduler_;
+  SummaryExchange& summaries_;
+};
+
+}  // namespace beaconsill::controller
--- /dev/null
+++ b/src/controller/progress_writer.cpp
@@ -0,0 +1,89 @@
+#include "controller/progress_writer.h"
+
+#include <algorithm>
+#include <cstdint>
+#include <utility>
+
+#include "state_store/sizes.h"
+
+namespace beaconsill::controller {
+namespace {
+// How long progress may stay unwritten. Without a reachable leader it is written soon, since nobody else
+// knows it.
+constexpr Duration kBatchDelay = std::chrono::milliseconds(1000);
+constexpr Duration kNotifiedBatchDelay = std::chrono::seconds(20);
+// Released tasks that aren't granted anew soon: until it's recorded they count against their team's quota.
+constexpr Duration kReleasedBatchDelay = std::chrono::seconds(2);
+constexpr Duration kCheckPeriod = std::chrono::milliseconds(500);
+// Jobs in one transaction: it must not delay changes that somebody waits for.
+constexpr std::size_t kMaxJobsPerTxn = 6;
+
+Duration batch_delay(bool leader_notified, const state_store::Progress& progress) {
+  if (!leader_notified) return kBatchDelay;
+  return progress.released.empty() ? kNotifiedBatchDelay : kReleasedBatchDelay;
+}
+}  // namespace
+
+bool ProgressWriter::leader_reachable() const {
+  const auto& leader = ctx_.view().leader();
+  return leader.exists() && peers_.reachable(leader.value.controller);
+}
+
+void ProgressWriter::write(ShardId id, LedShard& shard) {
+  if (shard.writing_progress) return;
+  auto now = ctx_.now();
+  if (shard.next_progress_check && now < *shard.next_progress_check) return;
+  shard.next_progress_check = now + kCheckPeriod;
+  auto unwritten = shard.manager->unwritten_progress();
+  std::erase_if(shard.unwritten_since, [&](const auto& entry) { return !unwritten.contains(entry.first); });
+  if (unwritten.empty()) return;
+  const auto& role = ctx_.view().shard_role(id);
+  if (!role.exists() || role.value.term != shard.manager->term()) return;
+  bool leader_notified = leader_reachable();
+  auto max_jobs = std::min<std::size_t>({ctx_.store->sizes().txn_ops(), kMaxJobsPerTxn,
+                                         leader_notified ? ctx_.store->spare_writes() : SIZE_MAX});
+  if (max_jobs == 0) return;
+  state_store::TxnDraft draft(max_jobs);
+  draft.require({state_store::shard_role_key(id), role.version});
+  for (const auto& [job, progress] : unwritten) {
+    auto since = shard.unwritten_since.try_emplace(job, now).first->second;
+    if (now - since < batch_delay(leader_notified, progress)) continue;
+    if (!add_progress(id, job, progress, draft)) break;
+  }
+  if (!draft.empty()) commit(id, shard, draft.txn());
+}
+
+bool ProgressWriter::add_progress(ShardId id, const JobId& job, const state_store::Progress& progress,
+                                  state_store::TxnDraft& draft) const {
+  const auto* record = ctx_.view().job(job);
+  if (!record) return true;
+  auto max_bytes = ctx_.store->sizes().value_bytes();
+  auto found = record->progress.find(id);
+  auto recorded =
+      found == record->progress.end() ? state_store::Versioned<state_store::Progress>{} : found->second;
+  auto value = state_store::fit_progress(recorded.value, progress, max_bytes);
+  auto json = state_store::to_json(value);
+  // Written under a higher limit: it gets shorter as the rest of the tasks end.
+  if (value == recorded.value || state_store::value_bytes(json) > max_bytes) return true;
+  auto key = state_store::progress_key(id, job);
+  return draft.add({{key, recorded.version}}, {{key, std::move(json), std::nullopt}});
+}
+
+void ProgressWriter::commit(ShardId id, LedShard& shard, const protocol::Txn& txn) {
+  shard.writing_progress = true;
+  auto finish = [this, id, term = shard.manager->term()] {
+    if (auto* led = shards_.find(id, term)) led->writing_progress = false;
+  };
+  auto done = [this, finish, txn](state_store::TxnResult result) {
+    if (result.outcome == state_store::RequestOutcome::kOk) {
+      finish();
+      ctx_.watch_cache->apply_own(txn, result.revision);
+      peers_.broadcast(protocol::ChangeNotification{result.revision});
+      return;
+    }
+    ctx_.watch_cache->sync([finish](bool) { finish(); });
+  };
+  ctx_.watch_cache->commit(txn, state_store::Urgency::kBackground, std::move(done));
+}
+
+}  // namespace beaconsill::controller
--- /dev/null
+++ b/src/controller/progress_writer.h
@@ -0,0 +1,35 @@
+// Writes the progress of the led shards' tasks to the state store.
+#pragma once
+
+#include <map>
+
+#include "controller/controller_context.h"
+#include "controller/led_shards.h"
+#include "controller/peer_service.h"
+#include "state_store/txn_draft.h"
+
+namespace beaconsill::controller {
+
+// Part of the ShardService, which calls write() on its timer. Progress is written in batches: only the next
+// leader of the shard needs it, and most jobs are over before. What fails is repeated. Throws nothing; one
+// thread.
+class ProgressWriter {
+ public:
+  ProgressWriter(ControllerContext& ctx, PeerService& peers, LedShards& shards)
+      : ctx_(ctx), peers_(peers), shards_(shards) {}
+
+  void write(ShardId id, LedShard& shard);
+
+ private:
+  void commit(ShardId id, LedShard& shard, const protocol::Txn& txn);
+  bool leader_reachable() const;
+  // Adds the progress of one job. False: no more fits into the transaction.
+  bool add_progress(ShardId id, const JobId& job, const state_store::Progress& progress,
+                    state_store::TxnDraft& draft) const;
+
+  ControllerContext& ctx_;
+  PeerService& peers_;
+  LedShards& shards_;
+};
+
+}  // namespace beaconsill::controller
--- /dev/null
+++ b/src/controller/rate_limit_apportioner.cpp
@@ -0,0 +1,44 @@
+#include "controller/rate_limit_apportioner.h"
+
+#include <algorithm>
+
+namespace beaconsill::controller {
+namespace {
+constexpr Duration kPeriod = std::chrono::milliseconds(500);
+}  // namespace
+
+RateLimitApportioner::RateLimitApportioner(ControllerContext& ctx, const SchedulerService& scheduler)
+    : ctx_(ctx), scheduler_(scheduler), timer_(ctx.io, [this] { update(); }) {}
+
+void RateLimitApportioner::start() {
+  timer_.start(kPeriod);
+}
+
+void RateLimitApportioner::stop() {
+  timer_.stop();
+}
+
+LiveControllers RateLimitApportioner::live_controllers() const {
+  const auto& controllers = ctx_.partitioning.controllers();
+  // A view that isn't complete shows fewer controllers than there are.
+  if (!ctx_.watch_cache->ready()) return {controllers.size(), false, true};
+  auto alive = [this](const ControllerName& name) {
+    return name == ctx_.settings.controller || ctx_.view().alive(name);
+  };
+  LiveControllers live;
+  live.alive = static_cast<std::size_t>(std::count_if(controllers.begin(), controllers.end(), alive));
+  live.is_leader = scheduler_.is_leader();
+  const auto& leader = ctx_.view().leader();
+  live.has_leader = leader.exists() && ctx_.view().alive(leader.value.controller);
+  return live;
+}
+
+void RateLimitApportioner::update() {
+  auto live = live_controllers();
+  auto leader_share_of_requests = std::max(kLeaderShareOfRequests, 1 / static_cast<double>(live.alive));
+  ctx_.store->set_shares(rate_limit_share(live, leader_share_of_requests),
+                         rate_limit_share(live, kLeaderShareOfChanges));
+  ctx_.cloud->set_rate(ctx_.settings.cloud_rps * rate_limit_share(live, kLeaderShareOfCloud));
+}
+
+}  // namespace beaconsill::controller
--- /dev/null
+++ b/src/controller/registry_sync.cpp
@@ -0,0 +1,59 @@
+#include "controller/registry_sync.h"
+
+#include <utility>
+
+#include "state_store/machine_registry.h"
+
+namespace beaconsill::controller {
+
+RegistrySync::RegistrySync(ControllerContext& ctx, LedShards& shards, std::function<void()> on_read)
+    : ctx_(ctx), shards_(shards), on_read_(std::move(on_read)) {}
+
+// What the previous shard leader wrote last may not be in the view yet: until everything was read that was
+// written before this term, nobody knows which machines to wait for, and the shard must not count as
+// reconciled.
+void RegistrySync::read(ShardId id, LedShard& shard) {
+  if (shard.registry_read || shard.reading_registry) return;
+  shard.reading_registry = true;
+  ctx_.watch_cache->sync([this, id, term = shard.manager->term()](bool read) {
+    auto* led = stopped_ ? nullptr : shards_.find(id, term);
+    if (!led) return;
+    led->reading_registry = false;
+    if (!read) return;
+    led->registry_read = true;
+    on_view(id, *led);
+    on_read_();
+  });
+}
+
+void RegistrySync::on_view(ShardId id, LedShard& shard) const {
+  if (!shard.registry_read) return;
+  shard.manager->on_registry(state_store::registered_machines(ctx_.view(), id), ctx_.now());
+}
+
+void RegistrySync::write(ShardId id, LedShard& shard) {
+  if (shard.writing_registry) return;
+  const auto& role = ctx_.view().shard_role(id);
+  auto term = shard.manager->term();
+  if (!shard.registry_read || !role.exists() || role.value.term != term) return;
+  const auto& sizes = ctx_.store->sizes();
+  auto txn =
+      state_store::registry_txn(ctx_.view(), id, shard.manager->unregistered_machines(),
+                                ctx_.partitioning.controllers(), {sizes.txn_ops(), sizes.value_bytes()});
+  if (!txn) return;
+  shard.writing_registry = true;
+  auto finish = [this, id, term] {
+    if (auto* led = shards_.find(id, term)) led->writing_registry = false;
+  };
+  auto done = [this, finish, txn = *txn](state_store::TxnResult result) {
+    if (result.outcome == state_store::RequestOutcome::kOk) {
+      finish();
+      ctx_.watch_cache->apply_own(txn, result.revision);
+      return;
+    }
+    ctx_.watch_cache->sync([finish](bool) { finish(); });
+  };
+  ctx_.watch_cache->commit(*txn, state_store::Urgency::kElection, std::move(done));
+}
+
+}  // namespace beaconsill::controller
--- /dev/null
+++ b/src/controller/round_driver.cpp
@@ -0,0 +1,38 @@
+#include "controller/round_driver.h"
+
+#include <algorithm>
+#include <set>
+#include <utility>
+
+namespace beaconsill::controller {
+
+void RoundDriver::run() {
+  auto leader = leadership_.still_leader();
+  if (!leader) return;
+  begin_round();
+  auto& scheduler = leadership_.scheduler();
+  // Services go at once, arrays as the budget of writes allows: the next service would wait for the writes
+  // that arrays use up now.
+  bool services = scheduler.has_services();
+  auto max_jobs =
+      services ? leadership_.max_changes_per_txn() : std::max<std::size_t>(1, ctx_.store->spare_writes());
+  auto grants = scheduler.decide(ctx_.now(), leadership_.shard_terms(), max_jobs);
+  if (!grants) return;
+  grant_writer_.write(std::move(*grants), *leader,
+                      services ? state_store::Urgency::kUserRequest : state_store::Urgency::kBackground);
+}
+
+// Requests estimates from the leaders of all reachable shards, unless a round is under way.
+void RoundDriver::begin_round() {
+  std::set<ShardId> reachable;
+  for (const auto& [shard, term] : leadership_.shard_terms())
+    if (peers_.reachable(ctx_.view().shard_role(shard).value.controller)) reachable.insert(shard);
+  auto request = leadership_.scheduler().begin_round(ctx_.now(), ctx_.clock.wall(), reachable);
+  if (!request) return;
+  peers_.broadcast(*request);
+  shards_.on_estimate_request(*request, [this](const protocol::EstimateResponse& response) {
+    leadership_.scheduler().on_estimate_response(response, ctx_.now());
+  });
+}
+
+}  // namespace beaconsill::controller
--- a/src/controller/scheduler_service.h
+++ b/src/controller/scheduler_service.h
@@ -1,91 +1,61 @@
-// The leader's duty: carries out the commands of the leader's state machine.
+// What the leader does: feeds the scheduler's state machine with what happens, and carries out what it
+// decides.
 #pragma once
 
-#include <memory>
+#include <map>
 #include <set>
 
+#include "controller/autoscaler_service.h"
 #include "controller/controller_context.h"
+#include "controller/garbage_collector.h"
+#include "controller/grant_writer.h"
+#include "controller/leadership.h"
 #include "controller/peer_service.h"
+#include "controller/round_driver.h"
 #include "controller/shard_service.h"
-#include "scheduler/autoscaler.h"
-#include "scheduler/scheduler.h"
-#include "state_store/txn_draft.h"
+#include "controller/terminal_record_writer.h"
+#include "controller/timers.h"
+#include "controller/version_recorder.h"
 
 namespace beaconsill::controller {
 
-// Owns the state machines of the leader (lead::Lead, lead::Capacity) while this controller leads, and the
-// timers that drive them; the context, the peers and the workers' duty belong to the controller. Requests
-// that fail are logged and repeated at the next tick; nothing is thrown.
+// Owns the leader's components; the context, the PeerService and the ShardService belong to the Controller.
+// While another controller leads, events only update the shards' summaries. Requests that fail are logged and
+// repeated at the next tick; nothing is thrown. One thread.
 class SchedulerService {
  public:
-  SchedulerService(ControllerContext& ctx, PeerService& peers, ShardService& workers);
+  SchedulerService(ControllerContext& ctx, PeerService& peers, ShardService& shards);
   void start();
   void stop();
 
   // This controller has become the leader under `term`, or is no longer.
   void become_leader(Term term);
   void step_down();
-  bool is_leader() const { return scheduler_ != nullptr; }
+  bool is_leader() const { return leadership_.is_leader(); }
 
-  void on_view(const state_store::StateView::ChangeSet& t);
-  void on_estimate_response(const protocol::EstimateResponse& a);
-  void on_progress_report(const protocol::ProgressReport& o);
-  void on_summary(const protocol::Summary& s);
+  void on_view(const state_store::StateView::ChangeSet& changes);
+  void on_estimate_response(const protocol::EstimateResponse& response);
+  void on_progress_report(const protocol::ProgressReport& report);
+  void on_summary(const protocol::Summary& summary);
   void on_catalogue();
-  // Runs a round as soon as the event loop is free.
-  void schedule_run();
 
  private:
-  // The ledger is whole only once everything was read that earlier leaders wrote.
-  void read_ledger();
+  void schedule_run();
+  void run();
   void refresh_jobs(const std::set<JobId>& jobs);
-  void publish(const JobId& id);
-  void pump();
-  void run_rounds();
-  void begin_round();
-  void drop_oversized(std::vector<scheduler::Scheduler::Grant>& grants) const;
-  void fit_transaction(std::vector<scheduler::Scheduler::Grant>& grants) const;
-  protocol::Txn grants_txn(const std::vector<scheduler::Scheduler::Grant>& grants,
-                           const protocol::Condition& leader) const;
-  void write_grants(const std::vector<scheduler::Scheduler::Grant>& grants, const protocol::Condition& leader,
-                    state_store::Urgency urgency);
-  void write_terminal_records();
-  // Jobs cancelled through others get an end of their own, so that their records can be dropped in time.
-  void write_cancelled_dependents();
-  // Records which controllers have shown that they know this version's records.
-  void write_versions();
-  void write_terminal_records(const std::vector<JobId>& ids, state_store::TerminalState end,
-                              state_store::Urgency urgency);
-  void collect_garbage();
-  bool delete_job_keys(const JobId& id, state_store::TxnDraft& draft);
-  bool delete_dependency_keys(const JobId& id, const state_store::StateView::DependencyKeys& keys,
-                              state_store::TxnDraft& draft);
-  void rent();
-  void autoscale();
-  void list_machines();
-  std::map<ShardId, Term> terms() const;
-  // Jobs that one transaction can be about.
-  std::size_t max_changes_per_txn() const;
-  // The leader's transactions hold only while it's the leader.
-  std::optional<protocol::Condition> still_leader() const;
+  void refresh_job(const JobId& id);
 
   ControllerContext& ctx_;
-  PeerService& peers_;
-  ShardService& workers_;
-  PeriodicTimer tick_, autoscale_tick_, list_tick_, garbage_tick_;
-  OneShotTimer soon_;
-  Term term_;
-  std::unique_ptr<scheduler::Scheduler> scheduler_;
-  std::unique_ptr<scheduler::Autoscaler> autoscaler_;
-  std::set<JobId> completing_, collecting_;
-  Instant terminal_retry_at_{};
-  Instant list_next_{};  // when the machines may be listed again
-  bool listing_ = false;
-  std::map<ShardId, protocol::Summary> summaries_;  // also while another leads
-  bool writing_versions_ = false;
-  bool ledger_read_ = false;
-  bool reading_ = false;
-  bool stopped_ = false;
+  Leadership leadership_;
+  GrantWriter grant_writer_;
+  RoundDriver rounds_;
+  TerminalRecordWriter terminal_records_;
+  VersionRecorder versions_;
+  AutoscalerService autoscaler_;
+  GarbageCollector garbage_collector_;
+  PeriodicTimer run_timer_;
+  OneShotTimer early_run_timer_;
+  std::map<ShardId, protocol::Summary> summaries_;  // also while another controller leads
 };
 
 }  // namespace beaconsill::controller
--- a/src/controller/shard_service.h
+++ b/src/controller/shard_service.h
@@ -1,105 +1,78 @@
-// The owner's duty: answers the workers of this controller's shards and carries out what their state machines
-// wish.
+// What a shard leader does: answers the workers of its shards and carries out what the shards' state machines
+// decide.
 #pragma once
 
-#include <map>
-#include <memory>
+#include <functional>
+#include <optional>
+#include <vector>
 
+#include "controller/command_sender.h"
 #include "controller/controller_context.h"
+#include "controller/heartbeat_endpoint.h"
+#include "controller/leader_notifier.h"
+#include "controller/led_shards.h"
 #include "controller/peer_service.h"
-#include "net/http_server.h"
-#include "shard/shard_manager.h"
+#include "controller/progress_writer.h"
+#include "controller/registry_sync.h"
+#include "controller/timers.h"
 
 namespace beaconsill::controller {
 
+// Owns the shards that this controller leads and the components that work for them; the context and the
+// PeerService belong to the Controller. Requests that fail are logged and repeated; nothing is thrown. One
+// thread.
 class ShardService {
  public:
-  // `tell`: hands the leader what became of granted tasks.
-  ShardService(ControllerContext& ctx, PeerService& peers,
-               std::function<void(protocol::ProgressReport)> notify_leader);
+  // `notify_leader` delivers to the leader what became of granted tasks, or loses it.
+  ShardService(ControllerContext& ctx, PeerService& peers, LeaderNotifier::Send notify_leader);
   void start();
   void stop();
 
-  void acquire_shard(ShardId shard, Term term);
-  void release_shard(ShardId shard);
-  // Peers told of owners: those of a higher term end this controller's acting, also when the state store
-  // can't.
+  // This controller leads the shard under `term`, or no longer.
+  void acquire_shard(ShardId id, Term term);
+  void release_shard(ShardId id);
+  // The terms under which a peer leads shards: a higher one ends this controller's term, also when the state
+  // store can't be read.
   void on_terms(const std::vector<protocol::ShardTerm>& terms);
-  std::vector<protocol::ShardTerm> owned() const;
-  bool is_stable(ShardId shard) const;
-  bool owns(ShardId shard) const { return shards_.contains(shard); }
+  // The shards led, without those of which a higher term is known.
+  std::vector<protocol::ShardTerm> led_terms() const;
+  bool leads(ShardId id) const { return shards_.contains(id); }
+  // No machine of the shard is suspected or lost at present.
+  bool is_stable(ShardId id) const;
 
-  void on_worker_heartbeat(const net::Request& r, const net::HttpServer::Reply& reply);
-  // Reports that workers brought to another controller, and what became of those brought here.
-  void on_relayed_heartbeat(const ControllerName& from, const protocol::RelayedHeartbeat& r);
-  void on_relayed_reply(const protocol::RelayedReply& r);
-  void on_view(const state_store::StateView::ChangeSet& t);
+  // Workers' heartbeats and their relays.
+  HeartbeatEndpoint& heartbeats() { return heartbeats_; }
+  void on_view(const state_store::StateView::ChangeSet& changes);
   void on_catalogue();
-  void on_estimate_request(const protocol::EstimateRequest& a,
-                           const std::function<void(protocol::EstimateResponse)>& answer);
-  void on_machines_terminated(const std::vector<MachineName>& names);
-  void on_release(const std::vector<MachineName>& names);
-  // Carries out whatever is to be done, within a few milliseconds.
-  void schedule_run();
+  // Calls `respond` for each led shard, within this call.
+  void on_estimate_request(const protocol::EstimateRequest& request,
+                           const std::function<void(protocol::EstimateResponse)>& respond);
+  // The cloud has deleted these machines.
+  void on_machines_terminated(const std::vector<MachineName>& machines);
+  // The leader has no use for these machines.
+  void on_release(const std::vector<MachineName>& machines);
   std::vector<protocol::Summary> summaries() const;
+  // Tasks of the job that run on machines of led shards.
   std::uint32_t running(const JobId& id) const;
 
  private:
-  struct Owned {
-    std::unique_ptr<shard::ShardManager> shard;
-    bool writing = false;
-    bool registering = false;
-    bool read = false;  // the state store was read after the term was written
-    bool reading = false;
-    Instant write_next{};  // when progress is looked through again for what is to be written
-    Instant next_full_notification{};
-    Term told;                                    // of the leader that was told everything
-    std::map<JobId, Instant> unwritten_progress;  // since when
-  };
-  struct Channel {
-    std::string address;
-    std::shared_ptr<net::HttpClient> client;
-    std::size_t under_way = 0;
-    Instant used{};
-  };
-  // The connection to a machine; makes room for it among those to others.
-  Channel& channel(const MachineName& m, const std::string& address, const net::Tcp::endpoint& at);
-  void tick();
-  void pump();
-  void send(ShardId shard, shard::ShardManager::Batch b);
-  void notify_leader(ShardId shard, Owned& o);
-  void write_progress(ShardId shard, Owned& o);
-  void write_registry(ShardId shard, Owned& o);
-  void remove_machines(ShardId shard, Owned& o);
-  void read_registry(ShardId shard, Owned& o);
-  void load_registry(ShardId shard, shard::ShardManager& p);
-  // All cancellations that users were told of before this time are known here.
-  Instant cancellations_known_until() const;
-  std::optional<ControllerName> owner_of(ShardId shard) const;
-  void redirect(ShardId shard, const net::HttpServer::Reply& reply) const;
-  // The owner's answer to a report, relayed or not.
-  net::Response answer(Owned& o, ShardId id, const protocol::WorkerHeartbeat& r);
-  void relay(ShardId shard, const std::string& heartbeat, const net::HttpServer::Reply& reply);
-  // The shard if it's still owned under this term.
-  Owned* find(ShardId shard, Term term);
+  void schedule_run();
+  void run();
+  void run_periodic();
+  void check_process_pause();
+  void delete_machines(ShardId id, LedShard& shard);
 
   ControllerContext& ctx_;
   PeerService& peers_;
-  std::function<void(protocol::ProgressReport)> notify_leader_;
-  PeriodicTimer tick_;
-  OneShotTimer soon_;
-  std::map<ShardId, Owned> shards_;
-  std::map<MachineName, Channel> channels_;
-  std::size_t max_channels_;
-  std::size_t max_relayed_;  // each holds the connection that it came by
-  Instant last_pause_{};     // the last stand-still that the shards know of
-  struct Pending {
-    net::HttpServer::Reply reply;
-    ShardId shard;
-    Instant until;
-  };
-  std::map<std::uint64_t, Pending> pending_relays_;  // to their owners, not yet answered
-  std::uint64_t next_relay_ = 1;
+  LedShards shards_;
+  RegistrySync registry_;
+  ProgressWriter progress_;
+  LeaderNotifier leader_notifier_;
+  CommandSender commands_;
+  HeartbeatEndpoint heartbeats_;
+  PeriodicTimer run_timer_;
+  OneShotTimer early_run_timer_;
+  std::optional<Instant> last_pause_;  // the last one that the shards were notified of
   bool stopped_ = false;
 };
 
--- a/src/controller/socket_limits.h
+++ b/src/controller/socket_limits.h
@@ -1,4 +1,4 @@
-// How a controller's sockets are shared out, so that no one use of them can take what another needs.
+// How a controller's sockets are divided, so that no one use of them can take what another needs.
 #pragma once
 
 #include <algorithm>
@@ -8,21 +8,22 @@
 
 namespace beaconsill::controller {
 
+// Numbers of sockets.
 struct SocketLimits {
-  std::size_t own = 0;       // state store, cloud, peers
+  std::size_t own = 0;       // to state store, cloud and peers
   std::size_t commands = 0;  // open connections to workers; beyond that the longest idle is closed
-  std::size_t served = 0;    // connections of workers, users and health checks
-  std::size_t users = 0;     // of these, users' at most: workers keep as many when users flood
+  std::size_t served = 0;    // connections from workers, users and health checks
+  std::size_t users = 0;     // of `served`, at most for users: workers keep as many when users flood
 };
 
-inline SocketLimits plan_socket_limits(const config::Settings& s) {
-  SocketLimits p;
-  std::size_t all = s.max_connections;
-  p.own = std::min(std::size_t{40} + 8 * s.peers.size(), all / 2);
-  p.commands = (all - p.own) / 3;
-  p.served = all - p.own - p.commands;
-  p.users = p.served / 2;
-  return p;
+inline SocketLimits plan_socket_limits(const config::Settings& settings) {
+  SocketLimits limits;
+  std::size_t all = settings.max_connections;
+  limits.own = std::min(std::size_t{40} + 8 * settings.peers.size(), all / 2);
+  limits.commands = (all - limits.own) / 3;
+  limits.served = all - limits.own - limits.commands;
+  limits.users = limits.served / 2;
+  return limits;
 }
 
 }  // namespace beaconsill::controller
--- /dev/null
+++ b/src/controller/summary_exchange.cpp
@@ -0,0 +1,44 @@
+#include "controller/summary_exchange.h"
+
+#include <utility>
+
+namespace beaconsill::controller {
+
+SummaryExchange::SummaryExchange(ControllerContext& ctx, PeerService& peers, ShardService& shards,
+                                 SchedulerService& scheduler)
+    : ctx_(ctx), peers_(peers), shards_(shards), scheduler_(scheduler), timer_(ctx.io, [this] { send(); }) {}
+
+void SummaryExchange::start() {
+  timer_.start(ctx_.policy.summary_period);
+}
+
+void SummaryExchange::stop() {
+  timer_.stop();
+}
+
+void SummaryExchange::send() {
+  for (auto& summary : shards_.summaries()) {
+    scheduler_.on_summary(summary);
+    for (auto& page : protocol::paged(std::move(summary))) peers_.broadcast(std::move(page));
+  }
+}
+
+void SummaryExchange::on_page(const ControllerName& from, const protocol::Summary& page) {
+  auto summary = assemblers_[from].add(page);
+  if (!summary) return;
+  auto& counts = running_elsewhere_[summary->shard];
+  counts.clear();
+  for (const auto& count : summary->running) counts[count.job] = count.running;
+  scheduler_.on_summary(*summary);
+}
+
+std::uint32_t SummaryExchange::running(const JobId& id) const {
+  std::uint32_t running = shards_.running(id);
+  for (const auto& [shard, counts] : running_elsewhere_) {
+    if (shards_.leads(shard)) continue;
+    if (auto it = counts.find(id); it != counts.end()) running += it->second;
+  }
+  return running;
+}
+
+}  // namespace beaconsill::controller
--- /dev/null
+++ b/tests/controller_fixture.h
@@ -0,0 +1,109 @@
+// Fixtures for tests that run real controllers on loopback against this repository's fakes.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "base/log.h"
+#include "config/settings.h"
+#include "net/http_client.h"
+#include "standins.h"
+
+namespace beaconsill {
+
+// Settings of controller `n<number>`, which reaches the state store by its own endpoint of the fake.
+// Addresses to listen on, peers, zones and teams are left to the caller.
+inline config::Settings controller_settings(const standin::State& state, const standin::Cloud& cloud,
+                                            std::size_t number) {
+  config::Settings settings;
+  settings.controller = ControllerName("n" + std::to_string(number));
+  settings.cloud = standin::text(cloud.server->local());
+  settings.state = standin::text(state.doors[number]->local());
+  settings.report_s = 0.2;
+  settings.lease_s = 5;
+  settings.cancel_s = 20;
+  settings.state_rps = 1000;
+  settings.state_write_rps = 500;
+  settings.value_kb = 8;
+  settings.txn_ops = 16;
+  settings.cloud_rps = 50;
+  settings.list_lag_s = 1;
+  settings.cpu_share = 1;
+  settings.memory_mb = 64;
+  settings.max_connections = 200;
+  return settings;
+}
+
+// A submission as users send it. `kind`: batch or daemon.
+inline std::string job_json(const std::string& id, const char* kind, int tasks, const char* priority) {
+  return standin::Json{{"ref", id},
+                       {"berth", "c"},
+                       {"crew", "blue"},
+                       {"shape", kind},
+                       {"precedence", priority},
+                       {"lamps", tasks},
+                       {"vcpus", 1.0},
+                       {"cards", 0.0},
+                       {"memoryGb", 1.0},
+                       {"cargo", "img"},
+                       {"sizeGb", 0.5},
+                       {"together", false},
+                       {"scatter", false},
+                       {"driftwood", false},
+                       {"reckonS", 1.0},
+                       {"markS", 0.0},
+                       {"stowS", 0.0}}
+      .dump();
+}
+
+struct HttpAnswer {
+  int status = 0;  // 0: there was none
+  std::optional<int> retry_after_s;
+  standin::Json body;
+};
+
+// An event loop with the fakes of state store and cloud. What derives from it stops its own components in its
+// destructor, and calls io.poll(): handlers that are queued aren't cancelled any more, and have to run while
+// what they use is still there.
+struct EventLoopFixture {
+  EventLoopFixture() : state(io), cloud(io) { spdlog::set_level(spdlog::level::err); }
+  ~EventLoopFixture() {
+    for (auto& door : state.doors) door->stop();
+    cloud.server->stop();
+    io.poll();
+  }
+  // Whether `done` has come true within the limit.
+  bool run_until(const std::function<bool()>& done, std::chrono::seconds limit = std::chrono::seconds(30)) {
+    auto end = std::chrono::steady_clock::now() + limit;
+    while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(20));
+    return done();
+  }
+  void run_for(std::chrono::milliseconds duration) {
+    auto end = std::chrono::steady_clock::now() + duration;
+    while (std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(20));
+  }
+  HttpAnswer request(const net::Tcp::endpoint& to, const char* method, const std::string& path,
+                     const std::string& body = "") {
+    auto client = std::make_shared<net::HttpClient>(io, to, 1);
+    std::optional<HttpAnswer> answer;
+    client->request(method, path, body, std::chrono::seconds(5), [&](net::Result result) {
+      answer = {result.status, result.retry_after_s, standin::Json::parse(result.body, nullptr, false)};
+    });
+    EXPECT_TRUE(run_until([&] { return answer.has_value(); })) << path;
+    client->stop();
+    return answer.value_or(HttpAnswer{});
+  }
+
+  asio::io_context io;
+  SystemClock clock;
+  standin::State state;
+  standin::Cloud cloud;
+};
+
+}  // namespace beaconsill
