--- a/src/protocol/peer.h
+++ b/src/protocol/peer.h
@@ -11,6 +11,7 @@
 
 #include "base/ranges.h"
 #include "base/types.h"
+#include "protocol/task_records.h"
 
 namespace beaconsill::protocol {
 
@@ -18,13 +19,6 @@
   ShardId shard;
   Term term;
 };
-// A job's end as the state store records it. Ordered by revision.
-struct CancelledJob {
-  Revision revision;
-  JobId job;
-  std::uint32_t done = 0;  // tasks that had completed, for display
-  auto operator<=>(const CancelledJob&) const = default;
-};
 // What the receiver of a heartbeat may conclude about cancellations that its sender discloses to users; the
 // fields are explained in peer.capnp.
 struct CancellationSync {
@@ -116,12 +110,6 @@
   std::string body;
 };
 
-// Tasks of one grant that a shard has given back.
-struct ReleasedTasks {
-  Generation generation;
-  Ranges tasks;
-  bool operator==(const ReleasedTasks&) const = default;
-};
 // What an owner has found out about a job of which tasks failed.
 enum class JobHealth {
   kNone,   // nothing new
--- a/src/protocol/state_store.h
+++ b/src/protocol/state_store.h
@@ -55,8 +55,12 @@
 std::string render_lease(std::uint32_t ttl_ms);
 std::string page_target(std::string_view prefix, std::string_view after, std::uint32_t limit);
 std::string watch_target(std::string_view prefix, Revision after, std::uint32_t wait_ms);
+// Where leases are granted, and one lease.
+inline std::string leases_target() {
+  return "/holds";
+}
 inline std::string lease_target(LeaseId id) {
-  return "/holds/" + std::to_string(id.value());
+  return leases_target() + "/" + std::to_string(id.value());
 }
 
 }  // namespace beaconsill::protocol
--- a/src/state_store/access.h
+++ b/src/state_store/access.h
@@ -1,6 +1,8 @@
-// What the users' endpoints need of the state store, as interfaces: they run in tests without sockets.
+// What the users' endpoints need of the state store, as interfaces: they run in tests without sockets. All
+// calls and callbacks are made on one thread.
 #pragma once
 
+#include <cstddef>
 #include <functional>
 
 #include "protocol/state_store.h"
@@ -8,32 +10,33 @@
 
 namespace beaconsill::state_store {
 
+// The most urgent first.
 enum class Urgency { kElection, kUserRequest, kBackground, kGarbageCollection };
 constexpr std::size_t kUrgencies = 4;
 
-// How long a request waits for its share of the limits before it's given up.
+// How long a request waits for its share of the rate limits before it's refused.
 constexpr Duration kQueueWait = std::chrono::milliseconds(2500);
 
 enum class RequestOutcome {
   kOk,
   kConflict,  // 409: nothing was changed
-  kRefused,   // not executed: an outage, a limit, or no time to send it
-  kUnknown,   // no answer: it may have been executed, or may still be
-  kBad,       // 400, 404, 410 or an answer that makes no sense
+  kRefused,   // not executed: an outage, a limit, or not sent in time
+  kUnknown,   // no response: it may have been executed, or may still be
+  kBad,       // 400, 404, 410 or a response that isn't understood
 };
 
 struct TxnResult {
   RequestOutcome outcome = RequestOutcome::kRefused;
-  Revision revision;
+  Revision revision;  // of the changes, if the outcome is kOk
 };
 
 // Carries out transactions.
 class TxnExecutor {
  public:
   virtual ~TxnExecutor() = default;
-  virtual void txn(protocol::Txn t, Urgency u, std::function<void(TxnResult)> done) = 0;
-  // How long a change of this urgency would wait now: what overload is judged by.
-  virtual Duration write_wait(Urgency u) const = 0;
+  virtual void txn(protocol::Txn txn, Urgency urgency, std::function<void(TxnResult)> done) = 0;
+  // How long a change of this urgency would wait now: the measure of overload.
+  virtual Duration write_wait(Urgency urgency) const = 0;
 };
 
 // A view of the state store's content that can be brought up to date.
@@ -47,16 +50,15 @@
   virtual bool ready() const = 0;
   // Calls back once the view holds all that was written before this call; false: could not be read.
   virtual void sync(std::function<void(bool)> done) = 0;
-  // False while a question could not be answered soon: the service refuses this controller, or holds a read
-  // back.
+  // False while a read could not be answered soon: the service refuses this controller, or holds a read back.
   virtual bool is_responsive() const = 0;
-  // Sends a transaction, or refuses it if that takes longer than `queue_wait`. If its answer is late, reads
+  // Sends a transaction, or refuses it if that takes longer than `queue_wait`. If its response is late, reads
   // tell whether it was applied; `done` is called with the first that is known. Without either it may still
-  // be applied later (Outcome::kUnknown).
-  virtual void commit(protocol::Txn t, Urgency u, std::function<void(TxnResult)> done,
+  // be applied later (RequestOutcome::kUnknown).
+  virtual void commit(protocol::Txn txn, Urgency urgency, std::function<void(TxnResult)> done,
                       Duration queue_wait) = 0;
-  // A change that this controller itself made.
-  virtual void apply_own(const protocol::Txn& t, Revision r) = 0;
+  // A change that this controller itself made, under this revision.
+  virtual void apply_own(const protocol::Txn& txn, Revision revision) = 0;
 };
 
 }  // namespace beaconsill::state_store
--- a/src/state_store/client.cpp
+++ b/src/state_store/client.cpp
@@ -1,8 +1,8 @@
 #include "state_store/client.h"
 
 #include <algorithm>
-#include <cmath>
 #include <map>
+#include <utility>
 
 #include "base/log.h"
 #include "state_store/records.h"
@@ -10,316 +10,239 @@
 
 namespace beaconsill::state_store {
 namespace {
+
 constexpr Duration kTimeout = std::chrono::milliseconds(1500);
-// A transaction whose answer is lost occupies its connection for the whole timeout. With six connections,
-// twenty lost answers held up the reads for 1.5 s (store_test).
+// A transaction whose response is lost occupies its connection for the whole timeout. With six connections,
+// twenty lost responses held up the reads for 1.5 s (state_store_test).
 constexpr std::size_t kConnections = 24;
-constexpr Duration kLeastAnswerTimeout = std::chrono::milliseconds(100);
-constexpr Duration kMostAnswerTimeout = std::chrono::milliseconds(400);
+// Of the body of a refusal, as much as is logged.
+constexpr std::size_t kLoggedBodyBytes = 200;
 
-// Refusals this close together are no accident of several controllers asking at once.
-constexpr Duration kRefusedAgain = std::chrono::seconds(10);
-constexpr Duration kFirstPatience = std::chrono::seconds(60);
-// No value is thought to be refused for its size below this.
-constexpr std::size_t kLeastValue = 512;
-constexpr Duration kMostPatience = std::chrono::seconds(600);
+constexpr int kStatusOk = 200;
+constexpr int kStatusBadRequest = 400;
+constexpr int kStatusConflict = 409;
+constexpr int kStatusTooLarge = 413;
+constexpr int kStatusTooMany = 429;
+constexpr int kStatusUnavailable = 503;
 
 // The service refuses a transaction for its size: 400 by the protocol, 413 for the whole body.
-bool too_large(int status) {
-  return status == 400 || status == 413;
+bool refused_for_size(int status) {
+  return status == kStatusBadRequest || status == kStatusTooLarge;
+}
+
+bool refused_for_load(int status) {
+  return status == kStatusUnavailable || status == kStatusTooMany;
+}
+
+RequestOutcome outcome_without_response(const net::Result& response) {
+  return response.sent ? RequestOutcome::kUnknown : RequestOutcome::kRefused;
 }
 
-ReadResult to_read(const net::Result& r) {
-  ReadResult out;
-  out.status = r.status;
-  if (!r.answered()) {
-    out.outcome = r.sent ? RequestOutcome::kUnknown : RequestOutcome::kRefused;
-    return out;
+ReadResult to_read_result(const net::Result& response) {
+  ReadResult result;
+  result.status = response.status;
+  if (!response.answered()) {
+    result.outcome = outcome_without_response(response);
+    return result;
+  }
+  if (refused_for_load(response.status)) {
+    result.outcome = RequestOutcome::kRefused;
+    return result;
   }
-  if (r.status == 503 || r.status == 429) {
-    out.outcome = RequestOutcome::kRefused;
-    return out;
+  if (response.status != kStatusOk) {
+    result.outcome = RequestOutcome::kBad;
+    return result;
   }
-  out.outcome = r.status == 200 ? RequestOutcome::kOk : RequestOutcome::kBad;
-  if (r.status == 200) {
-    try {
-      out.body = protocol::parse_object(r.body);
-    } catch (const protocol::ProtocolError& e) {
-      spdlog::error("state service: answer dropped: {}", e.what());
-      out.outcome = RequestOutcome::kBad;
-    }
+  try {
+    result.body = protocol::parse_object(response.body);
+    result.outcome = RequestOutcome::kOk;
+  } catch (const protocol::ProtocolError& error) {
+    spdlog::error("state_store_response_malformed reason=\"{}\"", error.what());
+    result.outcome = RequestOutcome::kBad;
   }
-  return out;
+  return result;
 }
-}  // namespace
 
-bool EffectiveRateLimits::on_too_many(Instant now) {
-  bool again = refused_ != Instant{} && now - refused_ < kRefusedAgain;
-  // Refused soon after the higher limits were tried anew: they are not back.
-  bool tried = try_again_ != Instant{} && !lowered_ && now - try_again_ < kRefusedAgain;
-  refused_ = now;
-  if (lowered_ || !(again || tried)) return false;
-  lowered_ = true;
-  patience_ = tried ? std::min(2 * patience_, kMostPatience) : kFirstPatience;
-  try_again_ = now + patience_;
-  return true;
+TxnResult to_txn_result(const net::Result& response) {
+  if (!response.answered()) return {outcome_without_response(response), {}};
+  if (response.status == kStatusConflict) return {RequestOutcome::kConflict, {}};
+  if (refused_for_load(response.status)) return {RequestOutcome::kRefused, {}};
+  if (response.status != kStatusOk) {
+    spdlog::error("state_store_txn_rejected status={} reason=\"{}\"", response.status,
+                  response.body.substr(0, kLoggedBodyBytes));
+    return {RequestOutcome::kBad, {}};
+  }
+  try {
+    return {RequestOutcome::kOk, protocol::parse_revision(protocol::parse_object(response.body))};
+  } catch (const protocol::ProtocolError& error) {
+    spdlog::error("state_store_txn_response_malformed reason=\"{}\"", error.what());
+    return {RequestOutcome::kUnknown, {}};
+  }
 }
 
-bool EffectiveRateLimits::on_time(Instant now) {
-  if (!lowered_ || now < try_again_) return false;
-  lowered_ = false;
-  try_again_ = now;
-  return true;
+// How many keys of each kind a transaction puts and deletes.
+void log_writes(const protocol::Txn& txn) {
+  if (!spdlog::should_log(spdlog::level::debug)) return;
+  std::map<std::string, int> counts;
+  for (const auto& write : txn.writes)
+    ++counts[write.key.substr(0, write.key.find('/', kPrefix.size())) + (write.value ? "" : ":deleted")];
+  for (const auto& [key, count] : counts) spdlog::debug("state_store_writes key={} count={}", key, count);
 }
 
-void EffectiveSizeLimits::lower(std::size_t& size, std::size_t to, Instant now) {
-  if (to >= size) return;
-  size = to;
-  if (now < try_again_) return;
-  patience_ = std::clamp(2 * patience_, kFirstPatience, kMostPatience);
-  try_again_ = now + patience_;
+bool uses_lease(const protocol::Txn& txn) {
+  return std::any_of(txn.writes.begin(), txn.writes.end(),
+                     [](const auto& write) { return write.lease.has_value(); });
 }
 
-void EffectiveSizeLimits::on_time(Instant now) {
-  if (now < try_again_) return;
-  txn_ops_ = most_ops_;
-  value_bytes_ = most_value_bytes_;
+std::size_t smaller_limit(const std::optional<std::size_t>& first, const std::optional<std::size_t>& second) {
+  return std::min(first.value_or(EffectiveSizeLimits::kUnlimited),
+                  second.value_or(EffectiveSizeLimits::kUnlimited));
 }
 
-void EffectiveSizeLimits::on_refused(const protocol::Txn& t, Instant now) {
-  if (t.writes.size() > 1) return lower(txn_ops_, t.writes.size() / 2, now);
-  if (t.writes.empty() || !t.writes[0].value) return;
-  auto bytes = protocol::dump(*t.writes[0].value).size();
-  if (bytes <= kLeastValue || bytes > value_bytes_) return;
-  lower(value_bytes_, std::max(kLeastValue, bytes / 2), now);
-  // It was this value, not the number of changes, that the larger ones were refused for.
-  txn_ops_ = most_ops_;
-}
+}  // namespace
 
 StoreClient::StoreClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& at,
                          StoreLimits limits, StoreLimits next, double share)
     : clock_(clock),
       http_(std::make_shared<net::HttpClient>(io, at, kConnections)),
-      limits_(limits, next),
-      sizes_(std::min(limits.txn_ops, next.txn_ops),
-             std::min({limits.value_bytes, next.value_bytes, kMaxValueBytes})),
+      rate_limits_(limits, next),
+      size_limits_(smaller_limit(limits.txn_ops, next.txn_ops),
+                   std::min(smaller_limit(limits.value_bytes, next.value_bytes), kMaxValueBytes)),
       request_share_(share),
       write_share_(share),
-      requests_(limits.rps * share, 1.0, clock.now()),
-      writes_(limits.write_rps * share, 1.0, clock.now()),
-      timer_(io) {}
+      queue_(limits.rps * share, limits.write_rps * share, clock.now()),
+      dispatch_timer_(io) {}
 
 void StoreClient::set_shares(double requests, double writes) {
   if (requests == request_share_ && writes == write_share_) return;
   request_share_ = requests;
   write_share_ = writes;
-  set_rates(clock_.now());
+  update_rates(clock_.now());
   send_queued();
 }
 
-void StoreClient::set_rates(Instant now) {
-  requests_.set_rate(limits_.get().rps * request_share_, now);
-  writes_.set_rate(limits_.get().write_rps * write_share_, now);
+void StoreClient::update_rates(Instant now) {
+  const auto& limits = rate_limits_.get();
+  queue_.set_rates(limits.rps * request_share_, limits.write_rps * write_share_, now);
+}
+
+void StoreClient::txn(protocol::Txn txn, Urgency urgency, std::function<void(TxnResult)> done,
+                      TxnOptions options) {
+  log_writes(txn);
+  StoreRequest request;
+  request.method = "POST";
+  request.target = "/txn";
+  request.body = protocol::render_txn(txn);
+  request.writes = txn.writes.size();
+  request.on_sent = std::move(options.on_sent);
+  request.queue_wait = options.queue_wait;
+  request.done = [weak = weak_from_this(), txn = std::move(txn),
+                  done = std::move(done)](const net::Result& response) {
+    const auto result = to_txn_result(response);
+    if (auto self = weak.lock(); self && result.outcome == RequestOutcome::kBad)
+      self->on_size_refused(txn, response.status);
+    done(result);
+  };
+  enqueue(std::move(request), urgency);
 }
 
-void StoreClient::txn(protocol::Txn t, Urgency u, std::function<void(TxnResult)> done, TxnOptions options) {
-  if (spdlog::should_log(spdlog::level::debug)) {
-    std::map<std::string, int> kinds;
-    for (const auto& w : t.writes)
-      ++kinds[w.key.substr(0, w.key.find('/', kPrefix.size())) + (w.value ? "" : " dropped")];
-    for (const auto& [kind, n] : kinds) spdlog::debug("state service: {} x {}", kind, n);
-  }
-  Job job{"POST",
-          "/txn",
-          protocol::render_txn(t),
-          static_cast<double>(t.writes.size()),
-          {},
-          std::move(options.on_sent),
-          options.queue_wait};
-  // With a hold it may have been refused for that.
-  bool bare =
-      std::none_of(t.writes.begin(), t.writes.end(), [](const auto& w) { return w.lease.has_value(); });
-  job.done = [weak = weak_from_this(), bare, t = std::move(t), done = std::move(done)](const net::Result& r) {
-    TxnResult out;
-    if (!r.answered()) {
-      out.outcome = r.sent ? RequestOutcome::kUnknown : RequestOutcome::kRefused;
-    } else if (r.status == 409) {
-      out.outcome = RequestOutcome::kConflict;
-    } else if (r.status == 503 || r.status == 429) {
-      out.outcome = RequestOutcome::kRefused;
-    } else if (r.status == 200) {
-      try {
-        out.revision = protocol::parse_revision(protocol::parse_object(r.body));
-        out.outcome = RequestOutcome::kOk;
-      } catch (const protocol::ProtocolError& e) {
-        spdlog::error("state service: answer to a transaction dropped: {}", e.what());
-        out.outcome = RequestOutcome::kUnknown;
-      }
-    } else {
-      spdlog::error("state service: a transaction was answered {}: {}", r.status, r.body.substr(0, 200));
-      out.outcome = RequestOutcome::kBad;
-      if (auto me = weak.lock(); me && bare && too_large(r.status))
-        me->sizes_.on_refused(t, me->clock_.now());
-    }
-    done(out);
-  };
-  enqueue(std::move(job), u);
+void StoreClient::on_size_refused(const protocol::Txn& txn, int status) {
+  // A transaction with a lease may have been refused for that lease.
+  if (!refused_for_size(status) || uses_lease(txn)) return;
+  size_limits_.on_refused(txn, clock_.now());
 }
 
-void StoreClient::get(std::string target, Urgency u, std::function<void(ReadResult)> done) {
-  Job job{"GET", std::move(target), "", 0, {}, {}};
-  job.done = [done = std::move(done)](const net::Result& r) { done(to_read(r)); };
-  enqueue(std::move(job), u);
+void StoreClient::get(std::string target, Urgency urgency, std::function<void(ReadResult)> done) {
+  StoreRequest request;
+  request.method = "GET";
+  request.target = std::move(target);
+  request.done = [done = std::move(done)](const net::Result& response) { done(to_read_result(response)); };
+  enqueue(std::move(request), urgency);
 }
 
 void StoreClient::grant_lease(std::uint32_t ttl_ms, std::function<void(ReadResult)> done) {
-  Job job{"POST", "/holds", protocol::render_lease(ttl_ms), 0, {}, {}};
-  job.done = [done = std::move(done)](const net::Result& r) { done(to_read(r)); };
-  enqueue(std::move(job), Urgency::kElection);
+  StoreRequest request;
+  request.method = "POST";
+  request.target = protocol::leases_target();
+  request.body = protocol::render_lease(ttl_ms);
+  request.done = [done = std::move(done)](const net::Result& response) { done(to_read_result(response)); };
+  enqueue(std::move(request), Urgency::kElection);
 }
 
 void StoreClient::renew(LeaseId id, std::function<void(ReadResult)> done) {
-  Job job{"POST", protocol::lease_target(id) + "/renew", "{}", 0, {}, {}};
-  job.done = [done = std::move(done)](const net::Result& r) { done(to_read(r)); };
-  enqueue(std::move(job), Urgency::kElection);
+  StoreRequest request;
+  request.method = "POST";
+  request.target = protocol::lease_target(id) + "/renew";
+  request.body = "{}";
+  request.done = [done = std::move(done)](const net::Result& response) { done(to_read_result(response)); };
+  enqueue(std::move(request), Urgency::kElection);
 }
 
-void StoreClient::enqueue(Job job, Urgency u) {
-  if (stopped_) return job.done({});
-  job.deadline = clock_.now() + job.queue_wait;
-  auto& queues = job.writes > 0 ? changes_ : reads_;
-  queues[static_cast<std::size_t>(u)].push_back(std::move(job));
+void StoreClient::enqueue(StoreRequest request, Urgency urgency) {
+  if (stopped_) return request.done({});
+  queue_.push(std::move(request), urgency, clock_.now());
   send_queued();
 }
 
-std::size_t StoreClient::spare_writes() const {
-  double queued = 0;
-  for (const auto& q : changes_)
-    for (const auto& j : q) queued += j.writes;
-  double spare = writes_.level(clock_.now()) - queued - limits_.get().write_rps * write_share_ / 2;
-  return spare <= 0 ? 0 : static_cast<std::size_t>(spare);
-}
-
-Duration StoreClient::write_wait(Urgency u) const {
-  double queued = 0;
-  for (std::size_t i = 0; i <= static_cast<std::size_t>(u); ++i)
-    for (const auto& j : changes_[i]) queued += j.writes;
-  return from_seconds(queued / std::max(0.1, limits_.get().write_rps * write_share_));
-}
-
-// Reads don't wait behind changes that wait for the budget of changes: submissions that are refused during an
-// outage use that budget up, and every question would stand behind them (2 s in store_test).
 void StoreClient::send_queued() {
   if (stopped_) return;
-  std::optional<Instant> wake;
-  bool changes_wait = false;
-  std::vector<Job> late;
-  for (std::size_t i = 0; i < kUrgencies; ++i) {
-    bool urgent = i == static_cast<std::size_t>(Urgency::kElection);
-    if (auto at = send_ready(reads_[i], urgent, late)) {
-      wake = std::min(wake.value_or(*at), *at);
-      break;  // out of requests altogether: what is less urgent waits as well
-    }
-    if (changes_wait) continue;
-    if (auto at = send_ready(changes_[i], urgent, late)) {
-      wake = at;
-      changes_wait = true;
-    }
-  }
-  if (wake) {
-    timer_.expires_at(*wake);
-    timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-      if (auto me = weak.lock(); me && !ec) me->send_queued();
+  auto dispatched = queue_.dispatch(clock_.now());
+  for (auto& request : dispatched.ready) send(std::move(request));
+  if (dispatched.next) {
+    dispatch_timer_.expires_at(*dispatched.next);
+    dispatch_timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
+      if (auto self = weak.lock(); self && !ec) self->send_queued();
     });
   }
-  for (auto& j : late) j.done({});
-}
-
-std::optional<Instant> StoreClient::send_ready(Queue& queue, bool urgent, std::vector<Job>& late) {
-  auto now = clock_.now();
-  while (!queue.empty()) {
-    auto& front = queue.front();
-    if (front.deadline <= now) {
-      late.push_back(std::move(front));
-      queue.pop_front();
-      continue;
-    }
-    auto ready = requests_.ready_at(1, urgent, now);
-    if (front.writes > 0) ready = std::max(ready, writes_.ready_at(front.writes, urgent, now));
-    // Those behind it wait as well: a steady stream of small changes must not starve a large one.
-    if (ready > now) return std::min(ready, front.deadline);
-    requests_.take(1, urgent, now);
-    if (front.writes > 0) writes_.take(front.writes, urgent, now);
-    Job job = std::move(front);
-    queue.pop_front();
-    send(std::move(job));
-  }
-  return std::nullopt;
+  for (auto& request : dispatched.expired) request.done({});
 }
 
-void StoreClient::send(Job job) {
-  if (job.on_sent) job.on_sent();
-  bool read = job.writes == 0;
-  http_->request(
-      job.method, job.target, job.body, kTimeout,
-      [weak = weak_from_this(), read, sent = clock_.now(), done = std::move(job.done)](net::Result r) {
-        if (auto me = weak.lock()) me->judge(r, read, sent);
-        done(std::move(r));
-      });
+void StoreClient::send(StoreRequest request) {
+  if (request.on_sent) request.on_sent();
+  http_->request(request.method, request.target, request.body, kTimeout,
+                 [weak = weak_from_this(), is_read = request.is_read(), sent = clock_.now(),
+                  done = std::move(request.done)](net::Result response) {
+                   if (auto self = weak.lock()) self->on_response(response, is_read, sent);
+                   done(std::move(response));
+                 });
 }
 
-void StoreClient::judge(const net::Result& r, bool read, Instant sent) {
-  auto now = clock_.now();
-  if (!r.answered()) {
-    // An answer that came meanwhile tells more than one that is missing.
-    if (read && answered_ <= sent) set_available(false);
+void StoreClient::on_response(const net::Result& response, bool is_read, Instant sent) {
+  if (!response.answered()) {
+    // A response that came meanwhile says more than one that is missing.
+    const bool newer_response = last_response_ && *last_response_ > sent;
+    if (is_read && !newer_response) set_available(false);
     return;
   }
-  if (r.status == 503) return set_available(false);
-  answered_ = now;
+  if (response.status == kStatusUnavailable) return set_available(false);
+  const auto now = clock_.now();
+  last_response_ = now;
   set_available(true);
-  if (r.status == 429) {
-    if (limits_.on_too_many(now)) {
-      spdlog::info("state service: its lower limits seem to be in force");
-      set_rates(now);
-    }
-    requests_.drain(now);
-    writes_.drain(now);
-    spdlog::info("state service: too many requests; this node pauses its own");
-    return;
-  }
-  if (limits_.on_time(now)) set_rates(now);
-  sizes_.on_time(now);
-  double delay = to_seconds(now - sent);
-  if (!delay_s_) {
-    delay_s_ = delay;
-    variation_s_ = delay / 2;
-    return;
+  if (response.status == kStatusTooMany) return on_too_many(now);
+  if (rate_limits_.on_time(now)) update_rates(now);
+  size_limits_.on_time(now);
+  response_delay_.add_sample(now - sent);
+}
+
+void StoreClient::on_too_many(Instant now) {
+  if (rate_limits_.on_too_many(now)) {
+    spdlog::info("state_store_rate_limits_lowered");
+    update_rates(now);
   }
-  variation_s_ += (std::abs(delay - *delay_s_) - variation_s_) / 4;
-  *delay_s_ += (delay - *delay_s_) / 8;
+  queue_.on_too_many(now);
+  spdlog::info("state_store_rate_limited");
 }
 
 void StoreClient::set_available(bool available) {
   if (available == available_) return;
   available_ = available;
-  spdlog::info("state service: {}", available ? "answers this node again" : "doesn't answer this node");
-}
-
-Duration StoreClient::answer_timeout() const {
-  auto timeout = from_seconds(delay_s_.value_or(0) + 4 * variation_s_);
-  return std::clamp(timeout, kLeastAnswerTimeout, kMostAnswerTimeout);
+  spdlog::info("{}", available ? "state_store_available" : "state_store_unavailable");
 }
 
 void StoreClient::stop() {
   stopped_ = true;
-  timer_.cancel();
-  for (auto* queues : {&reads_, &changes_})
-    for (auto& q : *queues) {
-      auto jobs = std::move(q);
-      q.clear();
-      for (auto& j : jobs) j.done({});
-    }
+  dispatch_timer_.cancel();
+  for (auto& request : queue_.take_all()) request.done({});
   http_->stop();
 }
 
--- a/src/state_store/dependencies.cpp
+++ b/src/state_store/dependencies.cpp
@@ -1,65 +1,67 @@
 #include "state_store/dependencies.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace beaconsill::state_store {
 
-void Dependencies::on_record(const JobId& job, const std::vector<JobId>& depends_on, const Lookup& ends) {
+void Dependencies::on_record(const JobId& job, const std::vector<JobId>& depends_on,
+                             const Lookup& terminal_record_of) {
   if (depends_on.empty()) return;
-  auto [it, fresh] = waiters_.try_emplace(job);
-  if (!fresh) return;
-  auto& waiter = it->second;
-  waiter.depends_on = depends_on;
-  waiter.ended = ends(job) != nullptr;
+  auto [it, inserted] = dependents_.try_emplace(job);
+  if (!inserted) return;
+  auto& dependent = it->second;
+  dependent.depends_on = depends_on;
+  dependent.has_terminal_record = terminal_record_of(job) != nullptr;
   std::optional<JobId> root;
   for (const auto& dependency : depends_on) {
     ++visited_count_;
-    const auto* terminal_record = ends(dependency);
-    if (terminal_record && terminal_record->end == TerminalState::kDone) {
-      waiter.since = std::max(waiter.since, terminal_record->at);
+    const auto* record = terminal_record_of(dependency);
+    if (record && record->end == TerminalState::kDone) {
+      dependent.ready_since = std::max(dependent.ready_since, record->at);
       continue;
     }
-    ++waiter.open;
-    if (terminal_record) {
+    ++dependent.unfinished;
+    if (record) {
       root = dependency;
     } else if (const auto* through = cancelled_by(dependency)) {
       root = *through;
     } else {
-      dependents_[dependency].insert(job);
+      dependents_of_[dependency].insert(job);
     }
   }
-  if (!root || waiter.ended) return;
-  waiter.cancelled_by = root;
+  if (!root || dependent.has_terminal_record) return;
+  dependent.cancelled_by = root;
   unrecorded_.insert(job);
-  // Changes may be read in any order: what awaits this job may have been there before it.
+  // Changes may be read in any order: what depends on this job may have been there before it.
   cancel_dependents(job, *root);
 }
 
 void Dependencies::on_record_dropped(const JobId& job) {
-  auto it = waiters_.find(job);
-  if (it == waiters_.end()) return;
+  auto it = dependents_.find(job);
+  if (it == dependents_.end()) return;
   for (const auto& dependency : it->second.depends_on) {
     ++visited_count_;
-    auto list = dependents_.find(dependency);
-    if (list == dependents_.end()) continue;
+    auto list = dependents_of_.find(dependency);
+    if (list == dependents_of_.end()) continue;
     list->second.erase(job);
-    if (list->second.empty()) dependents_.erase(list);
+    if (list->second.empty()) dependents_of_.erase(list);
   }
   unrecorded_.erase(job);
-  waiters_.erase(it);
+  dependents_.erase(it);
 }
 
-void Dependencies::on_end(const JobId& job, const TerminalRecord& terminal_record) {
+void Dependencies::on_terminal_record(const JobId& job, const TerminalRecord& record) {
   unrecorded_.erase(job);
-  if (auto own = waiters_.find(job); own != waiters_.end()) own->second.ended = true;
-  if (terminal_record.end == TerminalState::kCancelled) return cancel_dependents(job, job);
-  auto list = dependents_.extract(job);
+  if (auto own = dependents_.find(job); own != dependents_.end()) own->second.has_terminal_record = true;
+  if (record.end == TerminalState::kCancelled) return cancel_dependents(job, job);
+  auto list = dependents_of_.extract(job);
   if (!list) return;
-  for (const auto& dependent : list.mapped()) {
+  for (const auto& id : list.mapped()) {
     ++visited_count_;
-    auto& waiter = waiters_.at(dependent);
-    waiter.since = std::max(waiter.since, terminal_record.at);
-    if (--waiter.open == 0) changed_.push_back(dependent);
+    auto& dependent = dependents_.at(id);
+    dependent.ready_since = std::max(dependent.ready_since, record.at);
+    if (--dependent.unfinished == 0) changed_.push_back(id);
   }
 }
 
@@ -67,42 +69,42 @@
 void Dependencies::cancel_dependents(const JobId& job, const JobId& root) {
   std::vector<JobId> cancelled{job};
   while (!cancelled.empty()) {
-    auto list = dependents_.extract(cancelled.back());
+    auto list = dependents_of_.extract(cancelled.back());
     cancelled.pop_back();
     if (!list) continue;
-    for (const auto& dependent : list.mapped()) {
+    for (const auto& id : list.mapped()) {
       ++visited_count_;
-      auto& waiter = waiters_.at(dependent);
-      if (waiter.cancelled_by || waiter.ended) continue;
-      waiter.cancelled_by = root;
-      unrecorded_.insert(dependent);
-      changed_.push_back(dependent);
-      cancelled.push_back(dependent);
+      auto& dependent = dependents_.at(id);
+      if (dependent.cancelled_by || dependent.has_terminal_record) continue;
+      dependent.cancelled_by = root;
+      unrecorded_.insert(id);
+      changed_.push_back(id);
+      cancelled.push_back(id);
     }
   }
 }
 
 void Dependencies::clear() {
-  waiters_.clear();
   dependents_.clear();
+  dependents_of_.clear();
   unrecorded_.clear();
   changed_.clear();
 }
 
 bool Dependencies::waiting(const JobId& job) const {
-  auto it = waiters_.find(job);
-  return it != waiters_.end() && it->second.open > 0;
+  auto it = dependents_.find(job);
+  return it != dependents_.end() && it->second.unfinished > 0;
 }
 
 std::optional<WallMs> Dependencies::ready_since(const JobId& job) const {
-  auto it = waiters_.find(job);
-  if (it == waiters_.end() || it->second.open > 0) return std::nullopt;
-  return it->second.since;
+  auto it = dependents_.find(job);
+  if (it == dependents_.end() || it->second.unfinished > 0) return std::nullopt;
+  return it->second.ready_since;
 }
 
 const JobId* Dependencies::cancelled_by(const JobId& job) const {
-  auto it = waiters_.find(job);
-  return it == waiters_.end() || !it->second.cancelled_by ? nullptr : &*it->second.cancelled_by;
+  auto it = dependents_.find(job);
+  return it == dependents_.end() || !it->second.cancelled_by ? nullptr : &*it->second.cancelled_by;
 }
 
 std::vector<JobId> Dependencies::take_changed() {
--- a/src/state_store/dependencies.h
+++ b/src/state_store/dependencies.h
@@ -1,7 +1,7 @@
 // Which jobs wait for which, and what follows from how those ended. A job starts only after every job that it
-// awaits is done; it's cancelled as soon as one of them is, directly or through others. Both are functions of
-// records that are written once and never changed (`jobs/`, `ends/`): every controller that has read the same
-// records comes to the same result, and no later record takes it back.
+// depends on is done; it's cancelled as soon as one of them is, directly or through others. Both are
+// functions of records that are written once and never changed (the job's and the terminal record): every
+// controller that has read the same records comes to the same result, and no later record takes it back.
 #pragma once
 
 #include <cstdint>
@@ -15,46 +15,47 @@
 
 namespace beaconsill::state_store {
 
+// Not thread-safe; StateView owns it.
 class Dependencies {
  public:
-  // How a job ended, if that is recorded; null: it isn't.
+  // The terminal record of a job; null: there is none.
   using Lookup = std::function<const TerminalRecord*(const JobId&)>;
 
-  // The record of a job that awaits others was read. Repeating it changes nothing.
-  void on_record(const JobId& job, const std::vector<JobId>& depends_on, const Lookup& ends);
-  // The record was dropped, which happens only once the job's own end is recorded.
+  // The record of a job with dependencies was read. Repeating it changes nothing.
+  void on_record(const JobId& job, const std::vector<JobId>& depends_on, const Lookup& terminal_record_of);
+  // The record was deleted, which happens only once the job has a terminal record of its own.
   void on_record_dropped(const JobId& job);
-  // The end of any job was recorded.
-  void on_end(const JobId& job, const TerminalRecord& terminal_record);
+  // The terminal record of any job was read.
+  void on_terminal_record(const JobId& job, const TerminalRecord& record);
   void clear();
 
-  // Whether some job that this one awaits isn't done yet.
+  // Whether some job that this one depends on isn't done yet.
   bool waiting(const JobId& job) const;
-  // When the last job that it awaits was done (0: not known); none: it waits, or awaits nothing.
+  // When the last job that it depends on was done (0: not known); none: it waits, or depends on nothing.
   std::optional<WallMs> ready_since(const JobId& job) const;
-  // The job whose recorded cancellation reaches this one through those that it awaits; null: none does.
+  // The job whose recorded cancellation reaches this one through its dependencies; null: none does.
   const JobId* cancelled_by(const JobId& job) const;
-  // Cancelled through others, without an end of their own in the state store yet.
+  // Cancelled through others, without a terminal record of their own yet.
   const std::set<JobId>& unrecorded() const { return unrecorded_; }
-  // Jobs whose wait ended, or that were cancelled through others, since the last call.
+  // Jobs that have become ready, or were cancelled through others, since the last call.
   std::vector<JobId> take_changed();
   // Jobs looked at so far: an event must cost no more than the jobs whose state it changes.
   std::uint64_t visited_count() const { return visited_count_; }
 
  private:
-  struct Waiter {
+  struct Dependent {
     std::vector<JobId> depends_on;
-    std::size_t open = 0;  // of them, those that aren't done
-    WallMs since;
+    std::size_t unfinished = 0;  // of them, those that aren't done
+    WallMs ready_since;
     std::optional<JobId> cancelled_by;
-    bool ended = false;  // its own end is recorded
+    bool has_terminal_record = false;
   };
-  // `job` is cancelled: so is all that awaits it.
+  // `job` is cancelled: so is all that depends on it.
   void cancel_dependents(const JobId& job, const JobId& root);
 
-  std::unordered_map<JobId, Waiter> waiters_;
-  // By the job that isn't over yet, those that await it.
-  std::unordered_map<JobId, std::set<JobId>> dependents_;
+  std::unordered_map<JobId, Dependent> dependents_;
+  // By a job without a terminal record, those that depend on it.
+  std::unordered_map<JobId, std::set<JobId>> dependents_of_;
   std::set<JobId> unrecorded_;
   std::vector<JobId> changed_;
   std::uint64_t visited_count_ = 0;
--- /dev/null
+++ b/src/state_store/job.h
@@ -0,0 +1,33 @@
+// What the state store holds about a job.
+#pragma once
+
+#include <map>
+
+#include "base/ranges.h"
+#include "state_store/records.h"
+#include "state_store/versioned.h"
+
+namespace beaconsill::state_store {
+
+struct Job {
+  JobRecord record;
+  Revision created;
+  bool whole = false;  // the record and all keys of its dependencies have been read
+  Versioned<Grants> grants;
+  std::map<ShardId, Versioned<Progress>> progress;
+
+  // Tasks that a shard has recorded as done.
+  Ranges done() const;
+  // Tasks granted to a shard, neither done nor released: they may be on one of its machines.
+  Ranges outstanding(ShardId shard) const;
+  // The same for all shards.
+  Ranges outstanding() const;
+
+ private:
+  Ranges unreleased(const Chunk& chunk) const;
+};
+
+// The tasks of a chunk that the shard has released.
+Ranges released_tasks(const Progress& progress, Generation generation);
+
+}  // namespace beaconsill::state_store
--- a/src/state_store/pending_txns.cpp
+++ b/src/state_store/pending_txns.cpp
@@ -3,75 +3,79 @@
 #include <algorithm>
 #include <string_view>
 #include <unordered_map>
+#include <utility>
 
 namespace beaconsill::state_store {
 namespace {
 
-using ByKey = std::unordered_map<std::string_view, std::vector<const protocol::Change*>>;
+using ChangesByKey = std::unordered_map<std::string_view, std::vector<const protocol::Change*>>;
 
-bool holds(const ByKey& changes, const protocol::Write& write, Revision at) {
+bool holds(const ChangesByKey& changes, const protocol::Write& write, Revision revision) {
   auto it = changes.find(write.key);
   if (it == changes.end()) return false;
-  return std::any_of(it->second.begin(), it->second.end(),
-                     [&](const auto* c) { return c->version == at && c->value == write.value; });
+  return std::any_of(it->second.begin(), it->second.end(), [&](const auto* change) {
+    return change->version == revision && change->value == write.value;
+  });
 }
 
-std::optional<Revision> revision_of(const protocol::Txn& txn, Revision known, const ByKey& changes) {
+// The revision under which the changes hold all writes of the transaction; none: they don't.
+std::optional<Revision> applied_revision(const protocol::Txn& txn, Revision known,
+                                         const ChangesByKey& changes) {
   if (txn.writes.empty()) return std::nullopt;
   auto first = changes.find(txn.writes.front().key);
   if (first == changes.end()) return std::nullopt;
-  for (const auto* c : first->second) {
-    if (c->version <= known) continue;
-    bool all = std::all_of(txn.writes.begin(), txn.writes.end(),
-                           [&](const auto& w) { return holds(changes, w, c->version); });
-    if (all) return c->version;
+  for (const auto* change : first->second) {
+    if (change->version <= known) continue;
+    const bool all = std::all_of(txn.writes.begin(), txn.writes.end(),
+                                 [&](const auto& write) { return holds(changes, write, change->version); });
+    if (all) return change->version;
   }
   return std::nullopt;
 }
 
 }  // namespace
 
-std::uint64_t PendingTxns::add(protocol::Txn t, Done done) {
-  open_[++last_] = {std::move(t), std::move(done), {}, {}};
-  return last_;
+std::uint64_t PendingTxns::add(protocol::Txn txn, Done done) {
+  pending_[++last_id_] = {std::move(txn), std::move(done), {}, {}};
+  return last_id_;
 }
 
 void PendingTxns::sent(std::uint64_t id, Revision known, Instant now) {
-  auto it = open_.find(id);
-  if (it == open_.end()) return;
+  auto it = pending_.find(id);
+  if (it == pending_.end()) return;
   it->second.known = known;
   it->second.sent = now;
 }
 
 PendingTxns::Done PendingTxns::take(std::uint64_t id) {
-  auto it = open_.find(id);
-  if (it == open_.end()) return {};
+  auto it = pending_.find(id);
+  if (it == pending_.end()) return {};
   auto done = std::move(it->second.done);
-  open_.erase(it);
+  pending_.erase(it);
   return done;
 }
 
 std::optional<Instant> PendingTxns::oldest_sent() const {
   std::optional<Instant> oldest;
-  for (const auto& [id, open] : open_)
-    if (open.sent) oldest = std::min(oldest.value_or(*open.sent), *open.sent);
+  for (const auto& [id, pending] : pending_)
+    if (pending.sent) oldest = std::min(oldest.value_or(*pending.sent), *pending.sent);
   return oldest;
 }
 
 std::vector<PendingTxns::Applied> PendingTxns::take_applied(const std::vector<protocol::Change>& changes) {
   std::vector<Applied> applied;
-  if (open_.empty() || changes.empty()) return applied;
-  ByKey by_key;
-  for (const auto& c : changes) by_key[c.key].push_back(&c);
-  for (auto it = open_.begin(); it != open_.end();) {
-    auto& open = it->second;
-    auto revision = open.sent ? revision_of(open.txn, open.known, by_key) : std::nullopt;
+  if (pending_.empty() || changes.empty()) return applied;
+  ChangesByKey by_key;
+  for (const auto& change : changes) by_key[change.key].push_back(&change);
+  for (auto it = pending_.begin(); it != pending_.end();) {
+    auto& pending = it->second;
+    auto revision = pending.sent ? applied_revision(pending.txn, pending.known, by_key) : std::nullopt;
     if (!revision) {
       ++it;
       continue;
     }
-    applied.push_back({std::move(open.done), *revision});
-    it = open_.erase(it);
+    applied.push_back({std::move(pending.done), *revision});
+    it = pending_.erase(it);
   }
   return applied;
 }
--- a/src/state_store/rate_limiter.cpp
+++ b/src/state_store/rate_limiter.cpp
@@ -1,11 +1,18 @@
 #include "state_store/rate_limiter.h"
 
 namespace beaconsill::state_store {
+namespace {
+
+// Rounding errors of the level; a wait is a little longer than reckoned, so that the next attempt succeeds.
+constexpr double kLevelTolerance = 1e-9;
+constexpr double kWaitMarginSeconds = 0.001;
+
+}  // namespace
 
 void RateLimiter::refill(Instant now) {
-  if (now <= at_) return;
-  level_ = std::min(rate_ * burst_s_, level_ + rate_ * to_seconds(now - at_));
-  at_ = now;
+  if (now <= updated_) return;
+  level_ = std::min(rate_ * burst_s_, level_ + rate_ * to_seconds(now - updated_));
+  updated_ = now;
 }
 
 void RateLimiter::set_rate(double rate, Instant now) {
@@ -14,25 +21,24 @@
   level_ = std::min(level_, rate_ * burst_s_);
 }
 
-// What must be there before `n` may be taken. More than a whole burst waits for a full bucket, or it would
-// never be served.
-double RateLimiter::need(double n, bool urgent) const {
-  double full = rate_ * burst_s_;
-  double wanted = std::min(n, full);
-  return urgent ? wanted - full : wanted;
+// More than a whole burst waits for a full bucket, or it would never be served.
+double RateLimiter::required_level(double tokens, bool urgent) const {
+  const double full = rate_ * burst_s_;
+  const double required = std::min(tokens, full);
+  return urgent ? required - full : required;
 }
 
-bool RateLimiter::take(double n, bool urgent, Instant now) {
+bool RateLimiter::take(double tokens, bool urgent, Instant now) {
   refill(now);
-  if (level_ + 1e-9 < need(n, urgent)) return false;
-  level_ -= n;
+  if (level_ + kLevelTolerance < required_level(tokens, urgent)) return false;
+  level_ -= tokens;
   return true;
 }
 
-Instant RateLimiter::ready_at(double n, bool urgent, Instant now) {
+Instant RateLimiter::ready_at(double tokens, bool urgent, Instant now) {
   refill(now);
-  double missing = need(n, urgent) - level_;
-  return missing <= 0 ? now : now + from_seconds(missing / rate_ + 0.001);
+  const double missing = required_level(tokens, urgent) - level_;
+  return missing <= 0 ? now : now + from_seconds(missing / rate_ + kWaitMarginSeconds);
 }
 
 void RateLimiter::drain(Instant now) {
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <array>
+#include <utility>
 
 namespace beaconsill::state_store {
 namespace {
@@ -9,24 +10,27 @@
 using protocol::Json;
 using protocol::ProtocolError;
 
-Ranges parse_ranges(const Json& j, const char* field) {
-  const Json& f = protocol::need(j, field);
-  if (!f.is_string()) throw ProtocolError(std::string(field) + " is not a string");
-  auto r = Ranges::parse(f.get_ref<const std::string&>());
-  if (!r) throw ProtocolError(std::string(field) + " is not a set of ranges");
-  return *r;
+// The field that names the holder of a role, by the lowest format version that is to read it.
+constexpr std::array<const char*, 3> kHolderFields{"node", "holder", "owner"};
+
+Ranges parse_ranges(const Json& json, const char* field) {
+  const Json& text = protocol::need(json, field);
+  if (!text.is_string()) throw ProtocolError(std::string(field) + " is not a string");
+  auto ranges = Ranges::parse(text.get_ref<const std::string&>());
+  if (!ranges) throw ProtocolError(std::string(field) + " is not a set of ranges");
+  return *ranges;
 }
 
-const Json& need_list(const Json& j, const char* field) {
-  const Json& f = protocol::need(j, field);
-  if (!f.is_array()) throw ProtocolError(std::string(field) + " is not a list");
-  return f;
+const Json& need_list(const Json& json, const char* field) {
+  const Json& list = protocol::need(json, field);
+  if (!list.is_array()) throw ProtocolError(std::string(field) + " is not a list");
+  return list;
 }
 
-WallMs parse_wall(const Json& j, const char* field) {
-  const Json& f = protocol::need(j, field);
-  if (!f.is_number_integer()) throw ProtocolError(std::string(field) + " is not an integer");
-  return WallMs(f.get<std::int64_t>());
+WallMs parse_wall_time(const Json& json, const char* field) {
+  const Json& number = protocol::need(json, field);
+  if (!number.is_number_integer()) throw ProtocolError(std::string(field) + " is not an integer");
+  return WallMs(number.get<std::int64_t>());
 }
 
 Priority parse_priority(std::uint64_t number) {
@@ -34,175 +38,131 @@
   return static_cast<Priority>(number);
 }
 
-std::string key(std::string_view kind, std::string_view name) {
-  return std::string(kPrefix) + std::string(kind) + '/' + std::string(name);
-}
-
 }  // namespace
 
-std::string job_key(const JobId& id) {
-  return key("jobs", id.value());
-}
-std::string terminal_key(const JobId& id) {
-  return key("ends", id.value());
-}
-std::string dependency_key(const JobId& id, std::uint32_t piece) {
-  return key("awaits", id.value() + '/' + std::to_string(piece));
-}
-std::string grants_key(const JobId& id) {
-  return key("grants", id.value());
-}
-std::string progress_key(ShardId shard, const JobId& id) {
-  return key("progress", std::to_string(shard.value()) + '/' + id.value());
-}
-std::string machines_key(ShardId shard, std::uint32_t bucket) {
-  return key("machines", std::to_string(shard.value()) + '/' + std::to_string(bucket));
-}
-std::string shard_role_key(ShardId shard) {
-  return key("roles", "part/" + std::to_string(shard.value()));
-}
-std::string leader_role_key() {
-  return key("roles", "leader");
-}
-std::string alive_key(const ControllerName& controller) {
-  return key("alive", controller.value());
+Json to_json(const JobRecord& record) {
+  Json json{{"job", protocol::job_to_json(*record.spec)}, {"at", record.submitted.value()}};
+  if (record.dependency_keys == 0) return json;
+  json["job"].erase("awaits");
+  json["awaitsKeys"] = record.dependency_keys;
+  return json;
 }
 
-std::string versions_key() {
-  return std::string(kPrefix) + "versions";
+JobRecord parse_job_record(const Json& json) {
+  const auto keys = protocol::find(json, "awaitsKeys") ? protocol::get_count(json, "awaitsKeys") : 0;
+  return {std::make_shared<const protocol::JobSpec>(protocol::parse_job(protocol::need(json, "job"))),
+          parse_wall_time(json, "at"), static_cast<std::uint32_t>(keys)};
 }
 
-std::uint32_t machine_bucket(const MachineName& name) {
-  return static_cast<std::uint32_t>(stable_hash(name.value()) >> 32) % kMachineBuckets;
-}
-
-namespace {
-// Pieces of a bucket that a version reads, by its number; the last holds for all later ones.
-constexpr std::array<std::uint32_t, 3> kPiecesByVersion{1, 4, UINT32_MAX / kMachineBuckets};
-// The field that names the holder of a role, by the lowest version that is to read it.
-constexpr std::array<const char*, 3> kHolderFields{"node", "holder", "owner"};
-}  // namespace
-
-std::uint32_t readable_pieces(std::uint32_t version) {
-  return kPiecesByVersion[std::min<std::size_t>(version, kPiecesByVersion.size() - 1)];
+Json to_json(const DependencySegment& segment) {
+  return {{"awaits", protocol::job_ids_to_json(segment.depends_on)}, {"at", segment.written.value()}};
 }
 
-std::uint32_t registry_key_since(std::uint32_t key) {
-  std::uint32_t version = 0;
-  while (key / kMachineBuckets >= readable_pieces(version)) ++version;
-  return version;
+DependencySegment parse_dependency_segment(const Json& json) {
+  return {protocol::parse_job_ids(protocol::need(json, "awaits")), parse_wall_time(json, "at")};
 }
 
-Json to_json(const JobRecord& r) {
-  Json j{{"job", protocol::job_to_json(*r.spec)}, {"at", r.submitted.value()}};
-  if (r.dependency_keys == 0) return j;
-  j["job"].erase("awaits");
-  j["awaitsKeys"] = r.dependency_keys;
-  return j;
+Json to_json(const TerminalRecord& record) {
+  Json json{{"end", record.end == TerminalState::kDone ? "done" : "cancelled"}, {"done", record.done}};
+  if (record.at.value() > 0) json["at"] = record.at.value();
+  return json;
 }
 
-JobRecord parse_job_record(const Json& j) {
-  auto keys = protocol::find(j, "awaitsKeys") ? protocol::get_count(j, "awaitsKeys") : 0;
-  return {std::make_shared<const protocol::JobSpec>(protocol::parse_job(protocol::need(j, "job"))),
-          parse_wall(j, "at"), static_cast<std::uint32_t>(keys)};
+TerminalRecord parse_terminal_record(const Json& json) {
+  const auto state = protocol::get_string(json, "end");
+  const auto done = static_cast<std::uint32_t>(protocol::get_count(json, "done"));
+  WallMs at;
+  if (const Json* field = protocol::find(json, "at"); field && field->is_number_integer())
+    at = WallMs(field->get<std::int64_t>());
+  if (state == "done") return {TerminalState::kDone, done, at};
+  if (state == "cancelled") return {TerminalState::kCancelled, done, at};
+  throw ProtocolError("end is unknown");
 }
 
-Json to_json(const DependencyPiece& p) {
-  return {{"awaits", protocol::job_ids_to_json(p.depends_on)}, {"at", p.written.value()}};
-}
+namespace {
 
-DependencyPiece parse_dependency_piece(const Json& j) {
-  return {protocol::parse_job_ids(protocol::need(j, "awaits")), parse_wall(j, "at")};
+Json chunk_to_json(const Chunk& chunk) {
+  Json json{{"g", chunk.generation.value()},
+            {"p", chunk.shard.value()},
+            {"t", chunk.term.value()},
+            {"r", chunk.tasks.str()}};
+  if (chunk.zone) json["z"] = chunk.zone->value();
+  if (chunk.preempt) json["x"] = true;
+  if (chunk.gang_attempt.value()) json["a"] = chunk.gang_attempt.value();
+  if (chunk.priority) json["q"] = static_cast<std::size_t>(*chunk.priority);
+  return json;
+}
+
+Chunk parse_chunk(const Json& json) {
+  Chunk chunk;
+  chunk.generation = Generation(protocol::get_count(json, "g"));
+  chunk.shard = ShardId(static_cast<std::uint32_t>(protocol::get_count(json, "p")));
+  chunk.term = Term(protocol::get_count(json, "t"));
+  chunk.tasks = parse_ranges(json, "r");
+  if (protocol::find(json, "z")) chunk.zone = Zone(protocol::get_string(json, "z"));
+  chunk.preempt = protocol::get_bool_or(json, "x", false);
+  if (protocol::find(json, "a")) chunk.gang_attempt = Attempt(protocol::get_count(json, "a"));
+  if (protocol::find(json, "q")) chunk.priority = parse_priority(protocol::get_count(json, "q"));
+  return chunk;
 }
 
-Json to_json(const TerminalRecord& e) {
-  Json j{{"end", e.end == TerminalState::kDone ? "done" : "cancelled"}, {"done", e.done}};
-  if (e.at.value() > 0) j["at"] = e.at.value();
-  return j;
-}
+}  // namespace
 
-TerminalRecord parse_terminal_record(const Json& j) {
-  auto s = protocol::get_string(j, "end");
-  auto done = static_cast<std::uint32_t>(protocol::get_count(j, "done"));
-  WallMs at;
-  if (const Json* f = protocol::find(j, "at"); f && f->is_number_integer())
-    at = WallMs(f->get<std::int64_t>());
-  if (s == "done") return {TerminalState::kDone, done, at};
-  if (s == "cancelled") return {TerminalState::kCancelled, done, at};
-  throw ProtocolError("end is unknown");
+Json to_json(const Grants& grants) {
+  Json chunks = Json::array();
+  for (const auto& chunk : grants.chunks) chunks.push_back(chunk_to_json(chunk));
+  Json json{{"last", grants.last.value()}, {"chunks", std::move(chunks)}};
+  if (grants.revoke) json["recall"] = true;
+  return json;
 }
 
-Json to_json(const Grants& g) {
-  Json chunks = Json::array();
-  for (const auto& c : g.chunks) {
-    Json e{{"g", c.generation.value()}, {"p", c.shard.value()}, {"t", c.term.value()}, {"r", c.tasks.str()}};
-    if (c.zone) e["z"] = c.zone->value();
-    if (c.preempt) e["x"] = true;
-    if (c.gang_attempt.value()) e["a"] = c.gang_attempt.value();
-    if (c.priority) e["q"] = static_cast<std::size_t>(*c.priority);
-    chunks.push_back(std::move(e));
-  }
-  Json j{{"last", g.last.value()}, {"chunks", std::move(chunks)}};
-  if (g.revoke) j["recall"] = true;
-  return j;
-}
-
-Grants parse_grants(const Json& j) {
-  Grants g;
-  g.last = Generation(protocol::get_count(j, "last"));
-  g.revoke = protocol::get_bool_or(j, "recall", false);
-  for (const Json& e : need_list(j, "chunks")) {
-    Chunk c;
-    c.generation = Generation(protocol::get_count(e, "g"));
-    c.shard = ShardId(static_cast<std::uint32_t>(protocol::get_count(e, "p")));
-    c.term = Term(protocol::get_count(e, "t"));
-    c.tasks = parse_ranges(e, "r");
-    if (protocol::find(e, "z")) c.zone = Zone(protocol::get_string(e, "z"));
-    c.preempt = protocol::get_bool_or(e, "x", false);
-    if (protocol::find(e, "a")) c.gang_attempt = Attempt(protocol::get_count(e, "a"));
-    if (protocol::find(e, "q")) c.priority = parse_priority(protocol::get_count(e, "q"));
-    g.chunks.push_back(std::move(c));
-  }
-  return g;
+Grants parse_grants(const Json& json) {
+  Grants grants;
+  grants.last = Generation(protocol::get_count(json, "last"));
+  grants.revoke = protocol::get_bool_or(json, "recall", false);
+  for (const Json& chunk : need_list(json, "chunks")) grants.chunks.push_back(parse_chunk(chunk));
+  return grants;
 }
 
-Json to_json(const Progress& p) {
+Json to_json(const Progress& progress) {
   Json released = Json::array();
-  for (const auto& r : p.released) released.push_back({{"g", r.generation.value()}, {"r", r.tasks.str()}});
-  return {{"done", p.done.str()}, {"returned", std::move(released)}};
+  for (const auto& tasks : progress.released)
+    released.push_back({{"g", tasks.generation.value()}, {"r", tasks.tasks.str()}});
+  return {{"done", progress.done.str()}, {"returned", std::move(released)}};
 }
 
-Progress parse_progress(const Json& j) {
-  Progress p;
-  p.done = parse_ranges(j, "done");
-  for (const Json& e : need_list(j, "returned"))
-    p.released.push_back({Generation(protocol::get_count(e, "g")), parse_ranges(e, "r")});
-  return p;
+Progress parse_progress(const Json& json) {
+  Progress progress;
+  progress.done = parse_ranges(json, "done");
+  for (const Json& released : need_list(json, "returned"))
+    progress.released.push_back(
+        {Generation(protocol::get_count(released, "g")), parse_ranges(released, "r")});
+  return progress;
 }
 
-Json to_json(const Role& r) {
-  auto since = std::min<std::size_t>(r.readable_since, kHolderFields.size() - 1);
-  return {{kHolderFields[since], r.controller.value()}, {"term", r.term.value()}};
+Json to_json(const Role& role) {
+  const auto since = std::min<std::size_t>(role.readable_since, kHolderFields.size() - 1);
+  return {{kHolderFields[since], role.controller.value()}, {"term", role.term.value()}};
 }
 
-Role parse_role(const Json& j) {
+Role parse_role(const Json& json) {
   std::uint32_t since = kHolderFields.size() - 1;
-  while (since > 0 && !protocol::find(j, kHolderFields[since])) --since;
-  return {ControllerName(protocol::get_string(j, kHolderFields[since])), Term(protocol::get_count(j, "term")),
-          since};
+  while (since > 0 && !protocol::find(json, kHolderFields[since])) --since;
+  return {ControllerName(protocol::get_string(json, kHolderFields[since])),
+          Term(protocol::get_count(json, "term")), since};
 }
 
 Json to_json(const Versions& versions) {
-  Json shown = Json::object();
-  for (const auto& [controller, version] : versions) shown[controller.value()] = version;
-  return {{"shown", std::move(shown)}};
+  Json advertised = Json::object();
+  for (const auto& [controller, version] : versions) advertised[controller.value()] = version;
+  return {{"shown", std::move(advertised)}};
 }
 
-Versions parse_versions(const Json& j) {
-  const Json& shown = protocol::need(j, "shown");
-  if (!shown.is_object()) throw ProtocolError("shown is not an object");
+Versions parse_versions(const Json& json) {
+  const Json& advertised = protocol::need(json, "shown");
+  if (!advertised.is_object()) throw ProtocolError("shown is not an object");
   Versions versions;
-  for (const auto& [controller, version] : shown.items()) {
+  for (const auto& [controller, version] : advertised.items()) {
     if (!version.is_number_unsigned()) throw ProtocolError("a version is not a non-negative integer");
     versions[ControllerName(controller)] = version.get<std::uint32_t>();
   }
@@ -213,29 +173,34 @@
   return {{"up", true}, {"version", kFormatVersion}};
 }
 
-std::uint32_t parse_alive(const Json& j) {
-  return protocol::find(j, "version") ? static_cast<std::uint32_t>(protocol::get_count(j, "version")) : 0;
+std::uint32_t parse_alive(const Json& json) {
+  if (!protocol::find(json, "version")) return 0;
+  return static_cast<std::uint32_t>(protocol::get_count(json, "version"));
 }
 
 Json to_json(const std::vector<MachineRecord>& machines) {
   Json list = Json::array();
-  for (const auto& m : machines) {
-    Json e{{"n", m.name.value()}, {"t", m.type.value()}, {"z", m.zone.value()}, {"s", m.spot}};
-    if (!m.address.empty()) e["a"] = m.address;
-    if (m.quarantined) e["k"] = true;
-    list.push_back(std::move(e));
+  for (const auto& machine : machines) {
+    Json json{{"n", machine.name.value()},
+              {"t", machine.type.value()},
+              {"z", machine.zone.value()},
+              {"s", machine.spot}};
+    if (!machine.address.empty()) json["a"] = machine.address;
+    if (machine.quarantined) json["k"] = true;
+    list.push_back(std::move(json));
   }
   return {{"machines", std::move(list)}};
 }
 
-std::vector<MachineRecord> parse_machines(const Json& j) {
-  std::vector<MachineRecord> v;
-  for (const Json& e : need_list(j, "machines"))
-    v.push_back({MachineName(protocol::get_string(e, "n")), MachineType(protocol::get_string(e, "t")),
-                 Zone(protocol::get_string(e, "z")), protocol::get_bool(e, "s"),
-                 protocol::find(e, "a") ? protocol::get_string(e, "a") : std::string(),
-                 protocol::get_bool_or(e, "k", false)});
-  return v;
+std::vector<MachineRecord> parse_machines(const Json& json) {
+  std::vector<MachineRecord> machines;
+  for (const Json& machine : need_list(json, "machines"))
+    machines.push_back({MachineName(protocol::get_string(machine, "n")),
+                        MachineType(protocol::get_string(machine, "t")),
+                        Zone(protocol::get_string(machine, "z")), protocol::get_bool(machine, "s"),
+                        protocol::find(machine, "a") ? protocol::get_string(machine, "a") : std::string(),
+                        protocol::get_bool_or(machine, "k", false)});
+  return machines;
 }
 
 }  // namespace beaconsill::state_store
--- a/src/state_store/records.h
+++ b/src/state_store/records.h
@@ -1,4 +1,4 @@
-// What the service keeps in the state store: the keys, one writer each, and the forms of their values.
+// The service's records in the state store, one writer for each key, and their JSON forms.
 #pragma once
 
 #include <map>
@@ -9,17 +9,19 @@
 
 #include "base/ranges.h"
 #include "protocol/api.h"
-#include "protocol/peer.h"
+#include "protocol/state_store.h"
+#include "protocol/task_records.h"
+#include "state_store/record_keys.h"
 
 namespace beaconsill::state_store {
 
-constexpr std::string_view kPrefix = "beaconsill/";
-
 enum class TerminalState { kDone, kCancelled };
+
+// How a job ended. Written once and never changed.
 struct TerminalRecord {
   TerminalState end = TerminalState::kDone;
   std::uint32_t done = 0;  // tasks that had completed, for display
-  // When a job that is done was seen to be; 0: not known (versions before pipelines don't say).
+  // When the job was seen to be done; 0: not known (format version 0 doesn't record it).
   WallMs at{};
 };
 
@@ -27,106 +29,98 @@
 struct Chunk {
   Generation generation;
   ShardId shard;
-  Term term;  // of the shard, as the leader knew it: to an owner of a higher term this is an earlier grant
+  Term term;  // of the shard, as the leader knew it: to a shard leader of a higher term it's an earlier grant
   Ranges tasks;
   std::optional<Zone> zone;  // the only zone for these tasks (jobs that set together or scatter)
-  bool preempt = false;      // room for them is to be made by stopping work of lower priority
+  bool preempt = false;      // capacity for them is to be made by preempting work of lower priority
   Attempt gang_attempt;      // gangs: the attempt number shared by all tasks
-  // That of a job which needs this one, if it's higher than its own.
+  // That of a job which depends on this one, if it's higher than its own.
   std::optional<Priority> priority;
   bool operator==(const Chunk&) const = default;
 };
+
+// What the leader has granted of a job.
 struct Grants {
   std::vector<Chunk> chunks;
   Generation last;      // highest generation ever used for the job
-  bool revoke = false;  // gangs: all tasks are to be stopped and given back, so that it can start anew
+  bool revoke = false;  // gangs: all tasks are to be stopped and released, so that it can start anew
 };
+
+// The same form as in messages between controllers, which report it ahead of the record.
 using protocol::ReleasedTasks;
+
+// What a shard has recorded of the tasks granted to it.
 struct Progress {
   Ranges done;
   std::vector<ReleasedTasks> released;
   bool operator==(const Progress&) const = default;
 };
+
+// Who leads: the cluster, or a shard.
 struct Role {
   ControllerName controller;
   Term term;
   // The lowest format version that can read the value. A lower one takes the key for missing; since its
-  // claims are conditional on the version of what it read, it never takes this role. It never falls: whoever
-  // writes the role next keeps it.
+  // attempts to acquire the role are conditional on the version of what it read, it never does. It never
+  // falls: whoever writes the role next keeps it.
   std::uint32_t readable_since = 0;
 };
+
+// A machine that may run tasks of a shard.
 struct MachineRecord {
   MachineName name;
   MachineType type;
   Zone zone;
   bool spot = false;
-  std::string address;       // a successor calls on the worker there rather than wait for its next report
-  bool quarantined = false;  // set aside: a successor would have to find out anew, at the cost of many tasks
+  std::string address;       // a successor calls the agent there rather than wait for its next heartbeat
+  bool quarantined = false;  // a successor would have to find out anew, at the cost of many tasks
   bool operator==(const MachineRecord&) const = default;
 };
+
+// A job as it was submitted.
 struct JobRecord {
   std::shared_ptr<const protocol::JobSpec> spec;
   WallMs submitted;
-  // Further keys (`awaits/`) that hold the jobs which this one awaits, instead of the record itself.
+  // How many further keys hold the dependencies of the job; 0: the record itself holds them.
   std::uint32_t dependency_keys = 0;
 };
-// One of these keys. All of them are written before the record that names their number, and count for nothing
-// without it.
-struct DependencyPiece {
+
+// The value of one of these keys. All of them are written before the record that has their number, and count
+// for nothing without it.
+struct DependencySegment {
   std::vector<JobId> depends_on;
   WallMs written;
 };
 
-// What records a controller can read and write. 0: before pipelines (`awaits`). Raised with every record or
-// field that an earlier version would misread; see docs/upgrade.md.
+// The format version of the records that a controller can read and write. 0: before dependencies. Raised with
+// every record or field that an earlier version would misread; see docs/upgrade.md.
 constexpr std::uint32_t kFormatVersion = 2;
 constexpr std::uint32_t kPipelinesSince = 1;
-// Registries of any number of keys, and job records whose list of awaited jobs goes on in further keys.
+// Registries of any number of keys, and job records whose dependencies go on in further keys.
 constexpr std::uint32_t kUnboundedKeysSince = 2;
-// The highest version that each controller has ever shown.
+// The highest format version that each controller has ever advertised.
 using Versions = std::map<ControllerName, std::uint32_t>;
 
-// Keys.
-std::string job_key(const JobId& id);
-std::string terminal_key(const JobId& id);
-std::string dependency_key(const JobId& id, std::uint32_t piece);
-std::string grants_key(const JobId& id);
-std::string progress_key(ShardId shard, const JobId& id);
-std::string machines_key(ShardId shard, std::uint32_t bucket);
-std::string shard_role_key(ShardId shard);
-std::string leader_role_key();
-std::string alive_key(const ControllerName& controller);
-std::string versions_key();
-
-// The machines of a shard are spread over buckets by their names. A bucket that outgrows one value goes on in
-// further keys: piece K of bucket B is the key B + K * kMachineBuckets, for any K that the format version
-// which all controllers know allows.
-constexpr std::uint32_t kMachineBuckets = 16;
-std::uint32_t machine_bucket(const MachineName& name);
-// How many pieces of a bucket a controller of this version reads.
-std::uint32_t readable_pieces(std::uint32_t version);
-// The lowest version that reads this key of a registry.
-std::uint32_t registry_key_since(std::uint32_t key);
-
-// Values. The parsers throw wire::ProtocolError.
-protocol::Json to_json(const JobRecord& r);
-protocol::Json to_json(const DependencyPiece& p);
-protocol::Json to_json(const TerminalRecord& e);
-protocol::Json to_json(const Grants& g);
-protocol::Json to_json(const Progress& p);
-protocol::Json to_json(const Role& r);
-protocol::Json to_json(const std::vector<MachineRecord>& m);
-protocol::Json to_json(const Versions& v);
-// The value of alive/NODE: this program's version.
+// The JSON forms. The parsers throw protocol::ProtocolError.
+protocol::Json to_json(const JobRecord& record);
+protocol::Json to_json(const DependencySegment& segment);
+protocol::Json to_json(const TerminalRecord& record);
+protocol::Json to_json(const Grants& grants);
+protocol::Json to_json(const Progress& progress);
+protocol::Json to_json(const Role& role);
+protocol::Json to_json(const std::vector<MachineRecord>& machines);
+protocol::Json to_json(const Versions& versions);
+// The value of this controller's liveness record: it advertises the program's format version.
 protocol::Json alive_value();
-JobRecord parse_job_record(const protocol::Json& j);
-DependencyPiece parse_dependency_piece(const protocol::Json& j);
-TerminalRecord parse_terminal_record(const protocol::Json& j);
-Grants parse_grants(const protocol::Json& j);
-Progress parse_progress(const protocol::Json& j);
-Role parse_role(const protocol::Json& j);
-std::vector<MachineRecord> parse_machines(const protocol::Json& j);
-Versions parse_versions(const protocol::Json& j);
-std::uint32_t parse_alive(const protocol::Json& j);
+JobRecord parse_job_record(const protocol::Json& json);
+DependencySegment parse_dependency_segment(const protocol::Json& json);
+TerminalRecord parse_terminal_record(const protocol::Json& json);
+Grants parse_grants(const protocol::Json& json);
+Progress parse_progress(const protocol::Json& json);
+Role parse_role(const protocol::Json& json);
+std::vector<MachineRecord> parse_machines(const protocol::Json& json);
+Versions parse_versions(const protocol::Json& json);
+// The format version that a liveness record advertises.
+std::uint32_t parse_alive(const protocol::Json& json);
 
 }  // namespace beaconsill::state_store
--- a/src/state_store/sizes.cpp
+++ b/src/state_store/sizes.cpp
@@ -1,6 +1,7 @@
 #include "state_store/sizes.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace beaconsill::state_store {
 namespace {
@@ -8,25 +9,55 @@
 // A span of finished tasks that could be added to a record.
 struct Span {
   std::optional<Generation> released;  // none: they are done
-  std::uint32_t first = 0, end = 0;
+  std::uint32_t first = 0;
+  std::uint32_t end = 0;
 };
 
-void add(Progress& p, const Span& s) {
-  if (!s.released) return p.done.add_span(s.first, s.end);
-  auto it = std::find_if(p.released.begin(), p.released.end(),
-                         [&](const ReleasedTasks& r) { return r.generation == *s.released; });
-  if (it == p.released.end()) it = p.released.insert(it, {*s.released, {}});
-  it->tasks.add_span(s.first, s.end);
+void add(Progress& progress, const Span& span) {
+  if (!span.released) return progress.done.add_span(span.first, span.end);
+  auto it = std::find_if(progress.released.begin(), progress.released.end(),
+                         [&](const ReleasedTasks& tasks) { return tasks.generation == *span.released; });
+  if (it == progress.released.end()) it = progress.released.insert(it, {*span.released, {}});
+  it->tasks.add_span(span.first, span.end);
 }
 
-std::vector<Span> spans_of(const Progress& p) {
+std::vector<Span> spans_of(const Progress& progress) {
   std::vector<Span> spans;
-  for (const auto& r : p.released)
-    for (const auto& [first, end] : r.tasks.spans()) spans.push_back({r.generation, first, end});
-  for (const auto& [first, end] : p.done.spans()) spans.push_back({std::nullopt, first, end});
+  for (const auto& released : progress.released)
+    for (const auto& [first, end] : released.tasks.spans())
+      spans.push_back({released.generation, first, end});
+  for (const auto& [first, end] : progress.done.spans()) spans.push_back({std::nullopt, first, end});
   return spans;
 }
 
+// What is recorded and still wanted.
+Progress still_wanted(const Progress& recorded, const Progress& wanted) {
+  Progress kept{recorded.done, {}};
+  for (const auto& released : recorded.released)
+    if (std::any_of(wanted.released.begin(), wanted.released.end(),
+                    [&](const ReleasedTasks& tasks) { return tasks.generation == released.generation; }))
+      kept.released.push_back(released);
+  return kept;
+}
+
+// The dependencies of a job, spread over as few values as hold them.
+std::vector<DependencySegment> split_dependencies(const JobRecord& record, std::size_t max_bytes) {
+  constexpr std::size_t kQuotesAndCommaBytes = 3;
+  const auto empty_bytes = value_bytes(to_json(DependencySegment{{}, record.submitted}));
+  std::vector<DependencySegment> segments;
+  std::size_t bytes = max_bytes + 1;  // the first one begins a segment
+  for (const auto& dependency : record.spec->depends_on) {
+    const auto more = dependency.value().size() + kQuotesAndCommaBytes;
+    if (bytes + more > max_bytes) {
+      segments.push_back({{}, record.submitted});
+      bytes = empty_bytes;
+    }
+    bytes += more;
+    segments.back().depends_on.push_back(dependency);
+  }
+  return segments;
+}
+
 }  // namespace
 
 std::size_t value_bytes(const protocol::Json& value) {
@@ -35,11 +66,7 @@
 
 Progress fit_progress(const Progress& recorded, const Progress& wanted, std::size_t max_bytes) {
   if (value_bytes(to_json(wanted)) <= max_bytes) return wanted;
-  Progress fitting{recorded.done, {}};
-  for (const auto& r : recorded.released)
-    if (std::any_of(wanted.released.begin(), wanted.released.end(),
-                    [&](const ReleasedTasks& w) { return w.generation == r.generation; }))
-      fitting.released.push_back(r);
+  auto fitting = still_wanted(recorded, wanted);
   const auto spans = spans_of(wanted);
   std::size_t taken = 0;
   for (std::size_t step = spans.size(); step > 0; step /= 2) {
@@ -73,17 +100,7 @@
 std::optional<JobValues> fit_job(JobRecord record, std::size_t max_bytes) {
   JobValues values{std::move(record), {}};
   if (value_bytes(to_json(values.record)) <= max_bytes) return values;
-  const auto empty = value_bytes(to_json(DependencyPiece{{}, values.record.submitted}));
-  std::size_t bytes = max_bytes + 1;  // the first one begins a piece
-  for (const auto& dependency : values.record.spec->depends_on) {
-    auto more = dependency.value().size() + 3;  // quotes and a comma
-    if (bytes + more > max_bytes) {
-      values.depends_on.push_back({{}, values.record.submitted});
-      bytes = empty;
-    }
-    bytes += more;
-    values.depends_on.back().depends_on.push_back(dependency);
-  }
+  values.depends_on = split_dependencies(values.record, max_bytes);
   values.record.dependency_keys = static_cast<std::uint32_t>(values.depends_on.size());
   if (values.depends_on.empty() || value_bytes(to_json(values.record)) > max_bytes) return std::nullopt;
   return values;
--- a/src/state_store/txn_draft.h
+++ b/src/state_store/txn_draft.h
@@ -1,4 +1,4 @@
-// A transaction that is made up step by step and keeps within what the state store takes.
+// A transaction that is built step by step and keeps within the limits of the state store.
 #pragma once
 
 #include <cstddef>
@@ -16,9 +16,10 @@
 // Of `kMaxTxnBytes`, what a value leaves to the keys and conditions beside it.
 constexpr std::size_t kMaxValueBytes = kMaxTxnBytes - std::size_t{4} * 1024;
 
+// Not thread-safe.
 class TxnDraft {
  public:
-  // `max_changes`: puts and deletes.
+  // `max_changes`: how many puts and deletes it may hold.
   explicit TxnDraft(std::size_t max_changes) : max_changes_(max_changes) {}
 
   // Adds changes and what they are conditional on, all of them or none: false if they don't fit any more.
--- a/src/state_store/watch_cache.cpp
+++ b/src/state_store/watch_cache.cpp
@@ -1,12 +1,20 @@
 #include "state_store/watch_cache.h"
 
+#include <algorithm>
+#include <utility>
+
 #include "base/log.h"
 
 namespace beaconsill::state_store {
 namespace {
-constexpr std::uint32_t kPage = 400;
-// A read that takes longer is no use to a question that comes now.
+
+constexpr std::uint32_t kPageItems = 400;
+// A read that takes longer is no use to a request that comes now.
 constexpr Duration kSlowRead = std::chrono::milliseconds(400);
+constexpr int kStatusCompacted = 410;
+// From so many failed reads in a row on, reads are probes.
+constexpr int kProbeAfterFailures = 2;
+
 }  // namespace
 
 WatchCache::WatchCache(asio::io_context& io, const Clock& clock, std::shared_ptr<StoreClient> client,
@@ -15,8 +23,8 @@
       client_(std::move(client)),
       period_(period),
       on_change_(std::move(on_change)),
-      timer_(io),
-      late_timer_(io) {}
+      read_timer_(io),
+      late_response_timer_(io) {}
 
 void WatchCache::start() {
   reading_ = true;
@@ -25,216 +33,237 @@
 
 void WatchCache::stop() {
   stopped_ = true;
-  timer_.cancel();
-  late_timer_.cancel();
-  finish(false);
-  served_ = std::move(waiting_);
-  finish(false);
+  read_timer_.cancel();
+  late_response_timer_.cancel();
+  finish_syncs(false);
+  active_syncs_ = std::move(waiting_syncs_);
+  finish_syncs(false);
 }
 
-void WatchCache::schedule(Duration d) {
-  if (d <= Duration(0) && loaded_) {
-    timer_.cancel();
+void WatchCache::schedule(Duration delay) {
+  if (delay <= Duration(0) && loaded_) {
+    read_timer_.cancel();
     reading_ = true;
     return read();
   }
-  timer_.expires_after(d);
-  timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-    auto me = weak.lock();
-    if (!me || ec || me->stopped_ || me->reading_) return;
-    me->reading_ = true;
-    if (me->loaded_) {
-      me->read();
-    } else {
-      me->view_.clear();
-      me->load("");
-    }
+  read_timer_.expires_after(delay);
+  read_timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
+    if (auto self = weak.lock(); self && !ec) self->on_timer();
   });
 }
 
-// The whole content, page by page. Changes made meanwhile come with the first read, which starts from the
-// first page's revision.
+void WatchCache::on_timer() {
+  if (stopped_ || reading_) return;
+  reading_ = true;
+  if (loaded_) return read();
+  view_.clear();
+  load("");
+}
+
+// Changes made while the pages are read come with the first read after them, which starts from the first
+// page's revision.
 void WatchCache::load(const std::string& after) {
-  bool first = after.empty();
-  client_->get(protocol::page_target(kPrefix, after, kPage), Urgency::kElection,
-               [weak = weak_from_this(), first](const ReadResult& r) {
-                 auto me = weak.lock();
-                 if (!me || me->stopped_) return;
-                 if (r.outcome == RequestOutcome::kOk) {
-                   try {
-                     auto page = protocol::parse_page(r.body);
-                     if (first) me->load_from_ = page.revision;
-                     std::string last;
-                     for (auto& item : page.items) {
-                       last = item.key;
-                       protocol::Change change{std::move(item.key), std::move(item.value), item.version};
-                       if (!me->deleted_later(change)) me->view_.apply(change);
-                     }
-                     if (page.more && !last.empty()) return me->load(last);
-                     me->loaded_ = true;
-                     return me->read();
-                   } catch (const protocol::ProtocolError& e) {
-                     spdlog::error("state service: page dropped: {}", e.what());
-                   }
-                 }
-                 me->reading_ = false;
-                 me->served_.swap(me->waiting_);
-                 me->finish(false);
-                 me->schedule(me->period_);
+  const bool first = after.empty();
+  client_->get(protocol::page_target(kPrefix, after, kPageItems), Urgency::kElection,
+               [weak = weak_from_this(), first](const ReadResult& result) {
+                 if (auto self = weak.lock(); self && !self->stopped_) self->on_page(result, first);
                });
 }
 
-void WatchCache::read() {
-  auto begun = begun_ = clock_.now();
-  std::swap(served_, waiting_);
-  client_->get(protocol::watch_target(kPrefix, ready_ ? revision_ : load_from_, 0), Urgency::kUserRequest,
-               [weak = weak_from_this(), begun](const ReadResult& r) {
-                 if (auto me = weak.lock(); me && !me->stopped_) me->on_read(r, begun);
-               });
+void WatchCache::on_page(const ReadResult& result, bool first) {
+  if (result.outcome != RequestOutcome::kOk) return on_load_failed();
+  std::optional<std::string> next;
+  try {
+    next = apply_page(result, first);
+  } catch (const protocol::ProtocolError& error) {
+    spdlog::error("state_store_page_malformed reason=\"{}\"", error.what());
+    return on_load_failed();
+  }
+  if (next) return load(*next);
+  loaded_ = true;
+  read();
 }
 
-void WatchCache::on_read(const ReadResult& r, Instant begun) {
-  bool ok = false;
-  if (r.outcome == RequestOutcome::kOk) {
-    try {
-      auto changes = protocol::parse_changes(r.body);
-      auto applied = open_.take_applied(changes.changes);
-      apply_read(std::move(changes), begun);
-      ok = true;
-      // As if their answers had come: with the view complete, lest one of them tells a user something older
-      // than what was read, and before anybody else is shown the changes.
-      for (auto& a : applied) a.done({RequestOutcome::kOk, a.revision});
-    } catch (const protocol::ProtocolError& e) {
-      spdlog::error("state service: changes dropped: {}", e.what());
-    }
-  } else if (r.status == 410) {
-    spdlog::info("state service: changes since {} are gone, loading anew", revision_.value());
-    loaded_ = ready_ = false;
+std::optional<std::string> WatchCache::apply_page(const ReadResult& result, bool first) {
+  auto page = protocol::parse_page(result.body);
+  if (first) load_revision_ = page.revision;
+  std::string last;
+  for (auto& item : page.items) {
+    last = item.key;
+    const protocol::Change change{std::move(item.key), std::move(item.value), item.version};
+    if (!deleted_later(change)) view_.apply(change);
   }
-  failures_ = ok ? 0 : failures_ + 1;
+  if (!page.more || last.empty()) return std::nullopt;
+  return last;
+}
+
+void WatchCache::on_load_failed() {
+  reading_ = false;
+  active_syncs_.swap(waiting_syncs_);
+  finish_syncs(false);
+  schedule(period_);
+}
+
+void WatchCache::read() {
+  const auto started = read_started_ = clock_.now();
+  std::swap(active_syncs_, waiting_syncs_);
+  const auto target = protocol::watch_target(kPrefix, ready_ ? revision_ : load_revision_, 0);
+  client_->get(target, Urgency::kUserRequest, [weak = weak_from_this(), started](const ReadResult& result) {
+    if (auto self = weak.lock(); self && !self->stopped_) self->on_read(result, started);
+  });
+}
+
+void WatchCache::on_read(const ReadResult& result, Instant started) {
+  const bool ok = apply_result(result, started);
+  failed_reads_ = ok ? 0 : failed_reads_ + 1;
   if (ok) publish_changes();
   reading_ = false;
-  finish(ok);
-  if (stopped_ || reading_) return;
-  // One that fails may be bad luck: those who wait needn't wait for a whole period.
-  if (loaded_ && (!waiting_.empty() || (ok && announced_ > revision_))) {
+  finish_syncs(ok);
+  // A callback may have started the next read.
+  if (!stopped_ && !reading_) schedule_next_read(ok);
+}
+
+bool WatchCache::apply_result(const ReadResult& result, Instant started) {
+  if (result.status == kStatusCompacted && result.outcome != RequestOutcome::kOk) {
+    spdlog::info("state_store_watch_compacted revision={}", revision_.value());
+    loaded_ = ready_ = false;
+  }
+  if (result.outcome != RequestOutcome::kOk) return false;
+  try {
+    auto changes = protocol::parse_changes(result.body);
+    auto applied = pending_txns_.take_applied(changes.changes);
+    apply_changes(std::move(changes), started);
+    // As if their responses had come: with the view complete, lest one of them shows a user something older
+    // than what was read, and before anybody else is shown the changes.
+    for (auto& txn : applied) txn.done({RequestOutcome::kOk, txn.revision});
+    return true;
+  } catch (const protocol::ProtocolError& error) {
+    spdlog::error("state_store_changes_malformed reason=\"{}\"", error.what());
+    return false;
+  }
+}
+
+void WatchCache::schedule_next_read(bool ok) {
+  // A read that fails may be bad luck: those who wait needn't wait for a whole period.
+  if (loaded_ && (!waiting_syncs_.empty() || (ok && announced_revision_ > revision_))) {
     read_soon();
   } else {
     schedule(period_);
   }
 }
 
-void WatchCache::apply_read(protocol::Changes changes, Instant begun) {
-  std::erase_if(changes.changes, [&](const auto& c) { return deleted_later(c); });
+void WatchCache::apply_changes(protocol::Changes changes, Instant started) {
+  std::erase_if(changes.changes, [&](const auto& change) { return deleted_later(change); });
   view_.apply_all(std::move(changes.changes));
   revision_ = std::max(revision_, changes.revision);
   view_.complete_to(revision_);
-  std::erase_if(own_deletions_, [&](const auto& d) { return d.second <= revision_; });
-  as_of_ = begun;
+  std::erase_if(own_deletions_, [&](const auto& deletion) { return deletion.second <= revision_; });
+  as_of_ = started;
   ready_ = true;
 }
 
 void WatchCache::publish_changes() {
-  auto touched = view_.take_changes();
-  if (touched.any()) on_change_(touched);
+  auto changes = view_.take_changes();
+  if (changes.any()) on_change_(changes);
 }
 
-void WatchCache::finish(bool ok) {
-  auto done = std::move(served_);
-  served_.clear();
-  for (auto& d : done) d(ok);
+void WatchCache::finish_syncs(bool ok) {
+  for (auto& done : std::exchange(active_syncs_, {})) done(ok);
 }
 
 void WatchCache::sync(std::function<void(bool)> done) {
   if (stopped_ || !loaded_) return done(false);
-  waiting_.push_back(std::move(done));
+  waiting_syncs_.push_back(std::move(done));
   if (!reading_) read_soon();
 }
 
 bool WatchCache::is_responsive() const {
   if (stopped_ || !loaded_ || !client_->available()) return false;
-  return !reading_ || clock_.now() - begun_ <= kSlowRead;
+  return !reading_ || clock_.now() - read_started_ <= kSlowRead;
 }
 
-void WatchCache::commit(protocol::Txn t, Urgency u, std::function<void(TxnResult)> done,
+void WatchCache::commit(protocol::Txn txn, Urgency urgency, std::function<void(TxnResult)> done,
                         Duration queue_wait) {
-  auto id = open_.add(t, std::move(done));
+  const auto id = pending_txns_.add(txn, std::move(done));
   StoreClient::TxnOptions options;
   options.queue_wait = queue_wait;
   options.on_sent = [weak = weak_from_this(), id] {
-    auto me = weak.lock();
-    if (!me) return;
-    me->open_.sent(id, me->revision_, me->clock_.now());
-    me->check_late_answers();
+    auto self = weak.lock();
+    if (!self) return;
+    self->pending_txns_.sent(id, self->revision_, self->clock_.now());
+    self->check_late_responses();
   };
-  auto answered = [weak = weak_from_this(), id](TxnResult r) {
-    auto me = weak.lock();
-    if (!me) return;
-    if (auto waiting = me->open_.take(id)) waiting(r);
+  auto on_response = [weak = weak_from_this(), id](TxnResult result) {
+    auto self = weak.lock();
+    if (!self) return;
+    if (auto pending_done = self->pending_txns_.take(id)) pending_done(result);
   };
-  client_->txn(std::move(t), u, std::move(answered), std::move(options));
+  client_->txn(std::move(txn), urgency, std::move(on_response), std::move(options));
 }
 
-// A lost answer needn't cost the timeout of its transaction: what was carried out at once can be read. One
+// A lost response needn't cost the timeout of its transaction: what was carried out at once can be read. One
 // read serves all that are late.
-void WatchCache::check_late_answers() {
-  auto oldest = open_.oldest_sent();
-  if (stopped_ || looking_ || !oldest) return;
-  looking_ = true;
-  auto now = clock_.now();
-  auto timeout = client_->answer_timeout();
-  late_timer_.expires_at(*oldest + timeout > now ? *oldest + timeout : now + timeout);
-  late_timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-    auto me = weak.lock();
-    if (!me || ec || me->stopped_) return;
-    me->looking_ = false;
-    auto sent = me->open_.oldest_sent();
-    if (sent && me->clock_.now() - *sent >= me->client_->answer_timeout()) me->sync([](bool) {});
-    me->check_late_answers();
+void WatchCache::check_late_responses() {
+  const auto oldest = pending_txns_.oldest_sent();
+  if (stopped_ || late_check_scheduled_ || !oldest) return;
+  late_check_scheduled_ = true;
+  const auto now = clock_.now();
+  const auto timeout = client_->answer_timeout();
+  late_response_timer_.expires_at(*oldest + timeout > now ? *oldest + timeout : now + timeout);
+  late_response_timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
+    if (auto self = weak.lock(); self && !ec) self->on_late_response_timer();
   });
 }
 
-// Found on a day with dozens of questions a second at each controller: read after read took up the whole
-// limit of requests, and grants waited for seconds. One read serves all who wait.
+void WatchCache::on_late_response_timer() {
+  if (stopped_) return;
+  late_check_scheduled_ = false;
+  const auto sent = pending_txns_.oldest_sent();
+  if (sent && clock_.now() - *sent >= client_->answer_timeout()) sync([](bool) {});
+  check_late_responses();
+}
+
+// Found on a day with dozens of status requests a second at each controller: read after read took up the
+// whole rate limit, and grants waited for seconds. One read serves all who wait.
 void WatchCache::read_soon() {
-  // While reads fail they are probes: otherwise each question and each grant that is refused would lead to
-  // the next read.
-  auto gap = failures_ < 2 ? client_->fair_gap() : period_;
-  schedule(std::max(Duration(0), begun_ + gap - clock_.now()));
+  // While reads fail they are probes: otherwise each status request and each grant that is refused would lead
+  // to the next read.
+  const auto gap = failed_reads_ < kProbeAfterFailures ? client_->fair_gap() : period_;
+  schedule(std::max(Duration(0), read_started_ + gap - clock_.now()));
 }
 
-void WatchCache::on_remote_change(Revision r) {
-  announced_ = std::max(announced_, r);
-  if (stopped_ || !loaded_ || reading_ || announced_ <= revision_) return;
+void WatchCache::on_remote_change(Revision revision) {
+  announced_revision_ = std::max(announced_revision_, revision);
+  if (stopped_ || !loaded_ || reading_ || announced_revision_ <= revision_) return;
   read_soon();
 }
 
-// A read that began before this controller dropped a key may bring an older value of it, and the view keeps
+// A read that began before this controller deleted a key may bring an older value of it, and the view keeps
 // no version of a key that doesn't exist.
-bool WatchCache::deleted_later(const protocol::Change& c) const {
-  auto dropped = own_deletions_.find(c.key);
-  return dropped != own_deletions_.end() && c.version <= dropped->second;
-}
-
-// The answer to a transaction may come after reads that went beyond it. What it wrote may have been dropped
-// since, and would be back in the view for good: no later read tells of it again. While the content is
-// loaded, what was written comes with the pages or with the read after them; and nobody is to be told of jobs
-// whose grants are in the view while what was returned of them isn't yet.
-void WatchCache::apply_own(const protocol::Txn& t, Revision r) {
-  if (!ready_ || r <= revision_) return;
-  for (const auto& w : t.writes) {
-    view_.apply({w.key, w.value, r});
-    if (!w.value) own_deletions_[w.key] = r;
+bool WatchCache::deleted_later(const protocol::Change& change) const {
+  auto deletion = own_deletions_.find(change.key);
+  return deletion != own_deletions_.end() && change.version <= deletion->second;
+}
+
+// The response to a transaction may come after reads that went beyond it. What it wrote may have been deleted
+// since, and would be back in the view for good: no later read shows it again. While the content is loaded,
+// what was written comes with the pages or with the read after them; and nobody may be notified of jobs whose
+// grants are in the view while what was released of them isn't yet.
+void WatchCache::apply_own(const protocol::Txn& txn, Revision revision) {
+  if (!ready_ || revision <= revision_) return;
+  for (const auto& write : txn.writes) {
+    view_.apply({write.key, write.value, revision});
+    if (!write.value) own_deletions_[write.key] = revision;
   }
   publish_changes();
 }
 
 void WatchCache::apply_cancelled(const std::vector<protocol::CancelledJob>& jobs) {
   bool any = false;
-  for (const auto& c : jobs) {
-    if (view_.terminal_record(c.job).version >= c.revision) continue;
-    view_.apply(
-        {terminal_key(c.job), to_json(TerminalRecord{TerminalState::kCancelled, c.done}), c.revision});
+  for (const auto& cancelled : jobs) {
+    if (view_.terminal_record(cancelled.job).version >= cancelled.revision) continue;
+    const TerminalRecord record{TerminalState::kCancelled, cancelled.done};
+    view_.apply({terminal_key(cancelled.job), to_json(record), cancelled.revision});
     any = true;
   }
   // While the view is being loaded it lacks roles as well, and nobody may act on that.
--- /dev/null
+++ b/tests/record_keys_test.cpp
@@ -0,0 +1,49 @@
+// The keys of records, taken apart.
+#include "state_store/record_keys.h"
+
+#include <gtest/gtest.h>
+
+namespace beaconsill::state_store {
+namespace {
+
+TEST(RecordKeys, EachKeyIsTakenApartIntoWhatItWasMadeOf) {
+  const JobId job("run-7");
+  struct Case {
+    std::string key;
+    RecordKind kind;
+    std::string name;
+    std::uint32_t shard, number;
+  };
+  const Case cases[] = {
+      {job_key(job), RecordKind::kJob, "run-7", 0, 0},
+      {terminal_key(job), RecordKind::kTerminal, "run-7", 0, 0},
+      {dependency_key(job, 12), RecordKind::kDependencies, "run-7", 0, 12},
+      {grants_key(job), RecordKind::kGrants, "run-7", 0, 0},
+      {progress_key(ShardId(3), job), RecordKind::kProgress, "run-7", 3, 0},
+      {machines_key(ShardId(3), 17), RecordKind::kMachines, "", 3, 17},
+      {shard_role_key(ShardId(4)), RecordKind::kShardRole, "", 4, 0},
+      {leader_role_key(), RecordKind::kLeaderRole, "", 0, 0},
+      {alive_key(ControllerName("a")), RecordKind::kAlive, "a", 0, 0},
+      {versions_key(), RecordKind::kVersions, "", 0, 0},
+  };
+  for (const auto& c : cases) {
+    const auto key = parse_key(c.key);
+    ASSERT_TRUE(key) << c.key;
+    EXPECT_EQ(key->kind, c.kind) << c.key;
+    EXPECT_EQ(key->name, c.name) << c.key;
+    EXPECT_EQ(key->shard, ShardId(c.shard)) << c.key;
+    EXPECT_EQ(key->number, c.number) << c.key;
+  }
+}
+
+TEST(RecordKeys, OtherKeysAreNone) {
+  for (const char* key : {"", "beaconsill", "beaconsill/", "elsewhere/jobs/run-7", "beaconsill/novel/thing",
+                          "beaconsill/progress/x/run-7", "beaconsill/awaits/run-7",
+                          "beaconsill/awaits/run-7/x", "beaconsill/machines/x/1", "beaconsill/machines/1",
+                          "beaconsill/machines/1/-2", "beaconsill/roles/part", "beaconsill/roles/part/x",
+                          "beaconsill/roles/other", "beaconsill/roles/part/99999999999"})
+    EXPECT_FALSE(parse_key(key)) << key;
+}
+
+}  // namespace
+}  // namespace beaconsill::state_store
