--- a/src/shard/cancellation_barrier.h
+++ b/src/shard/cancellation_barrier.h
@@ -1,12 +1,14 @@
-// When a controller may tell a user that a job is cancelled, and how far each owner of a shard knows all
-// cancellations that any controller has told users of, also while the state store answers nobody.
+// The cancellation visibility barrier: when a controller may acknowledge to a user that a job is cancelled,
+// and up to when a shard leader knows all cancellations that any controller has acknowledged, also while the
+// state store answers nobody.
 //
-// A controller *discloses* a cancellation when it answers any user that the job is cancelled. Heartbeats
-// carry the cancellations that their receiver isn't known to have, and promise that for some time no other
-// one will be disclosed to users before the receiver has acknowledged it. docs/design.md ("Cancellations")
-// holds the argument. No sockets and no clock: the caller passes times of this controller's steady clock.
+// Heartbeats between controllers carry the cancellations that their receiver isn't known to have, and grant
+// it a read lease: until that ends the sender acknowledges no other cancellation to users before the receiver
+// has it. docs/design.md ("Cancellations") holds the argument. No sockets and no clock: the caller passes
+// times of this controller's steady clock.
 #pragma once
 
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <optional>
@@ -18,17 +20,19 @@
 
 namespace beaconsill::shard {
 
+// Holds what this controller knows of each of its peers. The names of peers that it is given must be those of
+// the constructor.
 class CancellationBarrier {
  public:
   struct Params {
-    // How long a promise holds.
+    // How long a read lease lasts.
     Duration read_lease{};
-    // A peer that has echoed no heartbeat for this long is out of touch, and gets no promise.
-    Duration in_touch{};
+    // A peer that has echoed no heartbeat for this long is granted no read lease.
+    Duration contact_timeout{};
     // Most cancellations in one heartbeat.
     std::size_t max_listed = 128;
   };
-  // A quarter of the time between the end of a lease and that by which a cancelled task has to be gone.
+  // A quarter of the time between the end of a lease and that by which a cancelled task has to have ended.
   static Duration read_lease_for(Duration cancel_limit, Duration lease) { return (cancel_limit - lease) / 4; }
 
   // What this controller has read of the state store. Refers to the caller's data for the time of a call.
@@ -38,17 +42,17 @@
     const std::set<protocol::CancelledJob>& cancelled;
   };
 
-  // `started`: when this process did; an earlier one of the same controller may have made promises up to
-  // then.
+  // `started`: when this process did; an earlier one of the same controller may have granted read leases up
+  // to then.
   CancellationBarrier(Params params, const std::vector<ControllerName>& peers, Instant started);
 
-  // What the heartbeat of this number to the peer has to say. It counts as sent, and as promised, from now
-  // on.
+  // What the heartbeat of this number to the peer has to carry. It counts as sent, and its read lease as
+  // granted, from now on.
   protocol::CancellationSync outgoing(const ControllerName& peer, std::uint64_t sequence, const Known& known,
                                       Instant now);
   // A heartbeat received. Its cancellations have to be applied first: `known` includes them, if it's ready.
-  // Whether one should go back at once: to acknowledge cancellations, or with more of them.
-  bool on_heartbeat(const ControllerName& peer, const protocol::Heartbeat& h, const Known& known,
+  // Whether one should be sent back at once: to acknowledge cancellations, or with more of them.
+  bool on_heartbeat(const ControllerName& peer, const protocol::Heartbeat& heartbeat, const Known& known,
                     Instant now);
   // Forgets which heartbeats were sent, for a new connection: their echoes no longer count.
   void forget_sent(const ControllerName& peer) { peers_.at(peer).sent.clear(); }
@@ -56,10 +60,10 @@
   // Whether a user may be told now that the job is cancelled. The answer has to be written in the same
   // callback.
   bool may_acknowledge(const protocol::CancelledJob& job, const Known& known, Instant now) const;
-  // Whether the peer is ready and not known to have all that is cancelled.
+  // Whether the peer is ready and not known to have all cancellations.
   bool lacks_cancellations(const ControllerName& peer, const Known& known) const;
 
-  // All cancellations disclosed by any other controller before this time are known here.
+  // All cancellations acknowledged to users by any other controller before this time are known here.
   Instant known_until(bool ready, Instant now) const;
 
   // When the newest heartbeat was sent that the peer has echoed.
@@ -72,33 +76,37 @@
  private:
   struct SentHeartbeat {
     std::uint64_t sequence = 0;
-    Instant at;
+    Instant sent_at;
     std::vector<protocol::CancelledJob> listed;
   };
   struct Peer {
-    std::deque<SentHeartbeat> sent;
+    std::deque<SentHeartbeat> sent;  // whose echoes are awaited
     std::uint64_t received = 0;
     Instant echoed{};
-    bool ready = false;  // by the newest heartbeat of theirs
+    bool ready = false;  // by its newest heartbeat
     // Records are never taken back, and a restarted peer is ready only after it has read all of them: so what
     // any process of the peer had, its present one has when it's ready.
     Revision read_until;
     std::set<protocol::CancelledJob> acknowledged;  // beyond read_until
-    // This controller's promise to the peer.
+    // End of the read lease that this controller has granted to the peer.
     Instant read_lease_until{};
-    // All that the peer, or an earlier process of it, has disclosed or will disclose before this is known
-    // here.
+    // All cancellations that the peer, or an earlier process of it, acknowledges to users before this time
+    // are known here.
     Instant complete_until{};
   };
-  bool has(const Peer& p, const protocol::CancelledJob& job) const;
-  void acknowledge(Peer& p, const std::vector<protocol::CancelledJob>& jobs);
-  // The heartbeat that is echoed here.
-  const SentHeartbeat* find_echoed(Peer& p, const protocol::Heartbeat& h);
-  void learn(Peer& p, const protocol::CancellationSync& d);
-  void conclude(Peer& p, const protocol::Heartbeat& h, Instant echoed, const Known& known, Instant now);
-  void extend_completeness(Peer& p, const protocol::CancellationSync& d, Instant echoed, bool ready,
-                           Instant now);
-  void conclude_without_read_lease(Peer& p, const protocol::Heartbeat& h, Instant echoed, const Known& known);
+  static bool has(const Peer& peer, const protocol::CancelledJob& job);
+  static void acknowledge(Peer& peer, const std::vector<protocol::CancelledJob>& jobs);
+  // The heartbeat that is echoed by this one; none if it isn't awaited. Earlier ones are forgotten.
+  static const SentHeartbeat* find_echoed(Peer& peer, const protocol::Heartbeat& heartbeat);
+  static void apply_sync(Peer& peer, const protocol::CancellationSync& sync);
+  // Adds what the peer lacks; false: not all of it, as too many would be listed.
+  bool list_missing(const Peer& peer, const Known& known, std::vector<protocol::CancelledJob>& listed) const;
+  void on_echo(Peer& peer, const protocol::Heartbeat& heartbeat, Instant echoed_sent_at, const Known& known,
+               Instant now);
+  static void extend_completeness(Peer& peer, const protocol::CancellationSync& sync, Instant echoed_sent_at,
+                                  bool ready, Instant now);
+  static void set_completeness_without_read_lease(Peer& peer, const protocol::Heartbeat& heartbeat,
+                                                  Instant echoed_sent_at, const Known& known);
 
   Params params_;
   std::map<ControllerName, Peer> peers_;
--- a/src/shard/partitioning.cpp
+++ b/src/shard/partitioning.cpp
@@ -5,30 +5,33 @@
 
 namespace beaconsill::shard {
 
-Partitioning::Partitioning(const config::Settings& s) {
-  // The order of `known` differs from controller to controller; names sort the same everywhere.
-  std::map<ControllerName, Zone> controllers{{s.controller, s.zone}};
-  for (const auto& p : s.peers) controllers[p.controller] = p.zone;
+Partitioning::Partitioning(const config::Settings& settings) {
+  // The order of peers differs from controller to controller; names sort the same everywhere.
+  std::map<ControllerName, Zone> controllers{{settings.controller, settings.zone}};
+  for (const auto& peer : settings.peers) controllers[peer.controller] = peer.zone;
   for (const auto& [name, zone] : controllers) {
     by_zone_[zone].push_back(ShardId(static_cast<std::uint32_t>(controllers_.size())));
     controllers_.push_back(name);
   }
-  std::set<Zone> rest(s.zones.begin(), s.zones.end());
-  // A zone without a controller goes to the one that has least: controllers of a zone share its machines.
+  assign_other_zones(settings.zones);
+}
+
+void Partitioning::assign_other_zones(const std::vector<Zone>& zones) {
+  // In zones: the controllers of a zone share its machines.
   std::vector<double> load(shards());
-  for (const auto& [zone, owners] : by_zone_)
-    for (auto p : owners) load[p.value()] = 1.0 / static_cast<double>(owners.size());
-  for (const auto& z : rest) {
-    if (by_zone_.contains(z)) continue;
+  for (const auto& [zone, zone_shards] : by_zone_)
+    for (auto shard : zone_shards) load[shard.value()] = 1.0 / static_cast<double>(zone_shards.size());
+  for (const auto& zone : std::set<Zone>(zones.begin(), zones.end())) {
+    if (by_zone_.contains(zone)) continue;
     auto least = std::min_element(load.begin(), load.end());
     *least += 1;
-    by_zone_[z].push_back(ShardId(static_cast<std::uint32_t>(least - load.begin())));
+    by_zone_[zone].push_back(ShardId(static_cast<std::uint32_t>(least - load.begin())));
   }
 }
 
 ShardId Partitioning::of(const Zone& zone, const MachineName& machine) const {
   auto it = by_zone_.find(zone);
-  // A zone that the settings don't name still needs an owner.
+  // A zone that the settings don't name still belongs to a shard.
   if (it == by_zone_.end()) return ShardId(static_cast<std::uint32_t>(stable_hash(zone.value()) % shards()));
   return it->second[stable_hash(machine.value()) % it->second.size()];
 }
--- a/tests/cancellation_barrier_model.h
+++ b/tests/cancellation_barrier_model.h
@@ -140,7 +140,7 @@
       if (k != i) peers.push_back(name(k));
     CancellationBarrier::Params params;
     params.read_lease = std::chrono::milliseconds(kPromise);
-    params.in_touch = std::chrono::milliseconds(1700);
+    params.contact_timeout = std::chrono::milliseconds(1700);
     params.max_listed = options_.seed % 3 == 0 ? 2 : 128;
     auto started = clock(n);
     if (options_.mistake == Mistake::kPromiseForgotten) started -= 2 * params.read_lease;
