--- a/src/shard/command_delivery.cpp
+++ b/src/shard/command_delivery.cpp
@@ -8,7 +8,7 @@
 using Op = protocol::Command::Op;
 using Start = MachineTask::Start;
 
-// After a probe that told nothing of the machine.
+// After a probe that did not confirm the machine.
 constexpr Duration kNextProbeAfter = std::chrono::seconds(1);
 
 }  // namespace
--- a/src/shard/command_delivery.h
+++ b/src/shard/command_delivery.h
@@ -33,7 +33,7 @@
  public:
   CommandDelivery(ShardState& state, Instant now) : state_(state), now_(now) {}
 
-  // What can be sent now: at most one batch for each machine that has something to be told or is to be
+  // What can be sent now: at most one batch for each machine that has commands to send or is to be
   // probed.
   std::vector<CommandBatch> take_batches();
   // Applies the result of a batch that was taken. The caller reconciles the heartbeat of the answer next,
--- a/src/shard/periodic_checks.cpp
+++ b/src/shard/periodic_checks.cpp
@@ -76,7 +76,7 @@
       if (!is_live(task) || !task.spec || task.stop_grace) continue;
       if (completes_within(task, seconds_left, now)) continue;
       state.stop(machine, task, task.spec->checkpoint_s > 0 ? task.spec->save_s : 0);
-      // A gang saves only if all of its tasks are told to stop within a short time.
+      // A gang saves only if all of its tasks are stopped within a short time.
       if (task.spec->kind == JobKind::kGang) state.stop_job(key.task.job, task.spec->save_s);
     }
   }
--- a/tests/cancellation_barrier_model.h
+++ b/tests/cancellation_barrier_model.h
@@ -1,6 +1,6 @@
 // Three controllers, the state store and the links between them as a seeded model: messages are lost, held,
-// repeated and reordered, controllers are cut off, end, stand still and come back, their clocks drift. The
-// checker knows the true time of each disclosure and what each controller knows.
+// repeated and reordered, controllers are partitioned, end, pause and come back, their clocks drift. The
+// checker knows the true time of each acknowledgement to a user and what each controller knows.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 namespace beaconsill::model {
 
 using shard::CancellationBarrier;
-constexpr std::size_t kNodes = 3;
+constexpr std::size_t kControllers = 3;
 // True times are milliseconds since the start.
 using Ms = std::int64_t;
 constexpr Ms kStep = 20;
@@ -23,17 +23,17 @@
 constexpr Ms kReadPeriod = 400;
 constexpr Ms kLease = 17'500;
 constexpr Ms kCancelLimit = 47'500;
-constexpr Ms kPromise = (kCancelLimit - kLease) / 4;
-// Without news of cancellations for longer than this a controller answers no worker ...
+constexpr Ms kReadLease = (kCancelLimit - kLease) / 4;
+// Without knowledge of cancellations for longer than this a controller answers no worker ...
 constexpr Ms kAnswerLimit = kCancelLimit - kLease - 1000;
-// ... and after a disclosure an owner that doesn't know of it may answer for no longer than this.
+// ... and after an acknowledgement a shard leader that doesn't know of it may answer for no longer than this.
 constexpr Ms kBroken = kCancelLimit - kLease - 500;
 
 enum class Mistake {
   kNone,
-  kNoAcknowledgement,       // a cancellation is disclosed at once
-  kPromiseForgotten,        // a restarted process doesn't keep the promises of the one before
-  kCountedFromReceipt,      // a promise counts from when it's received
+  kAcknowledgedAtOnce,      // a cancellation is acknowledged to users at once
+  kReadLeaseForgotten,      // a restarted process doesn't keep the read leases of the one before
+  kCountedFromReceipt,      // a read lease counts from when it's received
   kNotReadyCountedAsReady,  // a controller that hasn't read everything says that it lists all
   kAcknowledgedUnread,      // what a heartbeat lists is acknowledged and not applied
   kAlwaysComplete,          // a heartbeat with a part of what is cancelled says that it has all
@@ -42,23 +42,24 @@
 struct Options {
   std::uint64_t seed = 1;
   Mistake mistake = Mistake::kNone;
-  bool state_only = false;  // controllers stay up and in touch with each other; the state store does not
+  bool state_only = false;  // controllers stay up and connected with each other; the state store does not
 };
 
 struct Result {
   std::string broken;  // the first rule broken, empty if none
-  int disclosed = 0;
+  int acknowledged = 0;
   int refused = 0;
-  int disclosed_unknown = 0;  // to an owner that didn't know
+  int acknowledged_unknown = 0;  // while a controller didn't know
   int restarts = 0;
-  Ms oldest_news = 0;         // of cancellations at any controller, after the first seconds
-  Ms slowest_disclosure = 0;  // from when any controller knew of it until the first user was told
+  Ms oldest_knowledge = 0;  // of cancellations at any controller, after the first seconds
+  Ms slowest_acknowledgement =
+      0;  // from when any controller knew of it until the first acknowledgement to a user
 };
 
 class Model {
  public:
   explicit Model(Options o) : options_(o), random_(o.seed) {
-    for (std::size_t i = 0; i < kNodes; ++i) {
+    for (std::size_t i = 0; i < kControllers; ++i) {
       controllers_[i].rate = 1 + 0.00025 * (uniform() * 2 - 1);
       controllers_[i].offset = static_cast<Ms>(uniform() * 1e9);
       begin(i);
@@ -68,7 +69,7 @@
 
   Result run() {
     for (now_ = 0; now_ < kLength; now_ += kStep) {
-      for (std::size_t i = 0; i < kNodes; ++i) step(i);
+      for (std::size_t i = 0; i < kControllers; ++i) step(i);
       users();
       check();
     }
@@ -79,15 +80,15 @@
   struct Controller {
     double rate = 1;
     Ms offset = 0;
-    std::unique_ptr<CancellationBarrier> cancellation_sync;
+    std::unique_ptr<CancellationBarrier> barrier;
     std::uint64_t sequence = 0;
     std::set<protocol::CancelledJob> view;
     std::vector<bool> stopped;  // by revision: the tasks of these jobs are stopped
     bool ready = false;
     Revision read_until;
     Instant as_of{};
-    Ms down_until = 0, frozen_until = 0, next_beat = 0, next_read = 0;
-    std::array<bool, kNodes> schedule_heartbeat{};
+    Ms down_until = 0, frozen_until = 0, next_heartbeat = 0, next_read = 0;
+    std::array<bool, kControllers> heartbeat_due{};
     struct Read {
       Ms snapshot = 0, answer = 0;
       Instant begun;
@@ -103,7 +104,7 @@
     protocol::Heartbeat heartbeat;
   };
   enum class Kind { kOutage, kStateCut, kLinkDrop, kLinkHold, kEnd, kFreeze, kReload };
-  struct Trouble {
+  struct Fault {
     Kind kind;
     Ms from, until;
     std::size_t controller = 0, other = 0;
@@ -112,9 +113,9 @@
     protocol::CancelledJob job;
     Ms written;
     Ms next;
-    int acknowledged_until = 0;
+    int acknowledgements = 0;
   };
-  struct Disclosed {
+  struct Acknowledged {
     std::size_t revision;
     Ms at;
   };
@@ -122,7 +123,7 @@
   double uniform() { return std::uniform_real_distribution<double>()(random_); }
   Ms between(Ms a, Ms b) { return std::uniform_int_distribution<Ms>(a, b)(random_); }
   bool chance(double p) { return uniform() < p; }
-  std::size_t any_node() { return static_cast<std::size_t>(between(0, kNodes - 1)); }
+  std::size_t any_controller() { return static_cast<std::size_t>(between(0, kControllers - 1)); }
   static ControllerName name(std::size_t i) {
     return ControllerName(std::string(1, static_cast<char>('a' + i)));
   }
@@ -136,15 +137,15 @@
   void begin(std::size_t i) {
     auto& n = controllers_[i];
     std::vector<ControllerName> peers;
-    for (std::size_t k = 0; k < kNodes; ++k)
+    for (std::size_t k = 0; k < kControllers; ++k)
       if (k != i) peers.push_back(name(k));
     CancellationBarrier::Params params;
-    params.read_lease = std::chrono::milliseconds(kPromise);
+    params.read_lease = std::chrono::milliseconds(kReadLease);
     params.contact_timeout = std::chrono::milliseconds(1700);
     params.max_listed = options_.seed % 3 == 0 ? 2 : 128;
     auto started = clock(n);
-    if (options_.mistake == Mistake::kPromiseForgotten) started -= 2 * params.read_lease;
-    n.cancellation_sync = std::make_unique<CancellationBarrier>(params, peers, started);
+    if (options_.mistake == Mistake::kReadLeaseForgotten) started -= 2 * params.read_lease;
+    n.barrier = std::make_unique<CancellationBarrier>(params, peers, started);
     n.sequence = static_cast<std::uint64_t>(now_ + n.offset) << 16;
     n.view.clear();
     n.stopped.clear();
@@ -153,23 +154,23 @@
     n.as_of = {};
     n.read.reset();
     n.sent.clear();
-    n.schedule_heartbeat = {};
-    n.next_beat = n.next_read = now_;
+    n.heartbeat_due = {};
+    n.next_heartbeat = n.next_read = now_;
   }
 
   void plan();
   void add(Kind kind, Ms from, Ms length, std::size_t controller = 0, std::size_t other = 0) {
-    troubles_.push_back({kind, from, from + length, controller, other});
+    faults_.push_back({kind, from, from + length, controller, other});
   }
-  bool active(const Trouble& t) const { return t.from <= now_ && now_ < t.until; }
+  bool active(const Fault& t) const { return t.from <= now_ && now_ < t.until; }
   bool state_answers(std::size_t i) const {
-    return std::none_of(troubles_.begin(), troubles_.end(), [&](const Trouble& t) {
+    return std::none_of(faults_.begin(), faults_.end(), [&](const Fault& t) {
       return active(t) && (t.kind == Kind::kOutage || (t.kind == Kind::kStateCut && t.controller == i));
     });
   }
   // Until when messages are held; none: they pass. A lost one is held for ever.
   std::optional<Ms> held(std::size_t from, std::size_t to) const {
-    for (const auto& t : troubles_) {
+    for (const auto& t : faults_) {
       if (!active(t) || t.controller != from || t.other != to) continue;
       if (t.kind == Kind::kLinkDrop) return kLength;
       if (t.kind == Kind::kLinkHold) return t.until;
@@ -179,7 +180,7 @@
 
   void step(std::size_t i) {
     auto& n = controllers_[i];
-    for (const auto& t : troubles_) {
+    for (const auto& t : faults_) {
       if (t.controller != i || t.from != now_) continue;
       if (t.kind == Kind::kEnd) end(i, t.until);
       if (t.kind == Kind::kFreeze) n.frozen_until = std::max(n.frozen_until, t.until);
@@ -191,16 +192,16 @@
       n.read->seen = ends_.size();
     }
     if (now_ < n.down_until || now_ < n.frozen_until) return;
-    if (!n.cancellation_sync) begin(i), ++result_.restarts;
+    if (!n.barrier) begin(i), ++result_.restarts;
     receive(i);
     read(n);
-    beat(i);
+    send_heartbeats(i);
   }
 
   void end(std::size_t i, Ms until) {
     controllers_[i].down_until = until;
     controllers_[i].frozen_until = 0;
-    controllers_[i].cancellation_sync.reset();
+    controllers_[i].barrier.reset();
     std::erase_if(writing_, [&](const auto& w) { return w.first == i; });
   }
 
@@ -209,9 +210,9 @@
     known_since_.emplace(job.revision, now_);
     if (!n.ready) return;
     stop(n, job);
-    for (std::size_t k = 0; k < kNodes; ++k)
-      if (&controllers_[k] != &n && n.cancellation_sync->lacks_cancellations(name(k), known(n)))
-        n.schedule_heartbeat[k] = true;
+    for (std::size_t k = 0; k < kControllers; ++k)
+      if (&controllers_[k] != &n && n.barrier->lacks_cancellations(name(k), known(n)))
+        n.heartbeat_due[k] = true;
   }
   static void stop(Controller& n, const protocol::CancelledJob& job) {
     if (n.stopped.size() <= job.revision.value()) n.stopped.resize(job.revision.value() + 64);
@@ -256,26 +257,25 @@
       if (options_.mistake == Mistake::kCountedFromReceipt && n.sent.contains(h.echo))
         h.cancellation_sync->read_lease +=
             std::chrono::duration_cast<std::chrono::milliseconds>(clock(n) - n.sent[h.echo]);
-      if (n.cancellation_sync->on_heartbeat(name(m.from), h, known(n), clock(n)))
-        n.schedule_heartbeat[m.from] = true;
+      if (n.barrier->on_heartbeat(name(m.from), h, known(n), clock(n))) n.heartbeat_due[m.from] = true;
     }
   }
 
-  void beat(std::size_t i) {
+  void send_heartbeats(std::size_t i) {
     auto& n = controllers_[i];
-    bool all = now_ >= n.next_beat;
-    if (all) n.next_beat = now_ + kHeartbeatPeriod;
-    for (std::size_t k = 0; k < kNodes; ++k)
-      if (k != i && (all || n.schedule_heartbeat[k])) send(i, k);
+    bool all = now_ >= n.next_heartbeat;
+    if (all) n.next_heartbeat = now_ + kHeartbeatPeriod;
+    for (std::size_t k = 0; k < kControllers; ++k)
+      if (k != i && (all || n.heartbeat_due[k])) send(i, k);
   }
 
   void send(std::size_t from, std::size_t to) {
     auto& n = controllers_[from];
-    n.schedule_heartbeat[to] = false;
+    n.heartbeat_due[to] = false;
     protocol::Heartbeat h;
     h.sequence = ++n.sequence;
-    h.echo = n.cancellation_sync->received(name(to));
-    h.cancellation_sync = n.cancellation_sync->outgoing(name(to), h.sequence, known(n), clock(n));
+    h.echo = n.barrier->received(name(to));
+    h.cancellation_sync = n.barrier->outgoing(name(to), h.sequence, known(n), clock(n));
     n.sent[h.sequence] = clock(n);
     if (options_.mistake == Mistake::kNotReadyCountedAsReady)
       h.cancellation_sync->ready = h.cancellation_sync->complete = true;
@@ -294,27 +294,27 @@
   // Users cancel jobs, and ask about them again and again, each time at any controller.
   void users() {
     for (std::size_t w = 0; w < writing_.size();) {
-      auto [i, disclosed] = writing_[w];
-      if (now_ < disclosed.at) {
+      auto [i, acknowledged] = writing_[w];
+      if (now_ < acknowledged.at) {
         ++w;
         continue;
       }
-      notify_leader(disclosed);
+      on_acknowledged(acknowledged);
       writing_.erase(writing_.begin() + static_cast<std::ptrdiff_t>(w));
     }
-    if (chance(0.03)) cancel(any_node());
+    if (chance(0.03)) cancel(any_controller());
     for (auto& a : asked_) {
       if (now_ < a.next) continue;
       a.next = now_ + between(900, 1300);
-      estimate_request(any_node(), a);
+      ask(any_controller(), a);
     }
     std::erase_if(asked_,
-                  [&](const Asked& a) { return a.acknowledged_until >= 3 || now_ > a.written + 60'000; });
+                  [&](const Asked& a) { return a.acknowledgements >= 3 || now_ > a.written + 60'000; });
   }
 
   bool serves(std::size_t i) const {
     const auto& n = controllers_[i];
-    return n.cancellation_sync && now_ >= n.down_until && now_ >= n.frozen_until;
+    return n.barrier && now_ >= n.down_until && now_ >= n.frozen_until;
   }
 
   void cancel(std::size_t i) {
@@ -327,82 +327,83 @@
     // The answer to the transaction may be lost.
     if (chance(0.1)) return;
     learn(n, job);
-    estimate_request(i, asked_.back());
+    ask(i, asked_.back());
   }
 
-  void estimate_request(std::size_t i, Asked& a) {
+  void ask(std::size_t i, Asked& a) {
     auto& n = controllers_[i];
     if (!serves(i) || !n.view.contains(a.job)) return;
-    bool may = n.cancellation_sync->may_acknowledge(a.job, known(n), clock(n));
-    if (options_.mistake == Mistake::kNoAcknowledgement) may = n.ready;
-    ++(may ? result_.disclosed : result_.refused);
+    bool may = n.barrier->may_acknowledge(a.job, known(n), clock(n));
+    if (options_.mistake == Mistake::kAcknowledgedAtOnce) may = n.ready;
+    ++(may ? result_.acknowledged : result_.refused);
     if (!may) return;
-    ++a.acknowledged_until;
-    Disclosed d{static_cast<std::size_t>(a.job.revision.value()), now_};
+    ++a.acknowledgements;
+    Acknowledged d{static_cast<std::size_t>(a.job.revision.value()), now_};
     if (!options_.state_only && chance(0.01)) {
-      // The process stands still after it has looked and before the answer goes out.
-      n.frozen_until = now_ + between(500, 2 * kPromise);
+      // The process pauses after it has checked and before the answer goes out.
+      n.frozen_until = now_ + between(500, 2 * kReadLease);
       d.at = n.frozen_until;
       writing_.push_back({i, d});
       return;
     }
-    notify_leader(d);
+    on_acknowledged(d);
     if (!options_.state_only && chance(0.005))
-      end(i, now_ + (chance(0.6) ? between(100, 900) : 2 * kPromise));
+      end(i, now_ + (chance(0.6) ? between(100, 900) : 2 * kReadLease));
   }
 
-  void notify_leader(const Disclosed& d) {
-    if (notified_.size() <= d.revision) notified_.resize(d.revision + 64);
-    if (notified_[d.revision]) return;
-    notified_[d.revision] = true;
-    acknowledged_until_.push_back(d);
-    result_.slowest_disclosure =
-        std::max(result_.slowest_disclosure, now_ - known_since_.at(Revision(d.revision)));
-    for (auto& n : controllers_) result_.disclosed_unknown += n.cancellation_sync && !stops(n, d.revision);
+  void on_acknowledged(const Acknowledged& d) {
+    if (is_acknowledged_.size() <= d.revision) is_acknowledged_.resize(d.revision + 64);
+    if (is_acknowledged_[d.revision]) return;
+    is_acknowledged_[d.revision] = true;
+    acknowledged_.push_back(d);
+    result_.slowest_acknowledgement =
+        std::max(result_.slowest_acknowledgement, now_ - known_since_.at(Revision(d.revision)));
+    for (auto& n : controllers_) result_.acknowledged_unknown += n.barrier && !stops(n, d.revision);
   }
   static bool stops(const Controller& n, std::size_t revision) {
     return revision < n.stopped.size() && n.stopped[revision];
   }
 
   void check() {
-    for (std::size_t i = 0; i < kNodes; ++i) {
+    for (std::size_t i = 0; i < kControllers; ++i) {
       if (!serves(i)) continue;
       auto& n = controllers_[i];
-      auto news = std::max(n.as_of, n.cancellation_sync->known_until(n.ready, clock(n)));
-      auto age = std::chrono::duration_cast<std::chrono::milliseconds>(clock(n) - news).count();
-      if (now_ > 5000) result_.oldest_news = std::max<Ms>(result_.oldest_news, age);
+      auto known_until = std::max(n.as_of, n.barrier->known_until(n.ready, clock(n)));
+      auto age = std::chrono::duration_cast<std::chrono::milliseconds>(clock(n) - known_until).count();
+      if (now_ > 5000) result_.oldest_knowledge = std::max<Ms>(result_.oldest_knowledge, age);
       if (age > kAnswerLimit || !result_.broken.empty()) continue;
-      for (const auto& d : acknowledged_until_)
+      for (const auto& d : acknowledged_)
         if (now_ > d.at + kBroken && !stops(n, d.revision))
-          result_.broken = "ran_cancelled: node " + std::to_string(i) + " answers at " +
-                           std::to_string(now_) + ", job " + std::to_string(d.revision) + " disclosed at " +
-                           std::to_string(d.at);
+          result_.broken = "ran_cancelled: controller " + std::to_string(i) + " answers at " +
+                           std::to_string(now_) + ", job " + std::to_string(d.revision) +
+                           " acknowledged at " + std::to_string(d.at);
     }
   }
 
   Options options_;
   std::mt19937_64 random_;
   Ms now_ = 0;
-  std::array<Controller, kNodes> controllers_;
+  std::array<Controller, kControllers> controllers_;
   std::vector<protocol::CancelledJob> ends_;  // the state store: revision k is at k - 1
   std::vector<Message> messages_;
-  std::vector<Trouble> troubles_;
+  std::vector<Fault> faults_;
   std::vector<Asked> asked_;
-  std::vector<std::pair<std::size_t, Disclosed>> writing_;
-  std::vector<Disclosed> acknowledged_until_;
-  std::vector<bool> notified_;
+  std::vector<std::pair<std::size_t, Acknowledged>> writing_;
+  std::vector<Acknowledged> acknowledged_;
+  std::vector<bool> is_acknowledged_;
   std::map<Revision, Ms> known_since_;  // by any controller
   Result result_;
 };
 
-// One meeting of a refused owner and a state store that then fails, and troubles at any time around it.
+// A shard leader that is refused by the state store, which then fails for all, and faults at any time around
+// that.
 inline void Model::plan() {
   auto step = [](Ms t) { return t - t % kStep; };
-  auto owner = any_node();
-  auto other = (owner + static_cast<std::size_t>(between(1, 2))) % kNodes;
+  auto leader = any_controller();
+  auto other = (leader + static_cast<std::size_t>(between(1, 2))) % kControllers;
   auto gap = between(40'000, 60'000);
   auto open = between(1000, 20'000);  // the others still write
-  add(Kind::kStateCut, gap, 100'000, owner);
+  add(Kind::kStateCut, gap, 100'000, leader);
   add(Kind::kOutage, gap + open, between(30'000, 80'000));
   if (options_.state_only) return;
   auto link = [&](Ms from, Ms length, std::size_t a, std::size_t b) {
@@ -410,28 +411,28 @@
     if (chance(0.9)) add(kind, from, length, a, b);
     if (chance(0.9)) add(kind, from, length, b, a);
   };
-  auto cut = gap + between(-5000, open);
+  auto partition = gap + between(-5000, open);
   if (chance(0.7)) {
     auto length = chance(0.3) ? between(1000, 15'000) : between(30'000, 90'000);
     bool from_all = chance(0.8);
-    for (std::size_t k = 0; k < kNodes; ++k)
-      if (k != owner && (k == other || from_all)) link(cut, length, owner, k);
+    for (std::size_t k = 0; k < kControllers; ++k)
+      if (k != leader && (k == other || from_all)) link(partition, length, leader, k);
   }
-  auto down = [&] { return chance(0.6) ? between(100, 900) : between(1000, 3 * kPromise); };
-  // The other one ends just as the owner is cut off from it, or at any time of the gap.
+  auto down = [&] { return chance(0.6) ? between(100, 900) : between(1000, 3 * kReadLease); };
+  // The other one ends just as the leader is partition off from it, or at any time of the gap.
   if (chance(0.7))
-    add(Kind::kEnd, step(chance(0.5) ? cut + between(0, 2000) : gap + between(0, open + 10'000)), down(),
-        other);
+    add(Kind::kEnd, step(chance(0.5) ? partition + between(0, 2000) : gap + between(0, open + 10'000)),
+        down(), other);
   for (auto n = between(0, 5); n > 0; --n) {
     auto from = step(between(5000, kLength - 60'000));
-    auto a = any_node();
-    auto b = (a + static_cast<std::size_t>(between(1, 2))) % kNodes;
+    auto a = any_controller();
+    auto b = (a + static_cast<std::size_t>(between(1, 2))) % kControllers;
     switch (between(0, 4)) {
       case 0:
         add(Kind::kEnd, from, down(), a);
         break;
       case 1:
-        add(Kind::kFreeze, from, between(500, 2 * kPromise), a);
+        add(Kind::kFreeze, from, between(500, 2 * kReadLease), a);
         break;
       case 2:
         add(Kind::kReload, from, kStep, a);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,10 +1,10 @@
-// Estimates and where tasks go: by room, image, priority, and gangs as a whole.
+// Estimates and where tasks go: by capacity, image, priority, and gangs as a whole.
 #include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
 
-TEST(Estimator, SmallerOfRoomAndCap) {
+TEST(Estimator, SmallerOfResourcesAndTaskCap) {
   struct Case {
     Resources each;
     std::uint32_t cap;
@@ -14,13 +14,13 @@
       {{1, 0, 1}, 64, 4}, {{1, 0, 8}, 64, 2}, {{0.1, 0, 0.1}, 64, 40}, {{0.1, 0, 0.1}, 7, 7},
       {{5, 0, 1}, 64, 0}, {{1, 1, 1}, 64, 0}, {{4, 0, 16}, 64, 1},     {{0.4, 0, 1.6}, 64, 10},
   };
-  Bench b;
-  b.add_ready_workers({"m1"});
+  ShardFixture fixture;
+  fixture.add_ready_workers({"m1"});
   for (const auto& c : cases) {
     protocol::ResourceRequest s;
     s.each = c.each;
-    auto room = estimate(b.shard.machines(), s, {c.cap, 0}, at(0));
-    std::uint32_t n = room.empty() ? 0 : room[0].free;
+    auto zones = estimate(fixture.shard.machines(), s, {c.cap, 0}, at(0));
+    std::uint32_t n = zones.empty() ? 0 : zones[0].free;
     EXPECT_EQ(n, c.expected) << c.each.cpus << ' ' << c.each.memory_gb << ' ' << c.cap;
   }
 }
@@ -45,36 +45,36 @@
       {"never beside two", "new", 14, true, {{"a", 3}, {"d", 3}, {"b", 4}}},
   };
   for (const auto& c : cases) {
-    Bench b;
-    for (const char* m : {"a", "b", "c", "d"}) b.worker(m);
+    ShardFixture fixture;
+    for (const char* m : {"a", "b", "c", "d"}) fixture.worker(m);
     auto has = [&](const char* m, const char* job, const char* image, std::uint32_t n, TaskState state) {
       auto s = *spec(job, n);
       s.image = ImageName(image);
-      b.jobs[job].record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
+      fixture.jobs[job].record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
       for (std::uint32_t i = 0; i < n; ++i)
-        b.worker(m).tasks.push_back({{JobId(job), i}, Attempt(1), state, EndCause::kDone, false});
-      b.grant(job, n, 5, 0);
+        fixture.worker(m).tasks.push_back({{JobId(job), i}, Attempt(1), state, EndCause::kDone, false});
+      fixture.grant(job, n, 5, 0);
     };
-    b.register_all(0);
+    fixture.register_all(0);
     has("a", "run-1", "img", 1, TaskState::kRunning);
     has("c", "run-2", "coming", 2, TaskState::kFetching);
     has("d", "run-3", "img", 1, TaskState::kRunning);
     if (c.busy) has("c", "run-4", "other", 1, TaskState::kFetching);
-    for (auto& [name, w] : b.workers) b.heartbeat(name.c_str(), 0.1);
+    for (auto& [name, w] : fixture.workers) fixture.heartbeat(name.c_str(), 0.1);
     auto s = *spec("run-9", c.tasks);
     s.image = ImageName(c.image);
     protocol::ResourceRequest resource_request = request_of(s, c.tasks);
     std::uint32_t free = 0, expected = 0;
-    for (const auto& z : b.shard.estimate(resource_request, at(0.2))) free += z.free;
-    b.jobs["run-9"].record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
-    b.grant("run-9", c.tasks, 5, 0.2);
-    b.tick(0.2);
+    for (const auto& z : fixture.shard.estimate(resource_request, at(0.2))) free += z.free;
+    fixture.jobs["run-9"].record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
+    fixture.grant("run-9", c.tasks, 5, 0.2);
+    fixture.tick(0.2);
     std::map<std::string, std::size_t> got;
-    for (auto& batch : b.shard.take_command_batches(at(0.2)))
+    for (auto& batch : fixture.shard.take_command_batches(at(0.2)))
       for (auto& command : batch.commands)
         if (command.task.job == JobId("run-9")) ++got[batch.machine.value()];
     EXPECT_EQ(got, c.got) << c.what;
-    // The shard promises no room that it then doesn't use.
+    // The shard offers no capacity that it then doesn't use.
     for (const auto& [m, n] : got) expected += static_cast<std::uint32_t>(n);
     EXPECT_EQ(std::min(free, c.tasks), expected) << c.what;
   }
@@ -109,23 +109,23 @@
 }
 
 TEST(Placement, FullestMachineThatFitsAndHoldsTheImage) {
-  Bench b;
-  b.add_ready_workers({"m1", "m2", "m3"});
-  b.grant("run-1", 1, 5, 0);
-  b.tick(0);
-  auto first = b.carry_out(0);
+  ShardFixture fixture;
+  fixture.add_ready_workers({"m1", "m2", "m3"});
+  fixture.grant("run-1", 1, 5, 0);
+  fixture.tick(0);
+  auto first = fixture.execute_commands(0);
   ASSERT_EQ(first.size(), 1u);
   // The next task follows it: that machine is the fullest and holds the image now.
-  b.grant("run-2", 4, 5, 1);
-  b.tick(1);
+  fixture.grant("run-2", 4, 5, 1);
+  fixture.tick(1);
   std::map<std::string, int> on;
-  for (auto& batch : b.shard.take_command_batches(at(1)))
+  for (auto& batch : fixture.shard.take_command_batches(at(1)))
     on[batch.machine.value()] += static_cast<int>(batch.commands.size());
   EXPECT_EQ(on["m1"], 3);
   EXPECT_EQ(on["m2"] + on["m3"], 1);
 }
 
-TEST(Partitioning, SameAtEveryNodeAndEveryZoneHasAPart) {
+TEST(Partitioning, SameAtEveryControllerAndEveryZoneHasAShard) {
   config::Settings s;
   auto make = [&](const char* self, const char* zone,
                   std::vector<std::pair<const char*, const char*>> others) {
@@ -151,128 +151,129 @@
 }
 
 TEST(Preemption, StopsWhatLosesLeastAndOnlyLowerPriority) {
-  Bench b;
-  b.add_ready_workers({"m1"});
-  b.grant("run-1", 3, 5, 0);
-  b.tick(0);
-  b.carry_out(0);
-  for (int t = 1; t <= 9; ++t) b.heartbeat("m1", t);
-  b.grant("run-2", 1, 5, 9);  // the youngest loses least
-  b.tick(9);
-  b.carry_out(9);
-  b.heartbeat("m1", 9.5);
-  b.grant("run-3", 1, 5, 10, Priority::kHigh, true);
-  b.tick(10);
-  auto commands = b.carry_out(10);
+  ShardFixture fixture;
+  fixture.add_ready_workers({"m1"});
+  fixture.grant("run-1", 3, 5, 0);
+  fixture.tick(0);
+  fixture.execute_commands(0);
+  for (int t = 1; t <= 9; ++t) fixture.heartbeat("m1", t);
+  fixture.grant("run-2", 1, 5, 9);  // the youngest loses least
+  fixture.tick(9);
+  fixture.execute_commands(9);
+  fixture.heartbeat("m1", 9.5);
+  fixture.grant("run-3", 1, 5, 10, Priority::kHigh, true);
+  fixture.tick(10);
+  auto commands = fixture.execute_commands(10);
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].op, protocol::Command::Op::kStop);
   EXPECT_EQ(commands[0].task.job, JobId("run-2"));
-  b.tick(10.1);
+  fixture.tick(10.1);
   bool started = false;
-  for (auto& c : b.carry_out(10.1))
+  for (auto& c : fixture.execute_commands(10.1))
     started |= c.op == protocol::Command::Op::kStart && c.task.job == JobId("run-3");
   EXPECT_TRUE(started);
   // Work of the same priority is left alone.
-  b.grant("run-4", 1, 5, 11, Priority::kNormal, true);
-  b.tick(11);
-  for (auto& c : b.carry_out(11)) EXPECT_NE(c.op, protocol::Command::Op::kStop);
+  fixture.grant("run-4", 1, 5, 11, Priority::kNormal, true);
+  fixture.tick(11);
+  for (auto& c : fixture.execute_commands(11)) EXPECT_NE(c.op, protocol::Command::Op::kStop);
 }
 
-// Found on days when services by force waited for a second or two, some of them several times over: the room
-// made for one of them passed for that of the next as well, which then waited for it in vain.
-TEST(Preemption, RoomMadeForOneIsNotPromisedTwice) {
-  Bench b;
-  b.add_ready_workers({"m1"});
-  b.grant("run-1", 4, 5, 0);
-  b.tick(0);
-  b.carry_out(0);
-  b.heartbeat("m1", 1);
-  b.grant("run-2", 1, 5, 1, Priority::kHigh, true);
-  b.grant("run-3", 1, 5, 1, Priority::kHigh, true);
-  b.tick(1);
+// Found on days when services with the right to preempt waited for a second or two, some of them several
+// times over: the capacity freed for one of them passed for that of the next as well, which then waited for
+// it in vain.
+TEST(Preemption, CapacityFreedForOneTaskIsNotReservedTwice) {
+  ShardFixture fixture;
+  fixture.add_ready_workers({"m1"});
+  fixture.grant("run-1", 4, 5, 0);
+  fixture.tick(0);
+  fixture.execute_commands(0);
+  fixture.heartbeat("m1", 1);
+  fixture.grant("run-2", 1, 5, 1, Priority::kHigh, true);
+  fixture.grant("run-3", 1, 5, 1, Priority::kHigh, true);
+  fixture.tick(1);
   std::size_t stops = 0;
-  for (auto& c : b.carry_out(1)) stops += c.op == protocol::Command::Op::kStop;
+  for (auto& c : fixture.execute_commands(1)) stops += c.op == protocol::Command::Op::kStop;
   EXPECT_EQ(stops, 2u);
-  b.tick(1.1);
+  fixture.tick(1.1);
   std::set<JobId> started;
-  for (auto& c : b.carry_out(1.1))
+  for (auto& c : fixture.execute_commands(1.1))
     if (c.op == protocol::Command::Op::kStart) started.insert(c.task.job);
   EXPECT_EQ(started, (std::set{JobId("run-2"), JobId("run-3")}));
 }
 
 TEST(Gang, IsPlacedAsAWholeOrNotAtAll) {
   for (std::uint32_t tasks : {4u, 5u}) {
-    Bench b;
-    b.add_ready_workers({"m1"});
-    b.grant_gang("run-1", tasks, 0);
-    b.tick(0);
-    EXPECT_EQ(b.carry_out(0).size(), tasks == 4 ? 4u : 0u);
-    b.tick(1.1);
-    b.record(1.1);
-    EXPECT_EQ(b.jobs["run-1"].outstanding().count(), tasks == 4 ? 4u : 0u);
+    ShardFixture fixture;
+    fixture.add_ready_workers({"m1"});
+    fixture.grant_gang("run-1", tasks, 0);
+    fixture.tick(0);
+    EXPECT_EQ(fixture.execute_commands(0).size(), tasks == 4 ? 4u : 0u);
+    fixture.tick(1.1);
+    fixture.record(1.1);
+    EXPECT_EQ(fixture.jobs["run-1"].outstanding().count(), tasks == 4 ? 4u : 0u);
   }
 }
 
 TEST(Gang, ALostTaskEndsTheAttempt) {
-  Bench b;
-  b.add_ready_workers({"m1", "m2"});
-  b.grant_gang("run-1", 6, 0);
-  b.tick(0);
-  EXPECT_EQ(b.carry_out(0).size(), 6u);
-  // All wait for an image still; one machine goes.
-  auto& rest = b.worker("m2");
+  ShardFixture fixture;
+  fixture.add_ready_workers({"m1", "m2"});
+  fixture.grant_gang("run-1", 6, 0);
+  fixture.tick(0);
+  EXPECT_EQ(fixture.execute_commands(0).size(), 6u);
+  // All wait for an image still; one machine is deleted.
+  auto& rest = fixture.worker("m2");
   for (auto& t : rest.tasks) t.state = TaskState::kWaiting;
-  b.heartbeat("m2", 1);
-  b.shard.on_deleted(MachineName("m1"), at(1.5));
-  b.tick(1.6);
-  auto commands = b.carry_out(1.6);
+  fixture.heartbeat("m2", 1);
+  fixture.shard.on_deleted(MachineName("m1"), at(1.5));
+  fixture.tick(1.6);
+  auto commands = fixture.execute_commands(1.6);
   EXPECT_EQ(commands.size(), rest.tasks.size());
   for (auto& c : commands) EXPECT_EQ(c.op, protocol::Command::Op::kStop);
-  // It isn't started again under this attempt, but given back as a whole.
-  b.tick(3);
-  for (auto& c : b.carry_out(3)) EXPECT_NE(c.op, protocol::Command::Op::kStart);
-  b.record(3);
-  EXPECT_TRUE(b.jobs["run-1"].outstanding().empty());
+  // It isn't started again under this attempt, but released as a whole.
+  fixture.tick(3);
+  for (auto& c : fixture.execute_commands(3)) EXPECT_NE(c.op, protocol::Command::Op::kStart);
+  fixture.record(3);
+  EXPECT_TRUE(fixture.jobs["run-1"].outstanding().empty());
 }
 
-TEST(Gang, ARecallStopsAllOfItWithTimeToSave) {
-  Bench b;
-  b.add_ready_workers({"m1"});
-  b.grant_gang("run-1", 3, 0);
-  b.tick(0);
-  b.carry_out(0);
-  b.grant_gang("run-1", 3, 1, true);
-  b.tick(1);
-  auto commands = b.carry_out(1);
+TEST(Gang, ARevocationStopsAllOfItWithTimeToSave) {
+  ShardFixture fixture;
+  fixture.add_ready_workers({"m1"});
+  fixture.grant_gang("run-1", 3, 0);
+  fixture.tick(0);
+  fixture.execute_commands(0);
+  fixture.grant_gang("run-1", 3, 1, true);
+  fixture.tick(1);
+  auto commands = fixture.execute_commands(1);
   ASSERT_EQ(commands.size(), 3u);
   for (auto& c : commands) {
     EXPECT_EQ(c.op, protocol::Command::Op::kStop);
     EXPECT_EQ(c.grace_s, 2);
   }
-  b.tick(1.1);
-  b.record(1.1);
-  EXPECT_TRUE(b.jobs["run-1"].outstanding().empty());
+  fixture.tick(1.1);
+  fixture.record(1.1);
+  EXPECT_TRUE(fixture.jobs["run-1"].outstanding().empty());
 }
 
-// A step of a pipeline has the priority of the jobs that need it: by its own it could make no room, and what
-// was started under the inherited one isn't stopped for less.
-TEST(Placement, AnInheritedPriorityCountsInThePart) {
+// A step of a pipeline has the priority of the jobs that need it: by its own it could preempt nothing, and
+// what was started under the inherited one isn't stopped for less.
+TEST(Placement, AnInheritedPriorityCountsInTheShard) {
   for (bool inherited : {false, true}) {
-    Bench b;
-    b.add_ready_workers({"m1"});
-    b.grant("run-1", 4, 5, 0);  // normal, fills the machine
-    b.tick(0);
-    b.carry_out(0);
-    b.heartbeat("m1", 0.5);
-    b.jobs["run-2"].record = {spec("run-2", 1, Priority::kLow), WallMs(0)};
-    b.jobs["run-2"].grants.value.chunks = {
+    ShardFixture fixture;
+    fixture.add_ready_workers({"m1"});
+    fixture.grant("run-1", 4, 5, 0);  // normal, fills the machine
+    fixture.tick(0);
+    fixture.execute_commands(0);
+    fixture.heartbeat("m1", 0.5);
+    fixture.jobs["run-2"].record = {spec("run-2", 1, Priority::kLow), WallMs(0)};
+    fixture.jobs["run-2"].grants.value.chunks = {
         {Generation(1), ShardId(0), Term(5), Ranges::span(0, 1), {}, true}};
-    if (inherited) b.jobs["run-2"].grants.value.chunks[0].priority = Priority::kHigh;
-    b.jobs["run-2"].grants.value.last = Generation(1);
-    b.publish("run-2", 1);
-    b.tick(1);
+    if (inherited) fixture.jobs["run-2"].grants.value.chunks[0].priority = Priority::kHigh;
+    fixture.jobs["run-2"].grants.value.last = Generation(1);
+    fixture.publish("run-2", 1);
+    fixture.tick(1);
     std::size_t stopped = 0;
-    for (const auto& c : b.carry_out(1)) stopped += c.op == protocol::Command::Op::kStop;
+    for (const auto& c : fixture.execute_commands(1)) stopped += c.op == protocol::Command::Op::kStop;
     EXPECT_EQ(stopped, inherited ? 1u : 0u);
   }
 }
--- a/tests/shard_fixture.h
+++ b/tests/shard_fixture.h
@@ -1,5 +1,5 @@
-// What the tests of the owner's state machine share: workers whose reports a test composes, and a stand-in
-// for what is recorded about jobs. Times are seconds from an arbitrary start.
+// What the tests of ShardManager share: workers whose heartbeats a test composes, and a fake of what the
+// state store records about jobs. Times are seconds from an arbitrary start.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -25,11 +25,11 @@
   return Instant{} + from_seconds(1000 + s);
 }
 
-constexpr Duration kReport = std::chrono::seconds(1);
+constexpr Duration kHeartbeatPeriod = std::chrono::seconds(1);
 
 inline ShardParams params() {
   ShardParams p;
-  p.heartbeat_period = kReport;
+  p.heartbeat_period = kHeartbeatPeriod;
   p.lease = std::chrono::seconds(10);
   p.cancel_limit = std::chrono::seconds(40);
   p.grace = std::chrono::seconds(5);
@@ -56,9 +56,9 @@
   return std::make_shared<const protocol::JobSpec>(s);
 }
 
-// A shard with workers whose reports the test composes, and a stand-in for what is recorded about jobs.
-struct Bench {
-  explicit Bench(std::uint64_t term = 5) : shard(ShardId(0), Term(term), params(), at(0)) {
+// A shard with workers whose heartbeats the test composes, and a fake of the jobs' records.
+struct ShardFixture {
+  explicit ShardFixture(std::uint64_t term = 5) : shard(ShardId(0), Term(term), params(), at(0)) {
     shard.set_catalogue(catalogue());
   }
 
@@ -73,13 +73,13 @@
     }
     return w;
   }
-  // Adds the workers, registers all and lets these report, all at 0 s.
+  // Adds the workers, registers all and has these send a heartbeat, all at 0 s.
   void add_ready_workers(std::initializer_list<const char*> names) {
     for (const auto* name : names) worker(name);
     register_all(0);
     for (const auto* name : names) heartbeat(name, 0);
   }
-  // The worker reports; it has seen the shard's token unless told otherwise.
+  // The worker sends a heartbeat; it has seen the shard's token unless `obeys` is false.
   bool heartbeat(const char* name, double t, bool obeys = true) {
     auto& w = worker(name);
     if (obeys) w.token = std::max(w.token, Token::first_of(shard.term()));
@@ -133,8 +133,8 @@
       shard.on_job(id, &jobs[id.value()], std::nullopt, at(t));
     }
   }
-  // Carries a batch out at its worker and hands the answer back.
-  std::vector<protocol::Command> carry_out(double t) {
+  // Executes the batches that can be sent at their workers, and passes the answers on.
+  std::vector<protocol::Command> execute_commands(double t) {
     std::vector<protocol::Command> all;
     for (auto& b : shard.take_command_batches(at(t))) {
       auto& w = worker(b.machine.value().c_str());
