--- /dev/null
+++ b/tests/periodic_checks_test.cpp
@@ -0,0 +1,133 @@
+// Lease expiry, spot reclaim and orphaned tasks, each in one pass over the machines.
+#include "shard/periodic_checks.h"
+
+#include <gtest/gtest.h>
+
+namespace beaconsill::shard {
+namespace {
+
+using protocol::TaskState;
+
+const JobId kJob("run-1");
+const TaskKey kTask{{kJob, 0}, Attempt(1)};
+
+Instant at(double seconds) {
+  return Instant{} + from_seconds(1000 + seconds);
+}
+
+ShardParams params() {
+  ShardParams out;
+  out.heartbeat_period = std::chrono::seconds(1);
+  out.lease = std::chrono::seconds(10);
+  return out;
+}
+
+// A shard with one machine that runs one task since 0 s, its last contact.
+struct PeriodicChecksTest : testing::Test {
+  PeriodicChecksTest() { reset(); }
+
+  void reset() {
+    state = ShardState(ShardId(0), Term(5), params(), at(0));
+    machine = &state.machines[MachineName("m1")];
+    machine->name = MachineName("m1");
+    machine->confirmed = true;
+    machine->incarnation = Incarnation(3);
+    machine->last_contact = at(0);
+    task = &state.locations.put(*machine, kTask).task;
+    task->state = TaskState::kRunning;
+    task->since = at(0);
+    task->running_since = at(0);
+    protocol::JobSpec spec;
+    spec.estimate_s = 20;
+    task->spec = std::make_shared<const protocol::JobSpec>(spec);
+  }
+  void grant(std::uint32_t first, std::uint32_t last, std::optional<state_store::TerminalState> end) {
+    state_store::Job job;
+    job.record = {task->spec, WallMs(0)};
+    job.grants.value.chunks = {
+        {Generation(1), ShardId(0), Term(5), Ranges::span(first, last), std::nullopt, false, {}, {}}};
+    state.jobs.apply(kJob, job, end, true, at(0));
+  }
+
+  ShardState state{ShardId(0), Term(5), params(), at(0)};
+  Machine* machine = nullptr;
+  MachineTask* task = nullptr;
+};
+
+// The lease of 10 s, 0.2% for the drift of clocks and 0.5 s for steps of timers.
+TEST_F(PeriodicChecksTest, ALeaseExpiresWithAMarginAndOnceTheStateStoreWasRead) {
+  struct Case {
+    const char* what;
+    double now, read_until;
+    bool confirmed, superseded;
+    bool expired;
+  };
+  const Case cases[] = {
+      {"within the margin", 10.52, 10.52, true, false, false},
+      {"beyond it", 10.53, 10.53, true, false, true},
+      {"a successor may exist", 60, 10.52, true, false, false},
+      {"an earlier leader may be obeyed", 60, 60, false, false, false},
+      {"a successor exists", 60, 60, true, true, false},
+  };
+  for (const auto& entry : cases) {
+    reset();
+    machine->confirmed = entry.confirmed;
+    if (entry.superseded) state.supersede();
+    expire_leases(state, at(entry.read_until), at(entry.now));
+    EXPECT_EQ(machine->tasks.empty(), entry.expired) << entry.what;
+    EXPECT_EQ(machine->incarnation, Incarnation(entry.expired ? 4 : 3)) << entry.what;
+  }
+}
+
+TEST_F(PeriodicChecksTest, BeforeAReclaimTasksAreStoppedThatDoNotCompleteInTime) {
+  struct Case {
+    const char* what;
+    std::optional<double> reclaimed_at;
+    bool stopped;
+  };
+  const Case cases[] = {
+      {"no notice", std::nullopt, false},
+      {"it has to be stopped", 19, true},
+      {"it completes before", 21, false},
+  };
+  for (const auto& entry : cases) {
+    reset();
+    if (entry.reclaimed_at) machine->reclaimed_at = at(*entry.reclaimed_at);
+    stop_tasks_before_reclaim(state, at(5));
+    EXPECT_EQ(task->stop_grace.has_value(), entry.stopped) << entry.what;
+  }
+}
+
+TEST_F(PeriodicChecksTest, TasksThatAreNotGrantedHereAreStopped) {
+  struct Case {
+    const char* what;
+    bool granted;
+    std::optional<state_store::TerminalState> end;
+    double read_until;
+    bool stopped;
+  };
+  const Case cases[] = {
+      {"granted", true, std::nullopt, 60, false},
+      {"its grant may be on its way", false, std::nullopt, 1.9, false},
+      {"not granted", false, std::nullopt, 2, true},
+      {"its job is cancelled", true, state_store::TerminalState::kCancelled, 0, true},
+  };
+  for (const auto& entry : cases) {
+    reset();
+    if (entry.granted) grant(0, 1, entry.end);
+    stop_orphaned_tasks(state, at(entry.read_until));
+    EXPECT_EQ(task->stop_grace.has_value(), entry.stopped) << entry.what;
+    // It is looked at again for as long as it isn't granted.
+    EXPECT_EQ(machine->may_have_orphans, !entry.granted || entry.end) << entry.what;
+  }
+}
+
+TEST_F(PeriodicChecksTest, AnOrphanThatHasEndedIsForgotten) {
+  task->state = TaskState::kEnded;
+  stop_orphaned_tasks(state, at(2));
+  EXPECT_TRUE(task->is_disposable);
+  EXPECT_FALSE(task->stop_grace);
+}
+
+}  // namespace
+}  // namespace beaconsill::shard
