--- a/src/scheduler/apportionment.cpp
+++ b/src/scheduler/apportionment.cpp
@@ -4,41 +4,54 @@
 #include <numeric>
 
 namespace beaconsill::scheduler {
+namespace {
 
-std::vector<ShardAllocation> apportion(std::uint32_t n, const std::vector<ShardCapacity>& rooms) {
-  std::uint64_t total = 0;
-  for (const auto& r : rooms) total += r.room;
-  n = static_cast<std::uint32_t>(std::min<std::uint64_t>(n, total));
-  if (n == 0) return {};
-  struct ShardManager {
-    std::size_t at;
-    std::uint64_t tasks, remainder;
-  };
-  std::vector<ShardManager> shards;
-  std::uint64_t given = 0;
-  for (std::size_t i = 0; i < rooms.size(); ++i) {
-    std::uint64_t exact = static_cast<std::uint64_t>(n) * rooms[i].room;
-    shards.push_back({i, exact / total, exact % total});
-    given += exact / total;
-  }
-  // Ties go to the larger room, then to the earlier part, so that the outcome is the same everywhere.
-  std::vector<std::size_t> order(shards.size());
+struct Quotient {
+  std::uint64_t tasks;
+  std::uint64_t remainder;
+};
+
+// Indexes by descending remainder. Ties go to the larger capacity, then to the earlier shard, so that the
+// outcome is the same everywhere.
+std::vector<std::size_t> by_remainder(const std::vector<Quotient>& quotients,
+                                      const std::vector<ShardCapacity>& capacities) {
+  std::vector<std::size_t> order(quotients.size());
   std::iota(order.begin(), order.end(), 0);
-  std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-    if (shards[a].remainder != shards[b].remainder) return shards[a].remainder > shards[b].remainder;
-    return rooms[a].room > rooms[b].room;
+  std::stable_sort(order.begin(), order.end(), [&](std::size_t left, std::size_t right) {
+    if (quotients[left].remainder != quotients[right].remainder)
+      return quotients[left].remainder > quotients[right].remainder;
+    return capacities[left].tasks > capacities[right].tasks;
   });
-  for (std::size_t i = 0; given < n; ++i) {
-    auto& p = shards[order[i]];
-    if (p.remainder == 0) continue;
-    ++p.tasks;
-    ++given;
+  return order;
+}
+
+}  // namespace
+
+std::vector<ShardAllocation> apportion(std::uint32_t tasks, const std::vector<ShardCapacity>& capacities) {
+  std::uint64_t total = 0;
+  for (const auto& capacity : capacities) total += capacity.tasks;
+  tasks = static_cast<std::uint32_t>(std::min<std::uint64_t>(tasks, total));
+  if (tasks == 0) return {};
+  std::vector<Quotient> quotients;
+  std::uint64_t allocated = 0;
+  for (const auto& capacity : capacities) {
+    std::uint64_t product = static_cast<std::uint64_t>(tasks) * capacity.tasks;
+    quotients.push_back({product / total, product % total});
+    allocated += product / total;
+  }
+  const auto order = by_remainder(quotients, capacities);
+  for (std::size_t i = 0; allocated < tasks; ++i) {
+    auto& quotient = quotients[order[i]];
+    if (quotient.remainder == 0) continue;
+    ++quotient.tasks;
+    ++allocated;
   }
-  std::vector<ShardAllocation> out;
-  for (const auto& p : shards)
-    if (p.tasks > 0)
-      out.push_back({rooms[p.at].shard, rooms[p.at].zone, static_cast<std::uint32_t>(p.tasks)});
-  return out;
+  std::vector<ShardAllocation> allocations;
+  for (std::size_t i = 0; i < quotients.size(); ++i)
+    if (quotients[i].tasks > 0)
+      allocations.push_back(
+          {capacities[i].shard, capacities[i].zone, static_cast<std::uint32_t>(quotients[i].tasks)});
+  return allocations;
 }
 
 std::uint32_t zone_limit(const protocol::JobSpec& spec) {
--- a/src/scheduler/apportionment.h
+++ b/src/scheduler/apportionment.h
@@ -1,6 +1,7 @@
-// Divides a job's tasks among the shards by their answers' proportions.
+// Divides a job's tasks among the shards in proportion to the capacity that they estimate.
 #pragma once
 
+#include <cstdint>
 #include <optional>
 #include <vector>
 
@@ -9,10 +10,11 @@
 
 namespace beaconsill::scheduler {
 
+// How many tasks of a job a shard has capacity for.
 struct ShardCapacity {
   ShardId shard;
   std::optional<Zone> zone;  // set where the zone matters to the job
-  std::uint32_t room = 0;
+  std::uint32_t tasks = 0;
 };
 struct ShardAllocation {
   ShardId shard;
@@ -21,9 +23,9 @@
   bool operator==(const ShardAllocation&) const = default;
 };
 
-// `n` tasks over the rooms, in proportion to them (largest remainders first), never more than a room holds.
-// What is over stays with the leader.
-std::vector<ShardAllocation> apportion(std::uint32_t n, const std::vector<ShardCapacity>& rooms);
+// `tasks` divided in proportion to the capacities (largest remainders first), never more than each holds.
+// Tasks beyond the sum of the capacities are left out. Allocations of no task are left out as well.
+std::vector<ShardAllocation> apportion(std::uint32_t tasks, const std::vector<ShardCapacity>& capacities);
 
 // The most tasks of the job that may be in one zone.
 std::uint32_t zone_limit(const protocol::JobSpec& spec);
--- a/src/scheduler/autoscaler.cpp
+++ b/src/scheduler/autoscaler.cpp
@@ -2,31 +2,34 @@
 
 #include <algorithm>
 #include <cmath>
+#include <tuple>
+#include <utility>
 
 #include "base/log.h"
+#include "shard/estimator.h"
 
 namespace beaconsill::scheduler {
 namespace {
+
 constexpr Duration kRefusalMemory = std::chrono::seconds(12);
-constexpr Duration kRentAgain = std::chrono::seconds(1);
-constexpr Duration kDeleteAgain = std::chrono::seconds(10);
-// Work that waits for less than this may yet fit where it was sent.
-constexpr Duration kPatience = std::chrono::milliseconds(1500);
-// In usual boot times: beyond so many a machine isn't counted on.
-constexpr double kSlowBoot = 2.0;
-// The same: beyond so many it's deleted, if the machines that came up lately took no longer than usual. Each
-// one that is given up makes the next of its type be waited for longer, else none would come up while all are
-// slow.
-constexpr double kLeastPatience = 3.0;
-constexpr double kMostPatience = 12.0;
-constexpr double kMorePatience = 1.5;
-constexpr double kLessPatience = 0.8;
-// Of the longest seen lately, so much is waited for.
-constexpr double kLongerThanSeen = 2.0;
+constexpr Duration kRetryDelay = std::chrono::seconds(1);
+constexpr Duration kDeleteRetryDelay = std::chrono::seconds(10);
+// Demand that waits for less than this may yet fit where it was granted.
+constexpr Duration kMinDemandAge = std::chrono::milliseconds(1500);
+// In typical boot times: a pending instance beyond this isn't counted on.
+constexpr double kLateBoot = 2.0;
 constexpr double kUnknownBootSeconds = 60;
-constexpr double kLeastCpus = 0.01;  // that a task is reckoned with
-// A list may be older than it should be by so many times the usual lag.
-constexpr int kListLags = 2;
+constexpr double kMinTaskCpus = 0.01;  // that a task counts for
+// After a failover a list may be older than it should be by so many times the usual lag.
+constexpr int kListLagsAfterTakeover = 2;
+// A pending instance that isn't listed after so many lags and a little more doesn't exist any more.
+constexpr int kListLagsUntilGone = 3;
+constexpr Duration kUnlistedMargin = std::chrono::seconds(5);
+
+double counted_cpus(const protocol::ResourceRequest& request) {
+  return std::max(request.each.cpus, kMinTaskCpus);
+}
+
 }  // namespace
 
 Autoscaler::Autoscaler(AutoscalerParams params, std::string prefix)
@@ -34,185 +37,196 @@
 
 void Autoscaler::on_takeover(Instant now) {
   list_complete_ = false;
-  list_complete_at_ = now + params_.list_lag * kListLags;
+  list_complete_at_ = now + params_.list_lag * kListLagsAfterTakeover;
 }
 
 double Autoscaler::typical_boot_s(const MachineType& type) const {
   if (!catalogue_) return kUnknownBootSeconds;
-  auto t = catalogue_->find(type);
-  return t == catalogue_->end() ? kUnknownBootSeconds : t->second.boot_s;
-}
-
-bool Autoscaler::is_boot_late(const PendingInstance& c, Instant now) const {
-  return to_seconds(now - c.rented) > typical_boot_s(c.kind.type) * kSlowBoot;
+  auto entry = catalogue_->find(type);
+  return entry == catalogue_->end() ? kUnknownBootSeconds : entry->second.boot_s;
 }
 
-double& Autoscaler::patience(const MachineType& type) {
-  return patience_.try_emplace(type, kLeastPatience).first->second;
+bool Autoscaler::is_boot_late(const PendingInstance& instance, Instant now) const {
+  return to_seconds(now - instance.rented) > typical_boot_s(instance.kind.type) * kLateBoot;
 }
 
-bool Autoscaler::boot_timed_out(const protocol::ListedMachine& m) {
-  return m.state == protocol::MachineState::kBooting && m.age_s > typical_boot_s(m.type) * patience(m.type);
+bool Autoscaler::boot_timed_out(const protocol::ListedMachine& machine) const {
+  return machine.state == protocol::MachineState::kBooting &&
+         machine.age_s > typical_boot_s(machine.type) * boot_timeouts_.of(machine.type);
 }
 
-void Autoscaler::on_instance_running(const protocol::ListedMachine& m) {
-  double seen = m.age_s / typical_boot_s(m.type) * kLongerThanSeen;
-  auto& times = patience(m.type);
-  times = std::clamp(std::max(seen, times * kLessPatience), kLeastPatience, kMostPatience);
-}
-
-void Autoscaler::on_boot_timeout(const protocol::ListedMachine& m, Instant now) {
-  auto& times = patience(m.type);
-  times = std::min(times * kMorePatience, kMostPatience);
-  // Rather another type or zone first.
-  refused_[{m.type, m.zone, m.spot}] = now;
+void Autoscaler::on_boot_timeout(const protocol::ListedMachine& machine, Instant now) {
+  boot_timeouts_.on_timeout(machine.type);
+  // Another type or zone is tried first.
+  refused_[{machine.type, machine.zone, machine.spot}] = now;
 }
 
 void Autoscaler::on_list(std::vector<protocol::ListedMachine> machines, Instant now) {
   if (now >= list_complete_at_) list_complete_ = true;
   listed_.clear();
-  for (auto& m : machines) {
-    if (m.state == protocol::MachineState::kBooting) {
-      auto rented = now - from_seconds(m.age_s);
-      pending_instances_[m.name] = {{m.type, m.zone, m.spot}, rented};
-    } else if (pending_instances_.erase(m.name) > 0 && m.state == protocol::MachineState::kRunning) {
-      on_instance_running(m);
+  for (auto& machine : machines) {
+    if (machine.state == protocol::MachineState::kBooting) {
+      auto rented = now - from_seconds(machine.age_s);
+      pending_instances_[machine.name] = {{machine.type, machine.zone, machine.spot}, rented};
+    } else if (pending_instances_.erase(machine.name) > 0 &&
+               machine.state == protocol::MachineState::kRunning) {
+      boot_timeouts_.on_running(machine.type, machine.age_s / typical_boot_s(machine.type));
     }
-    auto name = m.name;
-    listed_[std::move(name)] = std::move(m);
+    auto name = machine.name;
+    listed_[std::move(name)] = std::move(machine);
   }
-  // Rented long ago and still not listed: it came and went.
-  std::erase_if(pending_instances_, [&](const auto& c) {
-    return !listed_.contains(c.first) &&
-           now - c.second.rented > params_.list_lag * 3 + std::chrono::seconds(5);
+  drop_unlisted_pending(now);
+  std::erase_if(deleted_, [&](const auto& deletion) { return now - deletion.second > kDeleteRetryDelay; });
+}
+
+void Autoscaler::drop_unlisted_pending(Instant now) {
+  std::erase_if(pending_instances_, [&](const auto& pending) {
+    return !listed_.contains(pending.first) &&
+           now - pending.second.rented > params_.list_lag * kListLagsUntilGone + kUnlistedMargin;
   });
-  std::erase_if(deleted_, [&](const auto& d) { return now - d.second > kDeleteAgain; });
 }
 
-Autoscaler::PendingCapacity Autoscaler::pending_capacity(const protocol::ResourceRequest& s,
+Autoscaler::PendingCapacity Autoscaler::pending_capacity(const protocol::ResourceRequest& request,
                                                          Instant now) const {
-  PendingCapacity room;
-  for (const auto& [name, c] : pending_instances_) {
-    auto t = catalogue_->find(c.kind.type);
-    if (t == catalogue_->end() || !shard::allowed(s, c.kind.type, c.kind.zone, c.kind.spot)) continue;
-    auto n = std::min(shard::fits(t->second.total, s.each), params_.task_cap);
-    (is_boot_late(c, now) ? room.late : room.on_time) += n;
+  PendingCapacity capacity;
+  for (const auto& [name, instance] : pending_instances_) {
+    const auto& kind = instance.kind;
+    auto type = catalogue_->find(kind.type);
+    if (type == catalogue_->end() || !shard::allowed(request, kind.type, kind.zone, kind.spot)) continue;
+    auto tasks = std::min(shard::fits(type->second.total, request.each), params_.task_cap);
+    (is_boot_late(instance, now) ? capacity.late : capacity.on_time) += tasks;
   }
-  return room;
-}
-
-// What is late is ordered anew, but once only: while nothing comes up, twice of what is needed is on order at
-// most.
-double Autoscaler::missing_capacity(const protocol::ResourceRequest& s, double ahead, Instant now) const {
-  double each = std::max(s.each.cpus, kLeastCpus);
-  auto coming = pending_capacity(s, now);
-  double needed = s.wanted + ahead / each;
-  double counted = coming.on_time + std::max(0.0, coming.late - needed);
-  return s.wanted - std::max(0.0, counted - ahead / each);
+  return capacity;
+}
+
+// Late capacity is rented anew, but once only: while nothing comes up, at most twice of what is needed is
+// pending.
+double Autoscaler::missing_tasks(const protocol::ResourceRequest& request, double reserved_cpus,
+                                 Instant now) const {
+  double reserved_tasks = reserved_cpus / counted_cpus(request);
+  auto pending = pending_capacity(request, now);
+  double needed = request.wanted + reserved_tasks;
+  double counted = pending.on_time + std::max(0.0, pending.late - needed);
+  return request.wanted - std::max(0.0, counted - reserved_tasks);
+}
+
+bool Autoscaler::is_refused(const InstanceKind& kind, Instant now) const {
+  auto refusal = refused_.find(kind);
+  return refusal != refused_.end() && now - refusal->second < kRefusalMemory;
+}
+
+std::size_t Autoscaler::count_owned(const InstanceKind& kind) const {
+  return static_cast<std::size_t>(std::count_if(listed_.begin(), listed_.end(), [&](const auto& listed) {
+    const auto& machine = listed.second;
+    return machine.zone == kind.zone && machine.type == kind.type && machine.spot == kind.spot;
+  }));
+}
+
+std::optional<Autoscaler::RentalOption> Autoscaler::cheapest_option(const protocol::ResourceRequest& request,
+                                                                    Instant now) const {
+  std::optional<RentalOption> best;
+  for (const auto& [name, type] : *catalogue_) {
+    auto tasks = std::min(shard::fits(type.total, request.each), params_.task_cap);
+    if (tasks == 0) continue;
+    for (const auto& zone : type.zones) {
+      for (bool spot : {false, true}) {
+        InstanceKind kind{name, zone, spot};
+        if (!shard::allowed(request, name, zone, spot) || is_refused(kind, now)) continue;
+        RentalOption option{(spot ? type.spot_price : type.price) / tasks, count_owned(kind), kind, tasks};
+        if (!best ||
+            std::tie(option.price_per_task, option.owned) < std::tie(best->price_per_task, best->owned))
+          best = std::move(option);
+      }
+    }
+  }
+  return best;
 }
 
 std::optional<protocol::RentRequest> Autoscaler::rent(const std::vector<Demand>& demand, Instant now) {
-  if (!catalogue_ || request_sent_ || now < again_ || !list_complete_) return std::nullopt;
-  if (under_way_) {
+  if (!catalogue_ || request_sent_ || now < retry_at_ || !list_complete_) return std::nullopt;
+  if (open_request_) {
     request_sent_ = true;
-    return under_way_;
+    return open_request_;
   }
-  // Each shape's lack of room; shapes share what is coming, so it is counted off once.
-  double pending_used = 0;
-  for (const auto& d : demand) {
-    if (d.waited < kPatience || d.resource_request.wanted == 0) continue;
-    double each = std::max(d.resource_request.each.cpus, kLeastCpus);
-    double lack = missing_capacity(d.resource_request, pending_used, now);
-    pending_used += d.resource_request.wanted * each;
-    if (lack <= 0) continue;
-    struct Candidate {
-      double cost;
-      std::size_t ours;
-      Kind kind;
-      std::uint32_t fits;
-    };
-    std::optional<Candidate> best;
-    for (const auto& [name, t] : *catalogue_) {
-      auto fits = std::min(shard::fits(t.total, d.resource_request.each), params_.task_cap);
-      if (fits == 0) continue;
-      for (const auto& z : t.zones) {
-        for (bool spot : {false, true}) {
-          Kind kind{name, z, spot};
-          if (!shard::allowed(d.resource_request, name, z, spot)) continue;
-          if (auto r = refused_.find(kind); r != refused_.end() && now - r->second < kRefusalMemory) continue;
-          auto ours = static_cast<std::size_t>(
-              std::count_if(listed_.begin(), listed_.end(), [&, &type = name](const auto& m) {
-                return m.second.zone == z && m.second.type == type && m.second.spot == spot;
-              }));
-          Candidate c{(spot ? t.spot_price : t.price) / fits, ours, kind, fits};
-          if (!best || std::tie(c.cost, c.ours) < std::tie(best->cost, best->ours)) best = c;
-        }
-      }
-    }
-    if (!best) continue;
-    // What else waits and could run there is rented for at once: one request for each job would take as many
-    // seconds as jobs wait. (What waits before this in the list has its room.)
-    for (const auto* o = &d + 1; o != demand.data() + demand.size(); ++o)
-      if (o->waited >= kPatience &&
-          shard::allowed(o->resource_request, best->kind.type, best->kind.zone, best->kind.spot))
-        lack += o->resource_request.wanted * o->resource_request.each.cpus / each;
-    auto count = static_cast<std::uint32_t>(
-        std::clamp(std::ceil(lack / best->fits), 1.0, static_cast<double>(protocol::kMaxRent)));
-    under_way_ = protocol::RentRequest{prefix_ + std::to_string(next_++), best->kind.type, best->kind.zone,
-                                       best->kind.spot, count};
-    request_sent_ = true;
-    return under_way_;
+  // Resource requests share the pending capacity: it's counted once.
+  double reserved_cpus = 0;
+  for (std::size_t i = 0; i < demand.size(); ++i) {
+    const auto& request = demand[i].resource_request;
+    if (demand[i].waited < kMinDemandAge || request.wanted == 0) continue;
+    double missing = missing_tasks(request, reserved_cpus, now);
+    reserved_cpus += request.wanted * counted_cpus(request);
+    if (missing <= 0) continue;
+    if (auto option = cheapest_option(request, now)) return open_request(demand, i, *option, missing);
   }
   return std::nullopt;
 }
 
-void Autoscaler::on_rented(const protocol::RentRequest& r, const std::vector<MachineName>& names,
+// What else waits and may run there is rented for at once: one request for each job would take as many
+// seconds as jobs wait. (What is before it in the list has its capacity.)
+protocol::RentRequest Autoscaler::open_request(const std::vector<Demand>& demand, std::size_t index,
+                                               const RentalOption& option, double tasks) {
+  const auto& kind = option.kind;
+  double cpus_each = counted_cpus(demand[index].resource_request);
+  for (std::size_t i = index + 1; i < demand.size(); ++i) {
+    const auto& other = demand[i].resource_request;
+    if (demand[i].waited >= kMinDemandAge && shard::allowed(other, kind.type, kind.zone, kind.spot))
+      tasks += other.wanted * other.each.cpus / cpus_each;
+  }
+  auto count = static_cast<std::uint32_t>(
+      std::clamp(std::ceil(tasks / option.tasks_per_instance), 1.0, static_cast<double>(protocol::kMaxRent)));
+  open_request_ = protocol::RentRequest{prefix_ + std::to_string(next_request_number_++), kind.type,
+                                        kind.zone, kind.spot, count};
+  request_sent_ = true;
+  return *open_request_;
+}
+
+void Autoscaler::on_rented(const protocol::RentRequest& request, const std::vector<MachineName>& names,
                            Instant now) {
   request_sent_ = false;
-  under_way_.reset();
-  Kind kind{r.type, r.zone, r.spot};
-  for (const auto& n : names) pending_instances_[n] = {kind, now};
-  if (names.size() < r.count) refused_[kind] = now;
-  spdlog::info("rented {} of {} {} in {}{}", names.size(), r.count, r.type.value(), r.zone.value(),
-               r.spot ? " (spot)" : "");
+  open_request_.reset();
+  InstanceKind kind{request.type, request.zone, request.spot};
+  for (const auto& name : names) pending_instances_[name] = {kind, now};
+  if (names.size() < request.count) refused_[kind] = now;
+  spdlog::info("instances_rented count={} requested={} type={} zone={} spot={}", names.size(), request.count,
+               request.type.value(), request.zone.value(), request.spot);
 }
 
-void Autoscaler::on_refused(const protocol::RentRequest& r, Instant now) {
+void Autoscaler::on_refused(const protocol::RentRequest& request, Instant now) {
   request_sent_ = false;
-  under_way_.reset();
-  refused_[{r.type, r.zone, r.spot}] = now;
+  open_request_.reset();
+  refused_[{request.type, request.zone, request.spot}] = now;
 }
 
 void Autoscaler::on_unanswered(Instant now) {
   request_sent_ = false;
-  again_ = now + kRentAgain;
+  retry_at_ = now + kRetryDelay;
 }
 
 std::vector<MachineName> Autoscaler::failed_instances(Instant now) {
-  std::vector<MachineName> out;
-  if (!catalogue_) return out;
-  for (const auto& [name, m] : listed_) {
-    if (deleted_.contains(name) || out.size() >= protocol::kMaxDelete) continue;
-    bool never = boot_timed_out(m);
-    if (m.state != protocol::MachineState::kFailed && !never) continue;
-    if (never) on_boot_timeout(m, now);
-    spdlog::info("{}: {}, to be deleted", name.value(), never ? "never came up" : "failed");
+  std::vector<MachineName> failed;
+  if (!catalogue_) return failed;
+  for (const auto& [name, machine] : listed_) {
+    if (deleted_.contains(name) || failed.size() >= protocol::kMaxDelete) continue;
+    bool timed_out = boot_timed_out(machine);
+    if (machine.state != protocol::MachineState::kFailed && !timed_out) continue;
+    if (timed_out) on_boot_timeout(machine, now);
+    spdlog::info("instance_failed machine={} reason={}", name.value(), timed_out ? "boot_timeout" : "failed");
     deleted_[name] = now;
     pending_instances_.erase(name);
-    out.push_back(name);
+    failed.push_back(name);
   }
-  return out;
+  return failed;
 }
 
 std::vector<MachineName> Autoscaler::idle_instances(const std::map<ShardId, protocol::Summary>& summaries,
                                                     bool demand, bool jobs) const {
-  std::vector<MachineName> out;
-  if (demand) return out;
-  double enough = to_seconds(jobs ? params_.idle_return : params_.quiet_return);
-  for (const auto& [shard, s] : summaries)
-    for (const auto& m : s.machines)
-      if (m.usable && m.idle_s > enough) out.push_back(m.name);
-  return out;
+  std::vector<MachineName> idle;
+  if (demand) return idle;
+  double idle_limit_s = to_seconds(jobs ? params_.idle_return : params_.quiet_return);
+  for (const auto& [shard, summary] : summaries)
+    for (const auto& machine : summary.machines)
+      if (machine.usable && machine.idle_s > idle_limit_s) idle.push_back(machine.name);
+  return idle;
 }
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/crash_loop_backoff.cpp
+++ b/src/scheduler/crash_loop_backoff.cpp
@@ -6,26 +6,27 @@
 
 namespace beaconsill::scheduler {
 namespace {
-constexpr Duration kFirstBackoff = std::chrono::seconds(2);
-constexpr Duration kLongestBackoff = std::chrono::seconds(30);
+
+constexpr Duration kFirstDelay = std::chrono::seconds(2);
+constexpr Duration kLongestDelay = std::chrono::seconds(30);
+
 }  // namespace
 
-void CrashLoopBackoff::on_job_health(const JobId& id, protocol::JobHealth verdict, Instant granted,
-                                     Instant now) {
-  if (verdict == protocol::JobHealth::kWorks) erase(id);
-  if (verdict != protocol::JobHealth::kFails) return;
-  auto [it, fresh] = jobs_.try_emplace(id);
-  auto& job = it->second;
-  if (fresh)
-    spdlog::info("{}: its tasks fail on several machines, tried one at a time from now on", id.value());
-  if (!fresh && granted <= job.failed) return;
-  job.failed = now;
-  job.backoff = std::clamp(2 * job.backoff, kFirstBackoff, kLongestBackoff);
+void CrashLoopBackoff::on_job_health(const JobId& id, protocol::JobHealth health,
+                                     std::optional<Instant> last_granted, Instant now) {
+  if (health == protocol::JobHealth::kWorks) erase(id);
+  if (health != protocol::JobHealth::kFails) return;
+  auto [it, is_new] = jobs_.try_emplace(id);
+  auto& backoff = it->second;
+  if (is_new) spdlog::info("crash_loop_backoff_started job={} reason=fails_on_several_machines", id.value());
+  if (!is_new && last_granted <= backoff.failed) return;
+  backoff.failed = now;
+  backoff.delay = std::clamp(2 * backoff.delay, kFirstDelay, kLongestDelay);
 }
 
 bool CrashLoopBackoff::due(const JobId& id, Instant now) const {
   auto job = jobs_.find(id);
-  return job == jobs_.end() || now - job->second.failed >= job->second.backoff;
+  return job == jobs_.end() || now - job->second.failed >= job->second.delay;
 }
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/crash_loop_backoff.h
+++ b/src/scheduler/crash_loop_backoff.h
@@ -1,8 +1,9 @@
-// Jobs whose tasks fail on every machine: submitted with a mistake, most likely, and not yet cancelled. They
-// are tried again by one task at a time, ever more seldom, lest they take machines, rounds and writes from
-// others.
+// Back-off for jobs whose tasks fail on every machine: most likely submitted with a mistake and not yet
+// cancelled. They are tried again by one task at a time, ever more seldom, so that they don't take machines,
+// rounds and writes from others.
 #pragma once
 
+#include <optional>
 #include <unordered_map>
 
 #include "base/types.h"
@@ -10,23 +11,26 @@
 
 namespace beaconsill::scheduler {
 
-// Rests on the owners' messages alone: after a change of leader such a job is granted once more as a whole.
+// Rests on the shard leaders' messages alone: after a failover such a job is granted once more as a whole.
 class CrashLoopBackoff {
  public:
-  // `granted`: when the job was last granted tasks. All failures of one grant count once.
-  void on_job_health(const JobId& job, protocol::JobHealth verdict, Instant granted, Instant now);
+  // What a shard leader found out about the job. `last_granted`: when it was last granted tasks, if ever. All
+  // failures of one grant count once.
+  void on_job_health(const JobId& job, protocol::JobHealth health, std::optional<Instant> last_granted,
+                     Instant now);
   // The job works, or is over.
   void erase(const JobId& job) { jobs_.erase(job); }
+  // Whether the job is in back-off.
   bool contains(const JobId& job) const { return jobs_.contains(job); }
-  // Whether one of its tasks may be granted, if none is out.
+  // Whether one of its tasks may be granted, if none is outstanding. True for jobs that aren't in back-off.
   bool due(const JobId& job, Instant now) const;
 
  private:
-  struct Job {
+  struct Backoff {
     Instant failed{};
-    Duration backoff{};
+    Duration delay{};
   };
-  std::unordered_map<JobId, Job> jobs_;
+  std::unordered_map<JobId, Backoff> jobs_;
 };
 
 }  // namespace beaconsill::scheduler
--- /dev/null
+++ b/src/scheduler/indeterminate_grants.cpp
@@ -0,0 +1,38 @@
+#include "scheduler/indeterminate_grants.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace beaconsill::scheduler {
+
+void IndeterminateGrants::add(const std::vector<JobGrant>& grants) {
+  Transaction transaction;
+  for (const auto& grant : grants) transaction[grant.job] = grant.expected;
+  if (!transaction.empty()) transactions_.push_back(std::move(transaction));
+}
+
+// A transaction is atomic, and conditional on the version of each of its keys and on none of its jobs being
+// over.
+bool IndeterminateGrants::may_still_commit(const Transaction& transaction, const JobTable& jobs) {
+  return std::all_of(transaction.begin(), transaction.end(), [&](const auto& write) {
+    const auto* entry = jobs.find(write.first);
+    return entry && !entry->end && entry->grants_version == write.second;
+  });
+}
+
+void IndeterminateGrants::drop_settled(const JobTable& jobs) {
+  std::erase_if(transactions_,
+                [&](const Transaction& transaction) { return !may_still_commit(transaction, jobs); });
+}
+
+std::set<JobId> IndeterminateGrants::superseding_writes() const {
+  std::set<JobId> writes;
+  for (const auto& transaction : transactions_) {
+    bool superseded = std::any_of(transaction.begin(), transaction.end(),
+                                  [&](const auto& write) { return writes.contains(write.first); });
+    if (!superseded) writes.insert(transaction.begin()->first);
+  }
+  return writes;
+}
+
+}  // namespace beaconsill::scheduler
--- a/src/scheduler/inherited_requirements.cpp
+++ b/src/scheduler/inherited_requirements.cpp
@@ -5,35 +5,36 @@
 
 namespace beaconsill::scheduler {
 
-Requirement stricter_of(const Requirement& a, const Requirement& b) {
-  Requirement out{std::max(a.priority, b.priority), a.due_ms.size() >= b.due_ms.size() ? a.due_ms : b.due_ms};
-  for (std::size_t i = 0; i < std::min(a.due_ms.size(), b.due_ms.size()); ++i)
-    out.due_ms[i] = std::min(a.due_ms[i], b.due_ms[i]);
-  std::sort(out.due_ms.begin(), out.due_ms.end());
-  return out;
+Requirement stricter_of(const Requirement& first, const Requirement& second) {
+  const auto& longer = first.due_ms.size() >= second.due_ms.size() ? first : second;
+  Requirement stricter{std::max(first.priority, second.priority), longer.due_ms};
+  for (std::size_t i = 0; i < std::min(first.due_ms.size(), second.due_ms.size()); ++i)
+    stricter.due_ms[i] = std::min(first.due_ms[i], second.due_ms[i]);
+  std::sort(stricter.due_ms.begin(), stricter.due_ms.end());
+  return stricter;
 }
 
 void InheritedRequirements::on_waiting(const JobId& job, const std::vector<JobId>& depends_on,
                                        const Requirement& own, Duration takes) {
-  auto [it, fresh] = waiting_.try_emplace(job);
-  if (!fresh) return;
+  auto [it, is_new] = waiting_.try_emplace(job);
+  if (!is_new) return;
   it->second = {depends_on, own, takes};
-  // A list of what is left to do instead of recursion: chains may be thousands of jobs long.
+  // A work list instead of recursion: chains may be thousands of jobs long.
   std::vector<JobId> stricter_now{job};
   while (!stricter_now.empty()) {
     auto next = std::move(stricter_now.back());
     stricter_now.pop_back();
     auto waiting = waiting_.find(next);
     if (waiting == waiting_.end()) continue;
-    Requirement before = stricter_of(waiting->second.own, of(next));
+    Requirement of_dependencies = stricter_of(waiting->second.own, of(next));
     auto takes_ms = std::chrono::duration_cast<std::chrono::milliseconds>(waiting->second.takes).count();
-    for (auto& due : before.due_ms) due -= takes_ms;
+    for (auto& due_ms : of_dependencies.due_ms) due_ms -= takes_ms;
     for (const auto& dependency : waiting->second.depends_on) {
       ++visited_count_;
-      auto& need = inherited_[dependency];
-      auto merged = stricter_of(need, before);
-      if (merged == need) continue;
-      need = std::move(merged);
+      auto& inherited = inherited_[dependency];
+      auto merged = stricter_of(inherited, of_dependencies);
+      if (merged == inherited) continue;
+      inherited = std::move(merged);
       changed_.push_back(dependency);
       stricter_now.push_back(dependency);
     }
--- /dev/null
+++ b/src/scheduler/offered_capacity.cpp
@@ -0,0 +1,135 @@
+#include "scheduler/offered_capacity.h"
+
+#include <algorithm>
+#include <optional>
+#include <utility>
+
+namespace beaconsill::scheduler {
+namespace {
+
+void add(std::vector<ShardCapacity>& list, ShardId shard, std::optional<Zone> zone, std::uint32_t tasks) {
+  if (tasks > 0) list.push_back({shard, std::move(zone), tasks});
+}
+
+std::uint32_t minus(std::uint32_t tasks, std::uint32_t reserved) {
+  return tasks > reserved ? tasks - reserved : 0;
+}
+
+std::uint64_t total(const std::vector<ShardCapacity>& capacities) {
+  std::uint64_t sum = 0;
+  for (const auto& capacity : capacities) sum += capacity.tasks;
+  return sum;
+}
+
+std::uint32_t total(const std::vector<ShardAllocation>& allocations) {
+  std::uint32_t sum = 0;
+  for (const auto& allocation : allocations) sum += allocation.tasks;
+  return sum;
+}
+
+// The first zone with most capacity; none if there is no capacity.
+std::optional<Zone> largest_zone(const std::vector<ShardCapacity>& capacities) {
+  std::map<Zone, std::uint64_t> by_zone;
+  for (const auto& capacity : capacities) by_zone[*capacity.zone] += capacity.tasks;
+  std::optional<Zone> largest;
+  std::uint64_t largest_tasks = 0;
+  for (const auto& [zone, tasks] : by_zone) {
+    if (tasks <= largest_tasks) continue;
+    largest_tasks = tasks;
+    largest = zone;
+  }
+  return largest;
+}
+
+}  // namespace
+
+void OfferedCapacity::add_shard(ShardId shard, const protocol::CapacityByZone& zones,
+                                std::uint32_t reserved_tasks) {
+  if (by_zone_) {
+    add_zones(shard, zones, reserved_tasks);
+  } else {
+    add_total(shard, zones, reserved_tasks);
+  }
+}
+
+void OfferedCapacity::add_zones(ShardId shard, const protocol::CapacityByZone& zones,
+                                std::uint32_t reserved_tasks) {
+  // In which zone the reserved tasks will be isn't known: the first ones are charged with them.
+  for (const auto& zone : zones) {
+    auto reserved_here = std::min(zone.free, reserved_tasks);
+    reserved_tasks -= reserved_here;
+    add(free_, shard, zone.zone, zone.free - reserved_here);
+    add(preemptible_, shard, zone.zone, zone.preemptible);
+  }
+}
+
+void OfferedCapacity::add_total(ShardId shard, const protocol::CapacityByZone& zones,
+                                std::uint32_t reserved_tasks) {
+  protocol::ZoneCapacity sum;
+  for (const auto& zone : zones) {
+    sum.warm += zone.warm;
+    sum.free += zone.free;
+    sum.preemptible += zone.preemptible;
+    sum.warm_preemptible += zone.warm_preemptible;
+  }
+  add(warm_, shard, std::nullopt, minus(sum.warm, reserved_tasks));
+  add(free_, shard, std::nullopt, minus(sum.free, reserved_tasks));
+  add(preemptible_, shard, std::nullopt, sum.preemptible);
+  add(warm_preemptible_, shard, std::nullopt, sum.warm_preemptible);
+}
+
+void OfferedCapacity::restrict_to_one_zone(const TasksByZone& placed) {
+  auto zone = placed.empty() ? largest_zone(free_) : placed.begin()->first;
+  auto elsewhere = [&](const ShardCapacity& capacity) { return !zone || *capacity.zone != *zone; };
+  std::erase_if(free_, elsewhere);
+  std::erase_if(preemptible_, elsewhere);
+}
+
+void OfferedCapacity::spread_over_zones(std::uint32_t limit, const TasksByZone& placed) {
+  auto tasks_in_zone = placed;
+  for (auto* list : {&free_, &preemptible_}) {
+    for (auto& capacity : *list) {
+      auto& tasks = tasks_in_zone[*capacity.zone];
+      capacity.tasks = std::min(capacity.tasks, minus(limit, tasks));
+      tasks += capacity.tasks;
+    }
+  }
+}
+
+void OfferedCapacity::restrict_to_gang(std::uint32_t tasks) {
+  warm_.clear();
+  preemptible_.clear();
+  if (total(free_) < tasks) return free_.clear();
+  std::map<ShardId, std::uint64_t> by_shard;
+  for (const auto& capacity : free_) by_shard[capacity.shard] += capacity.tasks;
+  auto largest = std::max_element(by_shard.begin(), by_shard.end(), [](const auto& left, const auto& right) {
+    return left.second < right.second;
+  });
+  if (largest->second >= tasks)
+    std::erase_if(free_, [&](const ShardCapacity& capacity) { return capacity.shard != largest->first; });
+}
+
+std::vector<ShardCapacity> OfferedCapacity::free_without_image() const {
+  std::vector<ShardCapacity> cold = free_;
+  for (auto& capacity : cold)
+    for (const auto& warm : warm_)
+      if (warm.shard == capacity.shard && warm.zone == capacity.zone)
+        capacity.tasks = minus(capacity.tasks, warm.tasks);
+  return cold;
+}
+
+// An image's fetch takes longer than anything else on the way to a task's start; for a service also longer
+// than preempting work where the image is.
+Placement OfferedCapacity::place(std::uint32_t tasks, JobKind kind) const {
+  bool preempt_where_warm =
+      kind == JobKind::kService && total(warm_) < tasks && total(warm_) + total(warm_preemptible_) >= tasks;
+  Placement placement{apportion(tasks, warm_), {}};
+  if (auto placed = total(placement.free); placed < tasks && !preempt_where_warm)
+    for (auto& allocation : apportion(tasks - placed, free_without_image()))
+      placement.free.push_back(std::move(allocation));
+  if (auto placed = total(placement.free); placed < tasks)
+    placement.preempting = apportion(tasks - placed, preempt_where_warm ? warm_preemptible_ : preemptible_);
+  return placement;
+}
+
+}  // namespace beaconsill::scheduler
--- /dev/null
+++ b/src/scheduler/reported_progress.cpp
@@ -0,0 +1,58 @@
+#include "scheduler/reported_progress.h"
+
+#include <algorithm>
+
+namespace beaconsill::scheduler {
+namespace {
+
+void add_released(std::vector<state_store::ReleasedTasks>& known,
+                  const state_store::ReleasedTasks& released) {
+  auto same_generation = std::find_if(
+      known.begin(), known.end(), [&](const auto& entry) { return entry.generation == released.generation; });
+  if (same_generation == known.end()) {
+    known.push_back(released);
+  } else {
+    same_generation->tasks.add(released.tasks);
+  }
+}
+
+}  // namespace
+
+bool ReportedProgress::is_current(ShardId shard, Term term) const {
+  auto known = terms_.find(shard);
+  return known != terms_.end() && known->second == term;
+}
+
+void ReportedProgress::on_report(const protocol::ProgressReport& report) {
+  bool current = is_current(report.shard, report.term);
+  for (const auto& job : report.jobs) {
+    auto& known = by_job_[job.job][report.shard];
+    known.progress.done.add(job.done);
+    if (!current) continue;
+    if (known.term != report.term) known.progress.released.clear();
+    known.term = report.term;
+    // Copies may arrive late and in any order: a release under a generation stays valid.
+    for (const auto& released : job.released) add_released(known.progress.released, released);
+  }
+}
+
+std::vector<JobId> ReportedProgress::on_terms(const std::map<ShardId, Term>& terms) {
+  std::vector<JobId> changed;
+  if (terms == terms_) return changed;
+  terms_ = terms;
+  for (auto& [job, shards] : by_job_) {
+    for (auto& [shard, reported] : shards) {
+      if (reported.progress.released.empty() || is_current(shard, reported.term)) continue;
+      reported.progress.released.clear();
+      changed.push_back(job);
+    }
+  }
+  return changed;
+}
+
+const ProgressByShard* ReportedProgress::find(const JobId& job) const {
+  auto it = by_job_.find(job);
+  return it == by_job_.end() ? nullptr : &it->second;
+}
+
+}  // namespace beaconsill::scheduler
--- /dev/null
+++ b/tests/indeterminate_grants_test.cpp
@@ -0,0 +1,90 @@
+// Transactions without an answer, and grants that the shards' estimates don't account for yet.
+#include "scheduler/indeterminate_grants.h"
+
+#include <gtest/gtest.h>
+
+#include <functional>
+
+#include "scheduler/assumed_grants.h"
+
+namespace beaconsill::scheduler {
+namespace {
+
+// Jobs with grants of version 5.
+struct Jobs {
+  explicit Jobs(const std::vector<const char*>& ids) {
+    for (const auto* id : ids) table.find_or_insert(JobId(id)).grants_version = Revision(5);
+  }
+  JobTable table;
+};
+
+std::vector<JobGrant> transaction(const std::vector<const char*>& ids) {
+  std::vector<JobGrant> grants;
+  for (const auto* id : ids) grants.push_back({JobId(id), {}, Revision(5), {}});
+  return grants;
+}
+
+TEST(IndeterminateGrants, OneWriteSupersedesEachTransaction) {
+  struct Case {
+    const char* what;
+    std::vector<std::vector<const char*>> transactions;
+    std::vector<const char*> writes;
+  };
+  const Case cases[] = {
+      {"none", {}, {}},
+      {"an empty one", {{}}, {}},
+      {"one of its jobs", {{"a", "b"}}, {"a"}},
+      {"one for both", {{"a", "b"}, {"a", "c"}}, {"a"}},
+      {"one for each", {{"a", "b"}, {"c", "d"}}, {"a", "c"}},
+  };
+  for (const auto& test_case : cases) {
+    IndeterminateGrants indeterminate;
+    for (const auto& ids : test_case.transactions) indeterminate.add(transaction(ids));
+    std::set<JobId> writes;
+    for (const auto* id : test_case.writes) writes.insert(JobId(id));
+    EXPECT_EQ(indeterminate.superseding_writes(), writes) << test_case.what;
+    EXPECT_EQ(indeterminate.empty(), writes.empty()) << test_case.what;
+  }
+}
+
+TEST(IndeterminateGrants, SettledOnceOneOfItsConditionsCannotHold) {
+  struct Case {
+    const char* what;
+    std::function<void(JobTable&)> change;
+    bool settled;
+  };
+  const Case cases[] = {
+      {"nothing changed", [](JobTable&) {}, false},
+      {"another job changed", [](JobTable& jobs) { jobs.at(JobId("c")).grants_version = Revision(6); },
+       false},
+      {"a newer version", [](JobTable& jobs) { jobs.at(JobId("b")).grants_version = Revision(6); }, true},
+      {"a job is over",
+       [](JobTable& jobs) { jobs.at(JobId("b")).end = state_store::TerminalState::kCancelled; }, true},
+      {"a job was removed", [](JobTable& jobs) { jobs.erase(JobId("a")); }, true},
+  };
+  for (const auto& test_case : cases) {
+    Jobs jobs({"a", "b", "c"});
+    IndeterminateGrants indeterminate;
+    indeterminate.add(transaction({"a", "b"}));
+    test_case.change(jobs.table);
+    indeterminate.drop_settled(jobs.table);
+    EXPECT_EQ(indeterminate.empty(), test_case.settled) << test_case.what;
+  }
+}
+
+TEST(AssumedGrants, CountUntilTheShardHasSeenThem) {
+  AssumedGrants assumed;
+  assumed.add(ShardId(0), Revision(5), 2);
+  assumed.add(ShardId(0), Revision(7), 3);
+  assumed.add(ShardId(1), Revision(7), 4);
+  EXPECT_EQ(assumed.cpus_by_shard(), (std::map<ShardId, double>{{ShardId(0), 5}, {ShardId(1), 4}}));
+  assumed.acknowledge(ShardId(0), Revision(4));
+  EXPECT_EQ(assumed.cpus_by_shard().at(ShardId(0)), 5);
+  assumed.acknowledge(ShardId(0), Revision(5));
+  EXPECT_EQ(assumed.cpus_by_shard().at(ShardId(0)), 3);
+  assumed.acknowledge(ShardId(0), Revision(7));
+  EXPECT_EQ(assumed.cpus_by_shard(), (std::map<ShardId, double>{{ShardId(1), 4}}));
+}
+
+}  // namespace
+}  // namespace beaconsill::scheduler
