--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -167,7 +167,7 @@
 TEST(Api, RequestsThatCannotBeAnsweredAreRefusedSoon) {
   struct Case {
     const char* what;
-    std::function<void(standin::State&)> fail;
+    std::function<void(fakes::StateStore&)> fail;
   };
   const Case cases[] = {
       {"an outage", [](auto& s) { s.down = true; }},
--- a/tests/meetings_lead_test.cpp
+++ b/tests/concurrent_faults_scheduler_test.cpp
@@ -1,5 +1,5 @@
-// Meetings of troubles at the leader: limits, cancellations and messages of owners while shards change hands.
-// See docs/meetings.md.
+// Concurrent faults at the scheduler: limits, cancellations and messages of shard leaders during failovers.
+// See docs/concurrent-faults.md.
 #include <gtest/gtest.h>
 
 #include "scheduler/scheduler.h"
@@ -45,7 +45,7 @@
     ends[id] = e;
     publish(id);
   }
-  // The owner of the shard tells that the tasks of the job's chunk were returned.
+  // The shard leader reports that the tasks of the job's chunk were returned.
   void released(const char* id, std::uint32_t shard, std::uint64_t term, Ranges tasks) {
     for (const auto& c : jobs[id].grants.value.chunks)
       if (c.shard == ShardId(shard))
@@ -88,20 +88,20 @@
 
 // "A team is at its limit when the leader changes, some of its machines can't be asked, and a cancellation
 // falls into that spell": what a cancelled job leaves may go to another job only while no successor of the
-// owner that told so can exist. Found by reading the code.
-TEST(AtTheLimit, WhatACancelledJobLeavesRestsOnItsOwnersTerm) {
+// shard leader that reported it can exist. Found by reading the code.
+TEST(QuotaExhausted, ReleasedCapacityOfACancelledJobDependsOnTheTermOfItsShard) {
   struct Case {
     const char* what;
     const char* team;    // of the next job
-    bool recorded;       // the return is in the state store
-    std::uint64_t term;  // under which it was told
+    bool recorded;       // the release is in the state store
+    std::uint64_t term;  // under which it was reported
     std::set<ShardId> depends_on_shards;
     std::uint32_t granted;
   };
   const Case cases[] = {
-      {"told only", "blue", false, 1, {ShardId(0)}, 10},
+      {"reported only", "blue", false, 1, {ShardId(0)}, 10},
       {"recorded as well", "blue", true, 1, {}, 10},
-      {"told under a term that isn't the part's", "blue", false, 2, {}, 0},
+      {"reported under a term that isn't the shard's", "blue", false, 2, {}, 0},
       {"another team's job", "free", false, 1, {}, 10},
   };
   for (const auto& c : cases) {
@@ -128,7 +128,7 @@
 }
 
 // The same of the job's keys: a successor that hasn't read the end yet may start what they grant.
-TEST(AtTheLimit, KeysAreDroppedUnderTheTermThatToldSoOnly) {
+TEST(QuotaExhausted, KeysAreCollectedUnderTheTermThatReportedTheRelease) {
   Leader l;
   l.job("run-1", 4);
   l.applied(l.round({{0, room(4)}, {1, {}}}));
@@ -137,7 +137,7 @@
   l.released("run-1", 0, 1, Ranges::span(0, 4));
   EXPECT_EQ(l.scheduler.collectable(), std::vector{JobId("run-1")});
   EXPECT_EQ(l.scheduler.released_by_message(JobId("run-1")), std::set{ShardId(0)});
-  // The shard changes hands: its next owner has to tell anew.
+  // The shard changes hands: its next leader has to report anew.
   l.terms(2, 1);
   EXPECT_TRUE(l.scheduler.collectable().empty());
   EXPECT_TRUE(l.scheduler.released_by_message(JobId("run-1")).empty());
@@ -145,8 +145,8 @@
   EXPECT_EQ(l.scheduler.collectable(), std::vector{JobId("run-1")});
 }
 
-// The ledger adds up again whatever comes in between: a job that is gone rests on nobody's message.
-TEST(AtTheLimit, NothingIsLeftOfAJobThatIsGone) {
+// The ledger adds up again whatever comes in between: a deleted job depends on nobody's message.
+TEST(QuotaExhausted, NothingIsLeftOfADeletedJob) {
   Leader l;
   for (int n = 0; n < 3; ++n) {
     l.job("run-1", 10);
@@ -170,11 +170,11 @@
 
 // "Controllers hand over and back": messages of an owner that was replaced, in any order and repeated, free
 // nothing, whether they come before or after the leader knows of the new term.
-TEST(HandOverAndBack, MessagesOfAnEarlierOwnerFreeNothing) {
+TEST(RepeatedFailover, MessagesOfAPreviousShardLeaderFreeNothing) {
   struct Case {
     const char* what;
-    std::vector<std::uint64_t> told;  // terms, in the order in which the messages come
-    std::uint64_t term;               // the shard's, as the leader knows it at the end
+    std::vector<std::uint64_t> reported;  // terms, in the order in which the messages come
+    std::uint64_t term;                   // the shard's, as the leader knows it at the end
     bool free;
   };
   const Case cases[] = {
@@ -188,7 +188,7 @@
     l.job("run-1", 10);
     l.applied(l.round({{0, room(10)}, {1, {}}}));
     bool first = true;
-    for (auto term : c.told) {
+    for (auto term : c.reported) {
       if (!first || term == c.term) l.terms(c.term, 1);
       first = false;
       l.released("run-1", 0, term, Ranges::span(0, 10));
@@ -204,7 +204,7 @@
 
 // "Jobs bound to one zone, arrays too, lose machines": what is left out binds the rest to its zone, and
 // nothing else does.
-TEST(OneZone, WhatWasLostFollowsWhatIsLeft) {
+TEST(OneZone, LostTasksFollowTheRemainingOnes) {
   struct Case {
     const char* what;
     Ranges released;  // of the four tasks in zone "east"
--- a/tests/meetings_part_test.cpp
+++ b/tests/concurrent_faults_shard_test.cpp
@@ -1,12 +1,13 @@
-// Meetings of troubles at the owner of a shard: late copies of reports, hand-overs, machines that are heard
-// or reached one way only, and cancellations in between. See docs/meetings.md.
+// Concurrent faults at a shard leader: late copies of heartbeats, failovers, one-way partitions of machines,
+// and cancellations in between. See docs/concurrent-faults.md.
 #include <gtest/gtest.h>
 
-#include "shard/shard_manager.h"
+#include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
 
+using fixture::at;
 using protocol::Command;
 using protocol::EndCause;
 using protocol::TaskState;
@@ -16,36 +17,16 @@
 constexpr std::uint64_t kTerm = 5;
 const JobId kJob("run-1");
 
-Instant at(double s) {
-  return Instant{} + from_seconds(1000 + s);
-}
-
-ShardParams params() {
-  ShardParams p;
-  p.heartbeat_period = std::chrono::seconds(1);
-  p.lease = std::chrono::seconds(10);
-  p.cancel_limit = std::chrono::seconds(40);
-  p.grace = std::chrono::seconds(5);
-  return p;
-}
-
 // A shard with machines `a` and `b` in zone "east" and `c` in zone "west". The test composes the reports.
-struct Owner {
+struct ShardLeader {
   using Names = std::vector<const char*>;
   // `registered`: none if the registry hasn't been read yet.
-  explicit Owner(const std::optional<Names>& registered = Names{"a", "b", "c"})
-      : shard(ShardId(0), Term(kTerm), params(), at(0)) {
-    auto types = std::make_shared<protocol::Catalogue>();
-    (*types)[MachineType("t4")] = {MachineType("t4"),           {4, 0, 16}, 10, 0.1, 1, 0.5, 20,
-                                   {Zone("east"), Zone("west")}};
-    shard.set_catalogue(types);
+  explicit ShardLeader(const std::optional<Names>& registered = Names{"a", "b", "c"})
+      : shard(ShardId(0), Term(kTerm), fixture::params(), at(0)) {
+    shard.set_catalogue(fixture::catalogue({Zone("east"), Zone("west")}));
     for (const char* name : {"a", "b", "c"}) {
       auto& r = workers[name];
-      r.machine = MachineName(name);
-      r.address = "127.0.0.1:1";
-      r.type = MachineType("t4");
-      r.zone = Zone(name[0] == 'c' ? "west" : "east");
-      r.incarnation = Incarnation(1);
+      r = fixture::new_worker(name, Zone(name[0] == 'c' ? "west" : "east"));
       r.sequence = Sequence(100);
       r.token = Token::first_of(Term(kTerm - 1));
     }
@@ -54,10 +35,7 @@
 
   void registry(const std::vector<const char*>& names, double t = 0) {
     std::vector<state_store::MachineRecord> all;
-    for (const char* name : names) {
-      const auto& r = workers.at(name);
-      all.push_back({r.machine, r.type, r.zone, r.spot, r.address});
-    }
+    for (const char* name : names) all.push_back(fixture::machine_record(workers.at(name)));
     shard.on_registry(all, at(t));
   }
   static protocol::TaskStatus task(std::uint32_t index, std::uint64_t attempt,
@@ -73,7 +51,7 @@
     r.tasks = std::move(tasks);
     return shard.on_worker_heartbeat(r, at(t));
   }
-  // The worker has seen this owner's term and reports.
+  // The worker has seen this leader's term and sends a heartbeat.
   bool heartbeat(const char* name, double t) {
     auto& r = workers.at(name);
     r.token = std::max(r.token, Token::first_of(shard.term()));
@@ -84,16 +62,10 @@
   }
   void grant(std::uint32_t tasks, std::uint64_t term, double t, std::optional<Zone> zone = std::nullopt,
              std::optional<Zone> job_zone = std::nullopt) {
-    protocol::JobSpec s;
-    s.id = kJob;
-    s.team = Team("blue");
-    s.tasks = tasks;
-    s.each = {1, 0, 1};
-    s.image = ImageName("img");
-    s.estimate_s = 20;
-    s.zone = job_zone;
-    job.record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
-    job.created = Revision(1);
+    auto spec = fixture::job_spec(kJob, tasks);
+    spec.estimate_s = 20;
+    spec.zone = job_zone;
+    fixture::record_job(job, spec);
     auto g = Generation(job.grants.value.last.value() + 1);
     job.grants.value = {{{g, ShardId(0), Term(term), Ranges::span(0, tasks), zone, false, {}}}, g};
     job.grants.version = Revision(++revision);
@@ -152,7 +124,7 @@
 // "An old report arrives after newer ones, also from an earlier session or attempt", here at a new owner, who
 // can't know that it's old. Found by reading the code: the task of the old report was taken for placed there,
 // and the sound one was stopped as a second copy of it.
-TEST(OldReportAtANewOwner, NeverStopsWhatRunsElsewhere) {
+TEST(StaleHeartbeatAfterFailover, NeverStopsATaskThatRunsElsewhere) {
   struct Case {
     const char* what;
     std::vector<const char*> registered;
@@ -165,11 +137,11 @@
       {"of a machine that is still there, after the true one", {"a", "b"}, false},
   };
   for (const auto& c : cases) {
-    Owner o(c.registered);
+    ShardLeader o(c.registered);
     o.grant(1, kTerm - 1, 0);
     // It ran on a, was started anew on b since.
-    o.workers["b"].tasks = {Owner::task(0, 12)};
-    auto old_one = [&] { o.late_copy("a", {Owner::task(0, 11)}, 0.5); };
+    o.workers["b"].tasks = {ShardLeader::task(0, 12)};
+    auto old_one = [&] { o.late_copy("a", {ShardLeader::task(0, 11)}, 0.5); };
     if (c.old_one_first) old_one();
     o.heartbeat("b", 0.6);
     if (!c.old_one_first) old_one();
@@ -177,8 +149,8 @@
     for (double t = 0.7; t < 4; t += 0.5) {
       o.tick(t);
       for (const auto& b : o.batches(t)) {
-        for (const auto& s : Owner::commands({b}, Command::Op::kStop)) stops.push_back(s);
-        for (const auto& s : Owner::commands({b}, Command::Op::kStart)) starts.push_back(s);
+        for (const auto& s : ShardLeader::commands({b}, Command::Op::kStop)) stops.push_back(s);
+        for (const auto& s : ShardLeader::commands({b}, Command::Op::kStart)) starts.push_back(s);
       }
       o.heartbeat("b", t);
       if (c.registered.size() > 1) o.heartbeat("a", t);
@@ -188,26 +160,27 @@
     // The old machine's end frees nothing that b holds.
     o.shard.on_deleted(MachineName("a"), at(5));
     o.tick(5.2);
-    EXPECT_EQ(Owner::commands(o.batches(5.2), Command::Op::kStart), std::vector<std::string>{}) << c.what;
+    EXPECT_EQ(ShardLeader::commands(o.batches(5.2), Command::Op::kStart), std::vector<std::string>{})
+        << c.what;
   }
 }
 
 // Two machines that both list it under this owner's term do run it twice: one is stopped.
-TEST(OldReportAtANewOwner, TwoTrueCopiesAreStillReducedToOne) {
-  Owner o(Owner::Names{"a", "b"});
+TEST(StaleHeartbeatAfterFailover, DuplicateExecutionIsStillReducedToOne) {
+  ShardLeader o(ShardLeader::Names{"a", "b"});
   o.grant(1, kTerm - 1, 0);
-  o.workers["a"].tasks = {Owner::task(0, 11)};
-  o.workers["b"].tasks = {Owner::task(0, 12)};
+  o.workers["a"].tasks = {ShardLeader::task(0, 11)};
+  o.workers["b"].tasks = {ShardLeader::task(0, 12)};
   o.heartbeat("a", 0.5);
   o.heartbeat("b", 0.6);
   o.tick(0.7);
-  EXPECT_EQ(Owner::commands(o.batches(0.7), Command::Op::kStop).size(), 1u);
+  EXPECT_EQ(ShardLeader::commands(o.batches(0.7), Command::Op::kStop).size(), 1u);
 }
 
 // "Workers can't open connections to any controller, while direct commands still reach them": what is stopped
 // there is stopped by command, and nothing new is started on a machine that isn't heard.
-TEST(MuteMachine, StopsGoByCommandAndNothingStartsThere) {
-  Owner o;
+TEST(OutboundPartition, StopsAreSentAsCommandsAndNothingStarts) {
+  ShardLeader o;
   o.settle_all(0.1);
   o.grant(2, kTerm, 0.2);
   o.tick(0.3);
@@ -227,7 +200,7 @@
   o.cancel(4.6);
   o.tick(4.6);
   auto batches = o.batches(4.6);
-  EXPECT_EQ(Owner::commands(batches, Command::Op::kStop).size(), before);
+  EXPECT_EQ(ShardLeader::commands(batches, Command::Op::kStop).size(), before);
   for (auto& b : batches) {
     auto answer = o.carry_out(b);
     o.shard.on_commands(b, CommandResult::kExecuted, answer, at(4.6));
@@ -236,67 +209,67 @@
   EXPECT_EQ(o.shard.running(kJob), 0u);
 }
 
-TEST(MuteMachine, GetsNoNewTasks) {
-  Owner o(Owner::Names{"a"});
+TEST(OutboundPartition, GetsNoNewTasks) {
+  ShardLeader o(ShardLeader::Names{"a"});
   o.heartbeat("a", 0.1);
   o.tick(4.5);
   o.grant(1, kTerm, 4.5);
   o.tick(4.6);
-  EXPECT_EQ(Owner::commands(o.batches(4.6), Command::Op::kStart), std::vector<std::string>{});
+  EXPECT_EQ(ShardLeader::commands(o.batches(4.6), Command::Op::kStart), std::vector<std::string>{});
   o.heartbeat("a", 4.7);
   o.heartbeat("a", 4.8);
   o.tick(4.9);
-  o.answer_all(4.9);  // it's called on, and hears
+  o.answer_all(4.9);  // its task was stopped by a command, and it responds
   o.tick(5.0);
-  EXPECT_EQ(Owner::commands(o.batches(5.0), Command::Op::kStart).size(), 1u);
+  EXPECT_EQ(ShardLeader::commands(o.batches(5.0), Command::Op::kStart).size(), 1u);
 }
 
 // "New machines are up within two seconds and get work at once while writes lag, and the leader ends":
 // nothing starts on a machine that a successor wouldn't wait for.
-TEST(FastBoot, NothingStartsBeforeTheMachineIsSeenRegistered) {
-  Owner o(Owner::Names{});
+TEST(FastBoot, NothingStartsBeforeTheMachineIsRegistered) {
+  ShardLeader o(ShardLeader::Names{});
   o.heartbeat("a", 0.5);  // up before anything was written of it
   o.grant(1, kTerm, 0.6);
   for (double t = 0.7; t < 1.5; t += 0.2) {
     o.heartbeat("a", t);
     o.tick(t);
-    EXPECT_EQ(Owner::commands(o.batches(t), Command::Op::kStart), std::vector<std::string>{}) << t;
+    EXPECT_EQ(ShardLeader::commands(o.batches(t), Command::Op::kStart), std::vector<std::string>{}) << t;
     EXPECT_FALSE(o.shard.unregistered_machines().empty()) << t;
   }
   o.registry({"a"}, 1.6);
   o.grant(1, kTerm, 1.6);
   o.tick(1.7);
-  EXPECT_EQ(Owner::commands(o.batches(1.7), Command::Op::kStart).size(), 1u);
+  EXPECT_EQ(ShardLeader::commands(o.batches(1.7), Command::Op::kStart).size(), 1u);
 }
 
 // The successor waits for each machine that is registered, and for no other.
-TEST(FastBoot, ASuccessorWaitsForTheRegisteredMachines) {
-  Owner o(Owner::Names{"a", "b"});
+TEST(FastBoot, ANewLeaderWaitsForTheRegisteredMachines) {
+  ShardLeader o(ShardLeader::Names{"a", "b"});
   o.grant(1, kTerm - 1, 0);
   o.heartbeat("a", 0.5);
   o.heartbeat("c", 0.5);  // not registered
   o.tick(0.6);
   EXPECT_FALSE(o.shard.is_reconciled());
-  EXPECT_EQ(Owner::commands(o.batches(0.6), Command::Op::kStart), std::vector<std::string>{});
+  EXPECT_EQ(ShardLeader::commands(o.batches(0.6), Command::Op::kStart), std::vector<std::string>{});
   o.heartbeat("b", 0.7);
   o.tick(0.8);
   EXPECT_TRUE(o.shard.is_reconciled());
-  EXPECT_EQ(Owner::commands(o.batches(0.8), Command::Op::kStart).size(), 1u);
+  EXPECT_EQ(ShardLeader::commands(o.batches(0.8), Command::Op::kStart).size(), 1u);
 }
 
 // "All controllers are away for longer than `lease_s`": every machine is in its next session; copies of
 // reports of the one before may come first, last or in between. Everything is started anew, once.
-TEST(AllAway, EverythingStartsAnewOnceWhateverOldCopiesCome) {
+TEST(AllControllersDown, EveryTaskIsRestartedOnceDespiteStaleHeartbeats) {
   for (int copy_at = 0; copy_at < 4; ++copy_at) {
-    Owner o(Owner::Names{"a", "b"});
+    ShardLeader o(ShardLeader::Names{"a", "b"});
     o.grant(2, kTerm - 1, 0);
     for (const char* m : {"a", "b"}) o.workers[m].incarnation = Incarnation(2);
     int started = 0;
     for (int step = 0; step < 4; ++step) {
       double t = 0.5 + step;
       if (step == copy_at) {
-        o.late_copy("a", {Owner::task(0, 11)}, t);
-        o.late_copy("b", {Owner::task(1, 12)}, t);
+        o.late_copy("a", {ShardLeader::task(0, 11)}, t);
+        o.late_copy("b", {ShardLeader::task(1, 12)}, t);
       }
       // The first calls are made under a session that is over.
       if (step > 0)
@@ -304,7 +277,7 @@
       o.tick(t + 0.2);
       for (auto& b : o.batches(t + 0.2)) {
         bool known = b.incarnation == o.workers.at(b.machine.value()).incarnation;
-        started += known ? static_cast<int>(Owner::commands({b}, Command::Op::kStart).size()) : 0;
+        started += known ? static_cast<int>(ShardLeader::commands({b}, Command::Op::kStart).size()) : 0;
         auto answer = known ? o.carry_out(b) : o.workers.at(b.machine.value());
         o.shard.on_commands(b, known ? CommandResult::kExecuted : CommandResult::kRejected, answer,
                             at(t + 0.2));
@@ -316,8 +289,8 @@
 }
 
 // A start without an answer is settled by the worker's next session: it's placed anew at once.
-TEST(AllAway, ANewSessionSettlesAStartWithoutAnAnswer) {
-  Owner o(Owner::Names{"a", "b"});
+TEST(AllControllersDown, ANewIncarnationResolvesAnIndeterminateStart) {
+  ShardLeader o(ShardLeader::Names{"a", "b"});
   o.settle_all(0.1);
   o.grant(1, kTerm, 0.2);
   o.tick(0.3);
@@ -327,15 +300,15 @@
   // Until then it may be there.
   for (const char* m : {"a", "b"}) o.heartbeat(m, 0.5);
   o.tick(0.6);
-  EXPECT_EQ(Owner::commands(o.batches(0.6), Command::Op::kStart), std::vector<std::string>{});
+  EXPECT_EQ(ShardLeader::commands(o.batches(0.6), Command::Op::kStart), std::vector<std::string>{});
   o.workers[sent[0].machine.value()].incarnation = Incarnation(2);
   for (const char* m : {"a", "b"}) o.heartbeat(m, 0.7);
   o.tick(0.8);
-  EXPECT_EQ(Owner::commands(o.batches(0.8), Command::Op::kStart).size(), 1u);
+  EXPECT_EQ(ShardLeader::commands(o.batches(0.8), Command::Op::kStart).size(), 1u);
 }
 
 // "Jobs are cancelled in the seconds in which one controller's work changes hands".
-TEST(CancelInHandOver, WhateverTheNewOwnerLearnsFirst) {
+TEST(CancellationDuringFailover, InAnyOrderOfEvents) {
   enum class Event { kGrant, kCancel, kReport, kRegistry };
   const std::map<Event, const char*> names{{Event::kGrant, "grant"},
                                            {Event::kCancel, "cancel"},
@@ -347,8 +320,8 @@
         std::find(order.begin(), order.end(), Event::kGrant))
       continue;  // a view that has read the end has read the grant
     std::string what;
-    Owner o(std::nullopt);
-    o.workers["a"].tasks = {Owner::task(0, 11)};
+    ShardLeader o(std::nullopt);
+    o.workers["a"].tasks = {ShardLeader::task(0, 11)};
     double t = 0.1;
     std::vector<std::string> starts;
     bool cancelled = false;
@@ -362,7 +335,7 @@
       o.tick(t + 0.05);
       for (auto& b : o.batches(t + 0.05)) {
         if (cancelled)
-          for (auto& s : Owner::commands({b}, Command::Op::kStart)) starts.push_back(s);
+          for (auto& s : ShardLeader::commands({b}, Command::Op::kStart)) starts.push_back(s);
         auto answer = o.carry_out(b);
         o.shard.on_commands(b, CommandResult::kExecuted, answer, at(t + 0.05));
       }
@@ -371,7 +344,7 @@
     for (int i = 0; i < 8; ++i, t += 0.5) {
       o.heartbeat("a", t);
       o.tick(t + 0.1);
-      for (auto& s : Owner::commands(o.batches(t + 0.1), Command::Op::kStart)) starts.push_back(s);
+      for (auto& s : ShardLeader::commands(o.batches(t + 0.1), Command::Op::kStart)) starts.push_back(s);
       o.shard.take_command_batches(at(t + 0.2));
     }
     EXPECT_EQ(starts, std::vector<std::string>{}) << what;
@@ -381,29 +354,29 @@
 }
 
 // A cancellation that falls between placing a task and sending its command: it never leaves the controller.
-TEST(CancelInHandOver, WhatWasPlacedButNotSentIsNotStarted) {
-  Owner o;
+TEST(CancellationDuringFailover, APlacedTaskThatWasNotSentIsNotStarted) {
+  ShardLeader o;
   o.settle_all(0.1);
   o.grant(2, kTerm, 0.2);
   o.tick(0.3);
   o.cancel(0.3);
-  EXPECT_EQ(Owner::commands(o.batches(0.3), Command::Op::kStart), std::vector<std::string>{});
+  EXPECT_EQ(ShardLeader::commands(o.batches(0.3), Command::Op::kStart), std::vector<std::string>{});
   o.tick(0.5);
   EXPECT_TRUE(o.shard.holds_no_tasks_of(kJob));
 }
 
 // "Controllers hand over and back": commands of the owner before this one, held up on their way, are refused
 // by a worker that has seen this owner's token, and what they started before is listed.
-TEST(HandOverAndBack, ALateCommandOfTheOwnerBeforeIsSeenOrRefused) {
+TEST(RepeatedFailover, ALateCommandOfThePreviousLeaderIsObservedOrRejected) {
   for (bool before : {true, false}) {
-    Owner o(Owner::Names{"a"});
+    ShardLeader o(ShardLeader::Names{"a"});
     o.grant(1, kTerm - 1, 0);
     auto late = [&] {
       auto& w = o.workers["a"];
       auto token = Token::first_of(Term(kTerm - 1)).raised();
       if (token < w.token) return false;
       w.token = token;
-      w.tasks.push_back(Owner::task(0, 11));
+      w.tasks.push_back(ShardLeader::task(0, 11));
       return true;
     };
     if (before) {
@@ -414,7 +387,7 @@
       EXPECT_FALSE(late());
     }
     o.tick(0.6);
-    EXPECT_EQ(Owner::commands(o.batches(0.6), Command::Op::kStart).size(), before ? 0u : 1u);
+    EXPECT_EQ(ShardLeader::commands(o.batches(0.6), Command::Op::kStart).size(), before ? 0u : 1u);
   }
 }
 
--- a/tests/controller_meetings_node_test.cpp
+++ b/tests/controller_meetings_node_test.cpp
@@ -7,22 +7,24 @@
 #include "api/api.h"
 #include "base/log.h"
 #include "controller/controller.h"
-#include "standins.h"
+#include "fakes/cloud.h"
+#include "fakes/state_store.h"
+#include "fakes/worker.h"
 
 namespace beaconsill {
 namespace {
 
-using standin::Json;
-using Trouble = standin::State::Trouble;
+using fakes::Json;
+using Trouble = fakes::StateStore::RequestFault;
 
 constexpr double kLimit_cpus = 4;
 
-config::Settings settings(const standin::State& state, const standin::Cloud& cloud) {
+config::Settings settings(const fakes::StateStore& state, const fakes::Cloud& cloud) {
   config::Settings s;
   s.controller = ControllerName("n0");
   s.zone = Zone("east");
-  s.cloud = standin::text(cloud.server->local());
-  s.state = standin::text(state.doors[0]->local());
+  s.cloud = fakes::text(cloud.server->local());
+  s.state = fakes::text(state.doors[0]->local());
   s.zones = {Zone("east")};
   s.teams = {{Team("blue"), 0, kLimit_cpus, 0, 0}};
   s.report_s = 0.2;
@@ -61,7 +63,7 @@
       .dump();
 }
 
-bool writes(const standin::Request& r, std::string_view key) {
+bool writes(const fakes::Request& r, std::string_view key) {
   if (r.path != "/txn") return false;
   auto txn = Json::parse(r.body);
   return std::any_of(txn["writes"].begin(), txn["writes"].end(),
@@ -87,25 +89,25 @@
 
   asio::io_context io;
   SystemClock clock;
-  standin::State state;
-  standin::Cloud cloud;
+  fakes::StateStore state;
+  fakes::Cloud cloud;
 };
 
 // One controller with two workers, each with room for as much as the team's limit.
 struct OneController : Loop {
   OneController() {
     auto s = settings(state, cloud);
-    net::Tcp::acceptor users(io, standin::any_port()), peers(io, standin::any_port());
+    net::Tcp::acceptor users(io, fakes::any_port()), peers(io, fakes::any_port());
     at = users.local_endpoint();
-    s.listen = standin::text(at);
-    s.peer_listen = standin::text(peers.local_endpoint());
+    s.listen = fakes::text(at);
+    s.peer_listen = fakes::text(peers.local_endpoint());
     users.close();
     peers.close();
     controller = std::make_unique<controller::Controller>(io, clock, s, config::parse_policy("", "test", s));
     controller->start();
     for (const char* name : {"host-0", "host-1"}) {
-      workers.push_back(std::make_unique<standin::Worker>(io, name, "east", std::vector{at},
-                                                          std::vector<std::string>{"n0"}));
+      workers.push_back(
+          std::make_unique<fakes::Worker>(io, name, "east", std::vector{at}, std::vector<std::string>{"n0"}));
       workers.back()->run_reports = 1000000;
     }
   }
@@ -134,7 +136,7 @@
 
   net::Tcp::endpoint at;
   std::unique_ptr<controller::Controller> controller;
-  std::vector<std::unique_ptr<standin::Worker>> workers;
+  std::vector<std::unique_ptr<fakes::Worker>> workers;
 };
 
 // Grants get no answer, and the next round gives the team's last room to another job. Carried out after that,
@@ -142,7 +144,7 @@
 TEST(Meetings, GrantsThatAreCarriedOutLateDoNotExceedTheLimit) {
   OneController w;
   ASSERT_TRUE(w.healthy());
-  w.state.trouble = [&](const standin::Request& r) {
+  w.state.fault = [&](const fakes::Request& r) {
     return writes(r, "beaconsill/grants/run-000001") && w.state.late() == 0 ? Trouble::kLate : Trouble::kNone;
   };
   ASSERT_EQ(w.call("POST", "/v1/jobs", job("run-000001", "standard")), 201);
@@ -150,7 +152,7 @@
   ASSERT_EQ(w.call("POST", "/v1/jobs", job("run-000002", "production")), 201);
   ASSERT_TRUE(w.run_until([&] { return w.state.keys.contains("beaconsill/grants/run-000002"); }));
   ASSERT_TRUE(w.run_until([&] { return w.started() == 4; }));
-  w.state.trouble = nullptr;
+  w.state.fault = nullptr;
   for (int status : w.state.carry_out_late()) EXPECT_EQ(status, 409);
   w.run_for(std::chrono::milliseconds(1500));
   auto written_over = w.state.keys.find("beaconsill/grants/run-000001");
@@ -165,7 +167,7 @@
   OneController w;
   ASSERT_TRUE(w.healthy());
   int lost = 0;
-  w.state.trouble = [&](const standin::Request& r) {
+  w.state.fault = [&](const fakes::Request& r) {
     if (!writes(r, "beaconsill/grants/") || lost > 0) return Trouble::kNone;
     ++lost;
     return Trouble::kAnswerKept;
@@ -185,7 +187,7 @@
     OneController w;
     ASSERT_TRUE(w.healthy());
     int writes_of_first = 0;
-    w.state.trouble = [&](const standin::Request& r) {
+    w.state.fault = [&](const fakes::Request& r) {
       if (!writes(r, "beaconsill/grants/run-000001") || ++writes_of_first > 2) return Trouble::kNone;
       return writes_of_first == 2 && carried_out ? Trouble::kAnswerKept : Trouble::kLate;
     };
@@ -281,11 +283,11 @@
   ASSERT_TRUE(v.ready);
   ASSERT_TRUE(v.read_to(v.state.revision()));
   v.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
-  v.state.trouble = [](const standin::Request& r) {
+  v.state.fault = [](const fakes::Request& r) {
     return r.path == "/watch" ? Trouble::kAnswerKept : Trouble::kNone;
   };
   ASSERT_TRUE(v.run_until([&] { return v.state.kept() > 0; }));
-  v.state.trouble = nullptr;
+  v.state.fault = nullptr;
   v.state.remove(state_store::job_key(kJob));
   protocol::Txn own;
   own.writes = {{state_store::job_key(kJob), std::nullopt, std::nullopt}};
@@ -339,7 +341,7 @@
   for (auto end : {state_store::TerminalState::kDone, state_store::TerminalState::kCancelled}) {
     Users u;
     ASSERT_TRUE(u.ready);
-    u.state.trouble = [](const standin::Request& r) {
+    u.state.fault = [](const fakes::Request& r) {
       return writes(r, "beaconsill/jobs/") ? Trouble::kAnswerKept : Trouble::kNone;
     };
     auto answer = u.send("POST", "/v1/jobs", job("run-000001", "standard"));
@@ -436,7 +438,7 @@
   ASSERT_TRUE(u.ready);
   u.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
   ASSERT_TRUE(u.read_to(u.state.revision()));
-  u.state.trouble = [](const standin::Request& r) {
+  u.state.fault = [](const fakes::Request& r) {
     return writes(r, "beaconsill/ends/") ? Trouble::kAnswerKept : Trouble::kNone;
   };
   auto answer = u.send("POST", "/v1/jobs/run-000001/withdraw");
--- a/tests/decision_digest_test.cpp
+++ b/tests/decision_digest_test.cpp
@@ -49,13 +49,13 @@
         d.on_commands(0, {machine, "", Incarnation(1), Token(3), {}});
       },
       [&](DecisionDigest& d) {
-        d.on_report_reply(0, machine, {std::nullopt, 1});
+        d.on_heartbeat_reply(0, machine, {std::nullopt, 1});
       },
       [&](DecisionDigest& d) {
-        d.on_report_reply(0, machine, {std::nullopt, 2});
+        d.on_heartbeat_reply(0, machine, {std::nullopt, 2});
       },
       [&](DecisionDigest& d) {
-        d.on_report_reply(0, machine, {shard::ShardManager::HeartbeatResponse{Token(2), {}}, 2});
+        d.on_heartbeat_reply(0, machine, {shard::ShardManager::HeartbeatResponse{Token(2), {}}, 2});
       },
       [&](DecisionDigest& d) { d.on_deletion(0, machine); },
       [&](DecisionDigest& d) { d.on_deletion(0, MachineName("host-2")); },
--- a/tests/controller_meetings_lead_test.cpp
+++ b/tests/failover_scheduler_test.cpp
@@ -1,5 +1,5 @@
-// Meetings of troubles as the leader's ledger sees them: changes of owners and leaders, lost answers, teams
-// at their limit. docs/meetings-controllers.md lists the meetings.
+// The scheduler's quota accounting across failovers: new shard leaders and leaders, lost responses, teams at
+// their limit. See docs/failover-faults.md.
 #include <gtest/gtest.h>
 
 #include "scheduler/scheduler.h"
@@ -15,13 +15,13 @@
   return Instant{} + from_seconds(1000 + s);
 }
 
-std::map<ShardId, Term> terms(std::uint64_t of_part_0) {
-  return {{ShardId(0), Term(of_part_0)}, {ShardId(1), Term(1)}};
+std::map<ShardId, Term> terms(std::uint64_t of_first_shard) {
+  return {{ShardId(0), Term(of_first_shard)}, {ShardId(1), Term(1)}};
 }
 
 // Jobs of one team that is limited to 10 CPUs, each task taking one.
-struct Ledger {
-  Ledger()
+struct SchedulerFixture {
+  SchedulerFixture()
       : scheduler({std::chrono::seconds(2), std::chrono::seconds(1), std::chrono::seconds(100), {}, 8},
                   {{Team("blue"), 0, kLimit_cpus, 0, 0}}, {}) {
     scheduler.on_terms(terms(1));
@@ -64,24 +64,24 @@
   return {Generation(generation), ShardId(0), Term(1), Ranges::span(first, last), {}, false, {}};
 }
 
-// A team is at its limit, jobs are cancelled whose machines can't be asked, and the leader changes: what the
-// new one reads is the whole of the ledger, and nothing leaves it by a word that isn't the present owner's.
-TEST(Meetings, ANewLeaderChargesCancelledTasksUntilTheirOwnerReturnsThem) {
+// A team is at its limit, jobs are cancelled whose machines are unreachable, and the leader changes: what the
+// new one reads is complete, and only a message of the present shard leader releases any of it.
+TEST(SchedulerFailover, ANewLeaderChargesCancelledTasksUntilTheirShardReleasesThem) {
   struct Case {
     const char* what;
-    std::optional<std::uint64_t> told_under;  // term of the shard's owner that says so
+    std::optional<std::uint64_t> reported_under;  // term of the shard leader that reports it
     bool recorded;
     std::uint32_t left;
   };
   const Case cases[] = {
-      {"its machine can't be asked", std::nullopt, false, 6},
-      {"an earlier owner says that it's off", 1, false, 6},
-      {"a later owner than is known says so", 3, false, 6},
-      {"the present owner says so", 2, false, 10},
+      {"its machine is unreachable", std::nullopt, false, 6},
+      {"an earlier shard leader reports its release", 1, false, 6},
+      {"a later shard leader than is known reports it", 3, false, 6},
+      {"the present shard leader reports it", 2, false, 10},
       {"it is recorded", std::nullopt, true, 10},
   };
   for (const auto& c : cases) {
-    Ledger l;
+    SchedulerFixture l;
     l.scheduler.on_terms(terms(2));
     auto& cancelled = l.job("run-1", 4);
     cancelled.grants = {{{chunk(1, 0, 4)}, Generation(1)}, Revision(2)};
@@ -90,20 +90,21 @@
     l.publish("run-1", 1, TerminalState::kCancelled);
     l.job("run-2", 20);
     l.publish("run-2", 1);
-    if (c.told_under) {
-      l.scheduler.on_progress_report(
-          {ShardId(0), Term(*c.told_under), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}},
-          at(2));
+    if (c.reported_under) {
+      l.scheduler.on_progress_report({ShardId(0),
+                                      Term(*c.reported_under),
+                                      {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}},
+                                     at(2));
       l.publish("run-1", 2, TerminalState::kCancelled);
     }
     EXPECT_EQ(l.wanted(2), c.left) << c.what;
   }
 }
 
-// Owners and leaders change ten times: what any of them told to be done stays done, and what one told to be
-// returned counts under its own term only.
-TEST(Meetings, TenOwnersTellOfOneJob) {
-  Ledger l;
+// Shard leaders and leaders change ten times: what any of them reported as done stays done, and what one
+// reported as released counts under its own term only.
+TEST(SchedulerFailover, TenShardLeadersReportOneJob) {
+  SchedulerFixture l;
   auto& j = l.job("run-1", 10);
   j.grants = {{{chunk(1, 0, 10)}, Generation(1)}, Revision(2)};
   l.publish("run-1", 0);
@@ -123,10 +124,10 @@
   }
 }
 
-// A copy of an earlier owner's word comes late, after the shard has its next owner, or the task its next
-// generation: the task counts as out.
-TEST(Meetings, LateWordOfAReturnDoesNotFreeWhatWasGrantedAnew) {
-  Ledger l;
+// A copy of a message of an earlier shard leader comes late, after the shard has its next leader, or the task
+// its next generation: the task counts as out.
+TEST(SchedulerFailover, ALateReportOfAReleaseDoesNotFreeANewerGrant) {
+  SchedulerFixture l;
   auto& j = l.job("run-1", 4);
   j.grants = {{{chunk(2, 0, 4)}, Generation(2)}, Revision(2)};
   l.publish("run-1", 0);
@@ -138,8 +139,8 @@
 }
 
 // Grants without an answer: until it's known that they can't be applied any more, no other round begins.
-TEST(Meetings, NoRoundBeginsWhileGrantsHaveNoAnswer) {
-  Ledger l;
+TEST(SchedulerFailover, NoRoundBeginsWhileGrantsAreInFlight) {
+  SchedulerFixture l;
   l.job("run-1", 10);
   l.publish("run-1", 0);
   auto grants = l.round(1);
--- a/tests/controller_meetings_part_test.cpp
+++ b/tests/failover_shard_test.cpp
@@ -1,56 +1,32 @@
-// Meetings of troubles as an owner of a shard sees them: late copies, lost answers, earlier owners, machines
-// that don't hear. docs/meetings-controllers.md lists the meetings.
+// Failover of a shard leader: late copies of heartbeats, lost responses, commands of earlier leaders,
+// machines that receive nothing. See docs/failover-faults.md.
 #include <gtest/gtest.h>
 
-#include "shard/shard_manager.h"
+#include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
 
+using fixture::at;
+using fixture::kCancelLimit_s;
+using fixture::kGrace_s;
+using fixture::kLease_s;
 using protocol::Command;
 using protocol::EndCause;
 using protocol::TaskState;
 using state_store::TerminalState;
 
 constexpr Term kTerm(5);
-constexpr double kGrace_s = 5;
-constexpr double kLease_s = 10;
-constexpr double kCancel_s = 40;
-
-Instant at(double s) {
-  return Instant{} + from_seconds(1000 + s);
-}
-
-struct Owner {
-  Owner() : shard(ShardId(0), kTerm, params(), at(0)) {
-    auto types = std::make_shared<protocol::Catalogue>();
-    (*types)[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, {Zone("a")}};
-    shard.set_catalogue(types);
-  }
-  static ShardParams params() {
-    ShardParams p;
-    p.heartbeat_period = std::chrono::seconds(1);
-    p.lease = from_seconds(kLease_s);
-    p.cancel_limit = from_seconds(kCancel_s);
-    p.grace = from_seconds(kGrace_s);
-    return p;
+struct ShardLeader {
+  ShardLeader() : shard(ShardId(0), kTerm, fixture::params(), at(0)) {
+    shard.set_catalogue(fixture::catalogue({Zone("a")}));
   }
   protocol::WorkerHeartbeat& worker(const std::string& name) {
-    auto& w = workers[name];
-    if (!w.machine.value().empty()) return w;
-    w.machine = MachineName(name);
-    w.address = "127.0.0.1:1";
-    w.type = MachineType("t4");
-    w.zone = Zone("a");
-    w.incarnation = Incarnation(1);
-    return w;
+    return workers.try_emplace(name, fixture::new_worker(name, Zone("a"))).first->second;
   }
   void registered(std::initializer_list<const char*> names) {
     std::vector<state_store::MachineRecord> records;
-    for (auto* n : names) {
-      auto& w = worker(n);
-      records.push_back({w.machine, w.type, w.zone, w.spot, w.address});
-    }
+    for (auto* name : names) records.push_back(fixture::machine_record(worker(name)));
     shard.on_registry(records, at(0));
   }
   void runs(const std::string& name, const char* job, std::uint32_t index, std::uint64_t attempt) {
@@ -69,16 +45,10 @@
   }
   void heartbeat(const std::string& name, double t, bool obeys = true) { take(next_report(name, obeys), t); }
   void grant(const char* id, std::uint32_t tasks, Term term, double t) {
-    protocol::JobSpec s;
-    s.id = JobId(id);
-    s.team = Team("blue");
-    s.tasks = tasks;
-    s.each = {1, 0, 1};
-    s.image = ImageName("img");
-    s.image_gb = 1;
+    auto spec = fixture::job_spec(JobId(id), tasks);
+    spec.image_gb = 1;
     auto& j = jobs[id];
-    j.record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
-    j.created = Revision(1);
+    fixture::record_job(j, spec);
     j.grants.value = {{{Generation(1), ShardId(0), term, Ranges::span(0, tasks), {}, false, {}}},
                       Generation(1)};
     j.grants.version = Revision(2);
@@ -104,32 +74,32 @@
   std::map<std::string, state_store::Job> jobs;
 };
 
-// A report is held back until a new owner has begun, or copies of old ones reach every controller then: a
-// task that has since moved from m1 to m2 must neither be stopped on m2 nor started once more, in whatever
-// order the copy and the true reports come.
-TEST(Meetings, ALateCopyDoesNotStopTheTaskThatRuns) {
+// A heartbeat is delayed until a new shard leader has begun, or copies of old ones reach every controller
+// then: a task that has since moved from m1 to m2 must neither be stopped on m2 nor started once more, in
+// whatever order the copy and the true reports come.
+TEST(ShardFailover, AStaleHeartbeatDoesNotStopTheRunningTask) {
   struct Case {
     const char* what;
     bool copy_first;
-    bool m1_registered;          // false: it was deleted, and its copy is all that is left of it
-    bool m2_reported_before;     // under this owner's term, before its task is known here
-    std::uint64_t copy_session;  // of m1, whose true session is 2
+    bool m1_registered;              // false: it was deleted, and its copy is all that is left of it
+    bool m2_reported_before;         // under this owner's term, before its task is known here
+    std::uint64_t copy_incarnation;  // of m1, whose true incarnation is 2
   };
   const Case cases[] = {
-      {"copy of an earlier session first", true, true, false, 1},
-      {"copy of the same session first", true, true, false, 2},
+      {"copy of an earlier incarnation first", true, true, false, 1},
+      {"copy of the same incarnation first", true, true, false, 2},
       {"copy of a machine that is gone first", true, false, false, 1},
       {"copy of a machine that is gone last", false, false, false, 1},
       {"copy last", false, true, true, 1},
       {"copy first, the other obeys at once", true, true, true, 1},
   };
   for (const auto& c : cases) {
-    Owner o;
+    ShardLeader o;
     o.registered({"m2"});
     if (c.m1_registered) o.registered({"m1", "m2"});
     o.grant("run-1", 1, Term(4), 0);
     auto copy = o.worker("m1");
-    copy.incarnation = Incarnation(c.copy_session);
+    copy.incarnation = Incarnation(c.copy_incarnation);
     copy.sequence = Sequence(3);
     copy.tasks = {{TaskId{JobId("run-1"), 0}, Attempt(7), TaskState::kRunning, EndCause::kDone, false}};
     o.worker("m1").incarnation = Incarnation(2);
@@ -146,8 +116,8 @@
       if (c.m1_registered) o.heartbeat("m1", t);
       o.tick(t);
       for (const auto& b : o.shard.take_command_batches(at(t))) {
-        stops += Owner::count({b}, Command::Op::kStop);
-        starts += Owner::count({b}, Command::Op::kStart);
+        stops += ShardLeader::count({b}, Command::Op::kStop);
+        starts += ShardLeader::count({b}, Command::Op::kStart);
       }
     }
     EXPECT_EQ(stops, 0u) << c.what;
@@ -157,8 +127,8 @@
 }
 
 // When two machines that obey this owner both list the task, one of the two is stopped all the same.
-TEST(Meetings, ATaskOnTwoMachinesThatObeyIsStoppedOnOne) {
-  Owner o;
+TEST(ShardFailover, DuplicateExecutionIsStoppedOnOneMachine) {
+  ShardLeader o;
   o.registered({"m1", "m2"});
   o.grant("run-1", 1, Term(4), 0);
   o.runs("m1", "run-1", 0, 7);
@@ -166,23 +136,24 @@
   o.heartbeat("m1", 1);
   o.heartbeat("m2", 1);
   o.tick(2);
-  EXPECT_EQ(Owner::count(o.shard.take_command_batches(at(2)), Command::Op::kStop), 1u);
+  EXPECT_EQ(ShardLeader::count(o.shard.take_command_batches(at(2)), Command::Op::kStop), 1u);
 }
 
-// An owner ends while a machine hears nothing of its successor but reports all the same: the rebuilding, and
-// with it every task that was lost in the change, must not wait for as long as that lasts.
-TEST(Meetings, AMachineThatNeverHearsTheNewOwnerDoesNotHoldUpItsRebuilding) {
+// A shard leader crashes while a machine receives nothing of its successor but sends heartbeats all the same:
+// the reconciliation, and with it every task that was lost in the change, must not wait for as long as that
+// lasts.
+TEST(ShardFailover, AMachineThatTheNewLeaderNeverReachesDoesNotDelayReconciliation) {
   struct Case {
     const char* what;
-    double hears_from;
+    double reachable_from;
     bool deleted;
   };
   const Case cases[] = {
-      {"it hears within the grace", 4, false},
-      {"it never hears", 1e9, true},
+      {"it is reachable within the grace period", 4, false},
+      {"it is never reachable", 1e9, true},
   };
   for (const auto& c : cases) {
-    Owner o;
+    ShardLeader o;
     o.registered({"m1", "m2", "m3"});
     o.grant("run-1", 2, Term(4), 0);
     o.runs("m1", "run-1", 0, 7);
@@ -192,9 +163,9 @@
     for (double t = 0.5; t < 20; t += 0.5) {
       o.heartbeat("m1", t);
       o.heartbeat("m2", t);
-      if (deleted.empty()) o.heartbeat("m3", t, t >= c.hears_from);
+      if (deleted.empty()) o.heartbeat("m3", t, t >= c.reachable_from);
       o.tick(t);
-      starts += Owner::count(o.shard.take_command_batches(at(t)), Command::Op::kStart);
+      starts += ShardLeader::count(o.shard.take_command_batches(at(t)), Command::Op::kStart);
       for (const auto& m : o.shard.take_machines_to_delete(at(t))) {
         deleted.insert(m);
         o.shard.on_deleted(m, at(t));
@@ -211,10 +182,10 @@
 
 // The same for half a zone and more: then it's rather this controller that is cut off, and nothing is deleted
 // but after the time that a cancellation has.
-TEST(Meetings, AZoneThatHearsNothingIsNotDeleted) {
-  Owner o;
+TEST(ShardFailover, AnUnreachableZoneIsNotDeleted) {
+  ShardLeader o;
   o.registered({"m1", "m2", "m3", "m4", "m5"});
-  for (double t = 0.5; t < kCancel_s - 1; t += 0.5) {
+  for (double t = 0.5; t < kCancelLimit_s - 1; t += 0.5) {
     for (const char* m : {"m1", "m2", "m3", "m4"}) o.heartbeat(m, t, false);
     o.heartbeat("m5", t);
     EXPECT_TRUE(o.shard.take_machines_to_delete(at(t)).empty()) << t;
@@ -223,8 +194,8 @@
 
 // A command of an earlier owner reaches its machine late, before that has seen the new term: nothing that was
 // granted before may start anywhere until the machine has obeyed, and what it then runs is taken over.
-TEST(Meetings, ACommandOfAnEarlierOwnerArrivesBeforeTheNewTerm) {
-  Owner o;
+TEST(ShardFailover, ACommandOfAnEarlierLeaderArrivesBeforeTheNewTerm) {
+  ShardLeader o;
   o.registered({"m1", "m2"});
   o.grant("run-1", 1, Term(4), 0);
   o.heartbeat("m2", 0.2);
@@ -241,14 +212,14 @@
 
 // A command or its answer is held up for seconds. Until the worker shows a raised token the task is nowhere
 // else, whatever older reports say.
-TEST(Meetings, AHeldUpCommandIsSettledByTheRaisedTokenOnly) {
-  Owner o;
+TEST(ShardFailover, AnIndeterminateCommandIsResolvedByAHigherTokenOnly) {
+  ShardLeader o;
   o.registered({"m1"});
   o.heartbeat("m1", 0.1);
   o.grant("run-1", 1, kTerm, 0.2);
   o.tick(0.3);
   auto sent = o.shard.take_command_batches(at(0.3));
-  ASSERT_EQ(Owner::count(sent, Command::Op::kStart), 1u);
+  ASSERT_EQ(ShardLeader::count(sent, Command::Op::kStart), 1u);
   o.registered({"m1", "m2"});
   o.heartbeat("m2", 0.4);
   o.shard.on_commands(sent[0], ShardManager::CommandResult::kNoAnswer, std::nullopt, at(2.3));
@@ -269,8 +240,8 @@
 }
 
 // The cancellation comes at the moment at which the last task ends. The record stands, whichever was written:
-// the owner only has to get its books empty, and never starts the task again.
-TEST(Meetings, ACancellationMeetsTheEndOfTheLastTask) {
+// the owner only has to finish its accounting, and never starts the task again.
+TEST(ShardFailover, ACancellationAtTheCompletionOfTheLastTask) {
   struct Case {
     const char* what;
     bool cancelled_first;
@@ -283,7 +254,7 @@
       {"cancelled, then stopped", true, EndCause::kStopped},
   };
   for (const auto& c : cases) {
-    Owner o;
+    ShardLeader o;
     o.registered({"m1", "m2"});
     o.heartbeat("m1", 0.1);
     o.heartbeat("m2", 0.1);
@@ -308,21 +279,21 @@
 
 // A leader that is cut from the state store and from its peers goes on with its workers: it starts nothing
 // without recent word of cancellations, and stops for good when a worker shows a higher term.
-TEST(Meetings, AnOwnerWithoutWordStartsNothing) {
+TEST(ShardFailover, ALeaderWithoutNewsOfCancellationsStartsNothing) {
   struct Case {
     double word_age_s;
     std::size_t starts;
   };
-  for (auto c : {Case{kCancel_s / 4 - 1, 1}, Case{kCancel_s / 4 + 0.5, 0}}) {
-    Owner o;
+  for (auto c : {Case{kCancelLimit_s / 4 - 1, 1}, Case{kCancelLimit_s / 4 + 0.5, 0}}) {
+    ShardLeader o;
     o.registered({"m1"});
     o.heartbeat("m1", 20);
     o.grant("run-1", 1, kTerm, 20);
     o.shard.tick(at(20.2), at(20.2 - c.word_age_s), at(0));
-    EXPECT_EQ(Owner::count(o.shard.take_command_batches(at(20.2)), Command::Op::kStart), c.starts)
+    EXPECT_EQ(ShardLeader::count(o.shard.take_command_batches(at(20.2)), Command::Op::kStart), c.starts)
         << c.word_age_s;
   }
-  Owner o;
+  ShardLeader o;
   o.registered({"m1"});
   o.heartbeat("m1", 0.1);
   o.grant("run-1", 1, kTerm, 0.2);
@@ -335,7 +306,7 @@
 
 // A zone is cut off for longer than a lease. Tasks of its machines are off them only once a read, begun after
 // the lease was over, shows that no successor has answered them.
-TEST(Meetings, ALeaseThatRanOutCountsOnlyWithALaterRead) {
+TEST(ShardFailover, AnExpiredLeaseCountsOnlyWithALaterRead) {
   struct Case {
     const char* what;
     double read;
@@ -348,7 +319,7 @@
       {"read after it was over", over + 0.1, 1},
   };
   for (const auto& c : cases) {
-    Owner o;
+    ShardLeader o;
     o.registered({"m1"});
     o.grant("run-1", 1, Term(4), 0);
     o.runs("m1", "run-1", 0, 7);
@@ -359,14 +330,15 @@
     double now = over + 0.3;
     o.heartbeat("m2", now);
     o.shard.tick(at(now), at(now), at(c.read));
-    EXPECT_EQ(Owner::count(o.shard.take_command_batches(at(now)), Command::Op::kStart), c.starts) << c.what;
+    EXPECT_EQ(ShardLeader::count(o.shard.take_command_batches(at(now)), Command::Op::kStart), c.starts)
+        << c.what;
   }
 }
 
-// Tasks of one job end far apart and the leader changes in between: a new leader is told all that isn't
+// Tasks of one job end far apart and the leader changes in between: a new leader gets all that isn't
 // recorded, not only what is new.
-TEST(Meetings, ANewLeaderIsToldWhatTheEarlierOneWas) {
-  Owner o;
+TEST(ShardFailover, ANewSchedulerLeaderGetsAllUnrecordedProgress) {
+  ShardLeader o;
   o.registered({"m1"});
   o.grant("run-1", 2, Term(4), 0);
   o.runs("m1", "run-1", 0, 7);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -4,12 +4,14 @@
 #include "base/log.h"
 #include "controller/controller.h"
 #include "controller/socket_limits.h"
-#include "standins.h"
+#include "fakes/cloud.h"
+#include "fakes/state_store.h"
+#include "fakes/worker.h"
 
 namespace beaconsill {
 namespace {
 
-using standin::Json;
+using fakes::Json;
 
 struct EstimateResponse {
   int status = 0;
@@ -24,15 +26,15 @@
     spdlog::set_level(spdlog::level::err);
     // Ports that are free now; the controllers bind them a moment later.
     for (int i = 0; i < 4; ++i) {
-      net::Tcp::acceptor a(io, standin::any_port());
+      net::Tcp::acceptor a(io, fakes::any_port());
       ports.push_back(a.local_endpoint());
     }
     controllers.resize(2);
     for (std::size_t i = 0; i < 2; ++i) start(i);
     for (std::size_t i = 0; i < 2; ++i)
-      workers.push_back(std::make_unique<standin::Worker>(
-          io, "host-" + std::to_string(i), i ? "west" : "east", std::vector{ports[0], ports[2]},
-          std::vector<std::string>{"n0", "n1"}));
+      workers.push_back(std::make_unique<fakes::Worker>(io, "host-" + std::to_string(i), i ? "west" : "east",
+                                                        std::vector{ports[0], ports[2]},
+                                                        std::vector<std::string>{"n0", "n1"}));
   }
   ~World() {
     for (auto& w : workers) w->stop();
@@ -46,12 +48,12 @@
     config::Settings s;
     s.controller = ControllerName("n" + std::to_string(i));
     s.zone = Zone(i ? "west" : "east");
-    s.listen = standin::text(ports[2 * i]);
-    s.peer_listen = standin::text(ports[2 * i + 1]);
+    s.listen = fakes::text(ports[2 * i]);
+    s.peer_listen = fakes::text(ports[2 * i + 1]);
     s.peers = {{ControllerName("n" + std::to_string(1 - i)), Zone(i ? "east" : "west"),
-                standin::text(ports[2 * (1 - i) + 1])}};
-    s.cloud = standin::text(cloud.server->local());
-    s.state = standin::text(state.doors[i]->local());
+                fakes::text(ports[2 * (1 - i) + 1])}};
+    s.cloud = fakes::text(cloud.server->local());
+    s.state = fakes::text(state.doors[i]->local());
     s.zones = {Zone("east"), Zone("west")};
     s.teams = {{Team("blue"), 0, 0, 0, 0}};
     s.report_s = 0.2;
@@ -146,12 +148,12 @@
 
   asio::io_context io;
   SystemClock clock;
-  standin::State state;
-  standin::Cloud cloud;
+  fakes::StateStore state;
+  fakes::Cloud cloud;
   double lease_s, cancel_s, value_kb;
   std::vector<net::Tcp::endpoint> ports;
   std::vector<std::unique_ptr<controller::Controller>> controllers;
-  std::vector<std::unique_ptr<standin::Worker>> workers;
+  std::vector<std::unique_ptr<fakes::Worker>> workers;
 };
 
 TEST(EndToEnd, RunsAnArrayOverBothPartsAndKeepsItsEnd) {
--- /dev/null
+++ b/tests/shard_fixture.h
@@ -0,0 +1,69 @@
+// What tests of a shard's leader share: its parameters, a catalogue with one machine type, and the identities
+// of workers and jobs. Times are seconds from an arbitrary start.
+#pragma once
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "shard/shard_manager.h"
+
+namespace beaconsill::shard::fixture {
+
+constexpr double kHeartbeat_s = 1;
+constexpr double kLease_s = 10;
+constexpr double kCancelLimit_s = 40;
+constexpr double kGrace_s = 5;
+
+inline Instant at(double s) {
+  return Instant{} + from_seconds(1000 + s);
+}
+
+inline ShardParams params() {
+  ShardParams p;
+  p.heartbeat_period = from_seconds(kHeartbeat_s);
+  p.lease = from_seconds(kLease_s);
+  p.cancel_limit = from_seconds(kCancelLimit_s);
+  p.grace = from_seconds(kGrace_s);
+  return p;
+}
+
+// One type, with four CPUs, in these zones.
+inline std::shared_ptr<const protocol::Catalogue> catalogue(const std::vector<Zone>& zones) {
+  auto types = std::make_shared<protocol::Catalogue>();
+  (*types)[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, zones};
+  return types;
+}
+
+// The first heartbeat of a worker without tasks.
+inline protocol::WorkerHeartbeat new_worker(const std::string& name, const Zone& zone) {
+  protocol::WorkerHeartbeat worker;
+  worker.machine = MachineName(name);
+  worker.address = "127.0.0.1:1";
+  worker.type = MachineType("t4");
+  worker.zone = zone;
+  worker.incarnation = Incarnation(1);
+  return worker;
+}
+
+inline state_store::MachineRecord machine_record(const protocol::WorkerHeartbeat& worker) {
+  return {worker.machine, worker.type, worker.zone, worker.spot, worker.address};
+}
+
+// A job whose tasks take one CPU each.
+inline protocol::JobSpec job_spec(const JobId& id, std::uint32_t tasks) {
+  protocol::JobSpec spec;
+  spec.id = id;
+  spec.team = Team("blue");
+  spec.tasks = tasks;
+  spec.each = {1, 0, 1};
+  spec.image = ImageName("img");
+  return spec;
+}
+
+inline void record_job(state_store::Job& job, const protocol::JobSpec& spec) {
+  job.record = {std::make_shared<const protocol::JobSpec>(spec), WallMs(0)};
+  job.created = Revision(1);
+}
+
+}  // namespace beaconsill::shard::fixture
--- a/tests/sim/clock.h
+++ b/tests/sim/clock.h
@@ -1,4 +1,4 @@
-// The queue of events, the time and the luck. All times are in seconds of simulated time.
+// The event queue, the time and the randomness. All times are in seconds of simulated time.
 #pragma once
 
 #include <algorithm>
@@ -24,8 +24,8 @@
   int draw_below(int n) { return static_cast<int>(draw() % static_cast<std::uint64_t>(n)); }
   double uniform(double a, double b) { return a + (b - a) * static_cast<double>(draw() % 100000) / 100000; }
   bool chance(double p) { return uniform(0, 1) < p; }
-  // Whether a rare mishap of a single message comes about. Never if the schedule is without noise.
-  bool mishap(double p) { return noise_ && chance(p); }
+  // Whether a rare fault of a single message occurs. Never if the schedule is without noise.
+  bool random_fault(double p) { return noise_ && chance(p); }
 
   void at(double t, std::function<void()> f) { events_.emplace(std::max(t, now_), std::move(f)); }
   void after(double d, std::function<void()> f) { at(now_ + d, std::move(f)); }
@@ -37,7 +37,7 @@
   }
 
   bool empty() const { return events_.empty(); }
-  // Lets the next event happen.
+  // Runs the next event.
   void step() {
     auto e = events_.begin();
     now_ = e->first;
@@ -64,7 +64,7 @@
   const EventQueue& queue_;
 };
 
-// For a while, a share of messages of some kind meets with something.
+// Until a time, a share of the messages of some kind is subject to a fault.
 struct Window {
   double until = 0;
   double share = 0;
--- a/tests/sim/controller.h
+++ b/tests/sim/controller.h
@@ -1,6 +1,6 @@
-// One controller: the pure state machines of `part` and `lead`, the view of `store` and the users' endpoints
-// of `api`, wired to stand-ins as `controller` wires them to sockets. What it knows lasts for one life of its
-// process.
+// One controller: the state machines of `shard` and `scheduler`, the view of `state_store` and the users'
+// endpoints of `api`, connected to fakes as `controller` connects them to sockets. Its state lasts for one
+// incarnation of its process.
 #pragma once
 
 #include <memory>
@@ -10,13 +10,13 @@
 #include "shard/shard_manager.h"
 #include "sim/environment.h"
 #include "sim/heartbeats.h"
-#include "sim/mirror.h"
+#include "sim/watch_cache.h"
 
 namespace beaconsill::sim {
 
 class Controller {
  public:
-  Controller(int number, Environment& env) : n_(number), env_(env), clock_(env.queue) {}
+  Controller(int number, Environment& env) : number_(number), env_(env), clock_(env.queue) {}
 
   // A new process begins.
   void start();
@@ -24,10 +24,10 @@
   void crash(double back_s);
 
   // Whether the state store was read since the process began.
-  bool ready() const { return p_.watch_cache && p_.watch_cache->ready(); }
-  const state_store::StateView& view() const { return p_.watch_cache->view(); }
-  bool leads() const { return p_.scheduler != nullptr; }
-  // The shards that this process owns, none of which it knows to have lost.
+  bool ready() const { return process_.watch_cache && process_.watch_cache->ready(); }
+  const state_store::StateView& view() const { return process_.watch_cache->view(); }
+  bool is_leader() const { return process_.scheduler != nullptr; }
+  // The shards that this process owns, unless it knows that it lost them.
   std::vector<protocol::ShardTerm> owned() const;
   // Null unless it owns the shard.
   const shard::ShardManager* shard(ShardId id) const;
@@ -37,21 +37,21 @@
   void on_worker_heartbeat(const protocol::WorkerHeartbeat& r, const Workers::Reply& reply);
 
  private:
-  struct Owned {
+  struct OwnedShard {
     std::unique_ptr<shard::ShardManager> shard;
     bool read = false;
     bool reading = false;
     bool writing = false;
     bool registering = false;
     double next_full_notification = 0;
-    Term told;  // leader's
+    Term reported_to;  // term of the leader that got the last full report
     std::map<JobId, double> unwritten_progress;
   };
   struct RoleState {
     std::optional<Term> held;  // by this process
     bool acquiring = false;
     std::optional<double> vacant_since;
-    std::optional<double> preferred_alive_since;  // away from its home, which is alive
+    std::optional<double> preferred_alive_since;  // while another controller holds the role
   };
   struct RelayedReply {
     ShardId shard;
@@ -63,11 +63,11 @@
     std::unique_ptr<api::Api> api;
     std::unique_ptr<Heartbeats> heartbeats;
     double ticked = 0;
-    std::map<ShardId, Owned> shards;
+    std::map<ShardId, OwnedShard> shards;
     std::map<std::string, RoleState> roles;
     std::unique_ptr<scheduler::Scheduler> scheduler;
-    Term lead_term;
-    bool lead_read = false;
+    Term leader_term;
+    bool records_read = false;
     std::set<JobId> terminal_record;
     std::map<ShardId, protocol::Summary> summaries;
     std::map<std::uint64_t, RelayedReply> relayed;
@@ -76,8 +76,8 @@
 
   double now() const { return env_.queue.now(); }
   Instant instant() const { return env_.queue.instant(); }
-  bool mistake(Mistake m) const { return env_.options.mistake == m; }
-  ControllerName name() const { return controller_name(n_); }
+  bool has_bug(SeededBug bug) const { return env_.options.seeded_bug == bug; }
+  ControllerName name() const { return controller_name(number_); }
   void every(double period, void (Controller::*work)());
   // Runs at the other controller when the message arrives there.
   void send(int to, std::function<void(Controller&)> f);
@@ -104,7 +104,7 @@
   void on_relayed_heartbeat(int from, std::uint64_t id, const protocol::WorkerHeartbeat& r);
   void on_relayed_reply(std::uint64_t id, const HeartbeatReply& r);
 
-  // Roles (controller_roles.cpp)
+  // Leader election (controller_leader_election.cpp)
   void roles();
   void role(const std::string& key, const state_store::Versioned<state_store::Role>& r,
             std::optional<ShardId> shard);
@@ -117,29 +117,29 @@
   void fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& r, ShardId shard);
   std::map<ShardId, Term> terms() const;
 
-  // Parts (controller_parts.cpp)
+  // Shards (controller_shards.cpp)
   void acquire_shard(ShardId id, Term term);
-  Owned* find(ShardId id, Term term);
+  OwnedShard* find(ShardId id, Term term);
   void publish(shard::ShardManager& shard, const JobId& job);
   void load_registry(ShardId id);
   void tick_shards();
   void tick_shard(ShardId id);
-  void read_registry(ShardId id, Owned& o);
-  void notify_leader(ShardId id, Owned& o);
-  void write(ShardId id, Term term, const protocol::Txn& t, bool Owned::*flag);
-  void write_registry(ShardId id, Owned& o);
-  void write_progress(ShardId id, Owned& o);
-  HeartbeatReply answer(Owned& o, ShardId id, const protocol::WorkerHeartbeat& r);
+  void read_registry(ShardId id, OwnedShard& o);
+  void notify_leader(ShardId id, OwnedShard& o);
+  void write(ShardId id, Term term, const protocol::Txn& t, bool OwnedShard::*flag);
+  void write_registry(ShardId id, OwnedShard& o);
+  void write_progress(ShardId id, OwnedShard& o);
+  HeartbeatReply answer(OwnedShard& o, ShardId id, const protocol::WorkerHeartbeat& r);
   void command(ShardId id, Term term, const shard::ShardManager::Batch& b);
   void remove(ShardId id, Term term, const MachineName& m);
   void on_deleted(const MachineName& m);
   void on_estimate_request(int leader, const protocol::EstimateRequest& estimate_request);
   std::uint32_t running(const JobId& id) const;
 
-  // Leader (controller_lead.cpp)
+  // Scheduler (controller_scheduler.cpp)
   void become_leader(Term term);
-  void read_ledger();
-  void tick_lead();
+  void read_records();
+  void tick_leader();
   void write_grants(const std::vector<scheduler::Scheduler::Grant>& grants);
   void write_terminal_records();
   void write_terminal_record(const JobId& id, const state_store::TerminalRecord& terminal_record);
@@ -148,12 +148,12 @@
   void on_progress_report(const protocol::ProgressReport& o);
   void on_estimate_response(const protocol::EstimateResponse& a);
 
-  int n_;
+  int number_;
   Environment& env_;
   ServiceClock clock_;
   // Never run: deadlines of answers are real time, and nothing here waits for that.
   asio::io_context io_;
-  Process p_;
+  Process process_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/controller_roles.cpp
+++ b/tests/sim/controller_leader_election.cpp
@@ -1,12 +1,12 @@
-// Taking, keeping and handing back the roles (owner of a shard, leader), as `controller::LeaderElection`
-// does.
+// Leader election: acquiring, keeping and failing back the roles (shard leaders and the scheduler's leader),
+// as `controller::LeaderElection` does.
 #include "sim/controller.h"
 
 namespace beaconsill::sim {
 namespace {
 constexpr double kCandidateDelay = 1.2;
-constexpr double kHomeDelay = 6;
-constexpr int kUnsettledFactor = 4;  // times that, a shard that isn't in good order stays where it is
+constexpr double kFailBackDelay = 6;
+constexpr int kUnstableFactor = 4;  // an unstable shard stays for so many times longer
 }  // namespace
 
 std::map<ShardId, Term> Controller::terms() const {
@@ -25,7 +25,7 @@
 
 void Controller::role(const std::string& key, const state_store::Versioned<state_store::Role>& r,
                       std::optional<ShardId> shard) {
-  auto& s = p_.roles[key];
+  auto& s = process_.roles[key];
   bool mine = r.exists() && r.value.controller == name();
   if (s.held && (!mine || r.value.term > *s.held)) lose_role(s, shard);
   if (s.acquiring) return;
@@ -47,10 +47,10 @@
 void Controller::lose_role(RoleState& s, std::optional<ShardId> shard) {
   s.held.reset();
   if (shard) {
-    p_.shards.erase(*shard);
+    process_.shards.erase(*shard);
   } else {
-    p_.scheduler.reset();
-    p_.terminal_record.clear();
+    process_.scheduler.reset();
+    process_.terminal_record.clear();
   }
 }
 
@@ -63,9 +63,9 @@
   }
   if (!s.preferred_alive_since) s.preferred_alive_since = now();
   double away = now() - *s.preferred_alive_since;
-  auto owned = p_.shards.find(shard);
-  bool is_stable = owned != p_.shards.end() && owned->second.shard->is_stable(instant());
-  if (away <= kHomeDelay || (!is_stable && away <= kUnsettledFactor * kHomeDelay)) return;
+  auto owned = process_.shards.find(shard);
+  bool is_stable = owned != process_.shards.end() && owned->second.shard->is_stable(instant());
+  if (away <= kFailBackDelay || (!is_stable && away <= kUnstableFactor * kFailBackDelay)) return;
   s.preferred_alive_since.reset();
   fail_back(key, r, shard);
 }
@@ -75,7 +75,7 @@
   int place = 0;
   for (int i = 0; i < kControllers; ++i) {
     int controller = (first + i) % kControllers;
-    if (controller == n_) break;
+    if (controller == number_) break;
     if (view().alive(controller_name(controller))) ++place;
   }
   return place;
@@ -83,22 +83,22 @@
 
 void Controller::acquire(const std::string& key, const state_store::Versioned<state_store::Role>& r,
                          std::optional<ShardId> shard) {
-  p_.roles[key].acquiring = true;
+  process_.roles[key].acquiring = true;
   Term term(r.value.term.value() + 1);
   protocol::Txn t{
       {{key, r.version}},
       {{key, state_store::to_json(state_store::Role{name(), term, r.value.readable_since}), std::nullopt}}};
-  // Only an owner that is gone, or is this very controller, may be replaced.
+  // Only an owner that has terminated, or is this very controller, may be replaced.
   if (r.exists() && r.value.controller != name())
     t.conditions.push_back({state_store::alive_key(r.value.controller), Revision()});
-  env_.state.txn(n_, t, [this, key, shard, term, t](state_store::TxnResult result) {
-    auto& s = p_.roles[key];
+  env_.state.txn(number_, t, [this, key, shard, term, t](state_store::TxnResult result) {
+    auto& s = process_.roles[key];
     if (result.outcome != state_store::RequestOutcome::kOk)
-      return p_.watch_cache->sync([this, key](bool) { p_.roles[key].acquiring = false; });
+      return process_.watch_cache->sync([this, key](bool) { process_.roles[key].acquiring = false; });
     s.acquiring = false;
     s.vacant_since.reset();
     s.held = term;
-    p_.watch_cache->apply_own(t, result.revision);
+    process_.watch_cache->apply_own(t, result.revision);
     if (!s.held) return;  // lost again within the call above
     if (shard) {
       acquire_shard(*shard, term);
@@ -111,13 +111,14 @@
 // This controller goes on as the owner until it sees that the change was applied.
 void Controller::fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& r,
                            ShardId shard) {
-  auto& s = p_.roles[key];
+  auto& s = process_.roles[key];
   state_store::Role next{env_.partitioning.preferred_controller(shard), Term(s.held->value() + 1)};
   protocol::Txn t{{{key, r.version}}, {{key, state_store::to_json(next), std::nullopt}}};
   s.acquiring = true;
-  env_.state.txn(n_, t, [this, key, t](state_store::TxnResult result) {
-    p_.roles[key].acquiring = false;
-    if (result.outcome == state_store::RequestOutcome::kOk) p_.watch_cache->apply_own(t, result.revision);
+  env_.state.txn(number_, t, [this, key, t](state_store::TxnResult result) {
+    process_.roles[key].acquiring = false;
+    if (result.outcome == state_store::RequestOutcome::kOk)
+      process_.watch_cache->apply_own(t, result.revision);
   });
 }
 
--- a/tests/sim/decision_digest.cpp
+++ b/tests/sim/decision_digest.cpp
@@ -21,12 +21,12 @@
   fold(Kind::kCommands, controller, {batch.machine.value(), commands});
 }
 
-void DecisionDigest::on_report_reply(int controller, const MachineName& machine,
-                                     const HeartbeatReply& reply) {
+void DecisionDigest::on_heartbeat_reply(int controller, const MachineName& machine,
+                                        const HeartbeatReply& reply) {
   const auto answer = reply.answer
                           ? protocol::render_heartbeat_response(reply.answer->token, reply.answer->commands)
                           : std::string();
-  fold(Kind::kReportReply, controller, {machine.value(), answer, std::to_string(reply.redirect)});
+  fold(Kind::kHeartbeatReply, controller, {machine.value(), answer, std::to_string(reply.redirect)});
 }
 
 void DecisionDigest::on_deletion(int controller, const MachineName& machine) {
--- a/tests/sim/decision_digest.h
+++ b/tests/sim/decision_digest.h
@@ -27,7 +27,7 @@
   // Commands sent to a worker.
   void on_commands(int controller, const shard::ShardManager::Batch& batch);
   // The answer to a worker's report, or the controller that the worker is pointed to.
-  void on_report_reply(int controller, const MachineName& machine, const HeartbeatReply& reply);
+  void on_heartbeat_reply(int controller, const MachineName& machine, const HeartbeatReply& reply);
   // A request to the cloud to delete a machine. The simulated cloud rents out nothing.
   void on_deletion(int controller, const MachineName& machine);
   // The answer to a user's request about a job.
@@ -38,7 +38,7 @@
 
  private:
   // These numbers are hashed.
-  enum class Kind { kTransaction = 1, kCommands = 2, kReportReply = 3, kDeletion = 4, kUserResponse = 5 };
+  enum class Kind { kTransaction = 1, kCommands = 2, kHeartbeatReply = 3, kDeletion = 4, kUserResponse = 5 };
   void fold(Kind kind, int controller, std::initializer_list<std::string_view> fields);
 
   const EventQueue& queue_;
--- /dev/null
+++ b/tests/sim/faults.cpp
@@ -0,0 +1,278 @@
+#include "sim/faults.h"
+
+#include "sim/controller.h"
+
+namespace beaconsill::sim {
+namespace {
+constexpr double kLeaderRestart = 1;
+constexpr double kSmallJobPeriod = 0.25;
+constexpr double kInvalidRequestPeriod = 0.4;
+constexpr double kPollStormPeriod = 0.1;
+constexpr int kPollStormQueries = 6;  // at a time: some thirty jobs, each asked about every 0.6 s
+constexpr std::size_t kMaxHangingMachines = 8;
+}  // namespace
+
+const char* to_string(FaultKind kind) {
+  static const char* const names[] = {"controller_crash",
+                                      "controller_pause",
+                                      "repeated_failover",
+                                      "controller_cut_from_state",
+                                      "controller_cut_from_peers",
+                                      "controller_cut_from_state_and_peers",
+                                      "controller_cut",
+                                      "state_refuses_controller",
+                                      "state_outage",
+                                      "state_slow",
+                                      "lost_responses",
+                                      "late_writes",
+                                      "zone_cut",
+                                      "lost_peer_messages",
+                                      "late_peer_messages",
+                                      "late_heartbeats",
+                                      "heartbeats_for_next_leader",
+                                      "late_commands",
+                                      "machine_hangs",
+                                      "machine_inbound_cut",
+                                      "machine_outbound_cut",
+                                      "machine_crash",
+                                      "fast_boot",
+                                      "cancel_running",
+                                      "cancel_at_completion",
+                                      "query_bursts",
+                                      "invalid_requests",
+                                      "single_task_jobs",
+                                      "quotas_filled",
+                                      "failing_jobs",
+                                      "poll_storm",
+                                      "machine_faulty",
+                                      "slow_boot",
+                                      "long_controller_pause"};
+  static_assert(std::size(names) == kFaultKinds);
+  return names[static_cast<std::size_t>(kind)];
+}
+
+void FaultInjector::add(const Fault& fault) {
+  over_ = std::max(over_, fault.at_s + fault.duration_s);
+  env_.queue.at(fault.at_s, [this, fault] { begin(fault); });
+}
+
+std::optional<int> FaultInjector::leader() const {
+  const auto* entry = env_.state.find(state_store::leader_role_key());
+  if (!entry) return std::nullopt;
+  return controller_number(state_store::parse_role(entry->value).controller);
+}
+
+std::vector<int> FaultInjector::select(const ControllerSelector& selector) {
+  int drawn = env_.queue.draw_below(kControllers);
+  switch (selector.kind) {
+    case ControllerSelector::Kind::kDrawn:
+      return {drawn};
+    case ControllerSelector::Kind::kNumber:
+      return {selector.number};
+    case ControllerSelector::Kind::kLeader:
+      return {leader().value_or(drawn)};
+    case ControllerSelector::Kind::kFollower:
+      return {leader() == drawn ? (drawn + 1) % kControllers : drawn};
+    case ControllerSelector::Kind::kAll:
+      break;
+  }
+  std::vector<int> all;
+  for (int n = 0; n < kControllers; ++n) all.push_back(n);
+  return all;
+}
+
+std::vector<Machine*> FaultInjector::select(const MachineSelector& selector) {
+  std::vector<Machine*> out;
+  for (auto& [name, m] : ledger_.machines) {
+    if (m.terminated || (selector.name && *selector.name != name) ||
+        (selector.zone && *selector.zone != m.zone))
+      continue;
+    bool runs = std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& t) {
+      return selector.running && t.first.first.job == *selector.running && !t.second.ended;
+    });
+    if (!selector.running || runs) out.push_back(&m);
+  }
+  bool any = !selector.name && !selector.zone && !selector.running;
+  auto count = static_cast<std::size_t>(selector.count ? selector.count : any ? 1 : 0);
+  if (count == 0) return out;
+  while (out.size() > count) out.erase(out.begin() + env_.queue.draw_below(static_cast<int>(out.size())));
+  return out;
+}
+
+void FaultInjector::begin(const Fault& fault) {
+  env_.outcome.schedule.push_back(std::to_string(env_.queue.now()) + " " + to_string(fault.kind) + " for " +
+                                  std::to_string(fault.duration_s));
+  switch (fault.kind) {
+    case FaultKind::kControllerCrash:
+    case FaultKind::kControllerPause:
+    case FaultKind::kControllerCutFromState:
+    case FaultKind::kControllerCutFromPeers:
+    case FaultKind::kControllerCutFromStateAndPeers:
+    case FaultKind::kControllerCut:
+    case FaultKind::kStateRefusesController:
+    case FaultKind::kLongControllerPause:
+      for (int n : select(fault.controllers)) begin_at_controller(fault, n);
+      return;
+    case FaultKind::kRepeatedFailover:
+      return change_leaders(fault);
+    case FaultKind::kMachineHangs:
+    case FaultKind::kMachineInboundCut:
+    case FaultKind::kMachineOutboundCut:
+    case FaultKind::kMachineCrash:
+    case FaultKind::kMachineFaulty:
+      for (auto* m : select(fault.machines)) begin_at_machine(fault, *m);
+      return;
+    case FaultKind::kFastBoot:
+      return env_.cloud.boot_fast(env_.queue.now() + fault.duration_s);
+    case FaultKind::kSlowBoot:
+      return env_.cloud.boot_slowly(env_.queue.now() + fault.duration_s);
+    case FaultKind::kStateOutage:
+    case FaultKind::kStateSlow:
+    case FaultKind::kLostResponses:
+    case FaultKind::kLateWrites:
+      return begin_in_state_store(fault);
+    case FaultKind::kZoneCut:
+    case FaultKind::kLostPeerMessages:
+    case FaultKind::kLatePeerMessages:
+    case FaultKind::kLateHeartbeats:
+    case FaultKind::kHeartbeatsForNextLeader:
+    case FaultKind::kLateCommands:
+      return begin_with_messages(fault);
+    case FaultKind::kCancelRunning:
+    case FaultKind::kCancelAtCompletion:
+    case FaultKind::kQueryBursts:
+    case FaultKind::kInvalidRequests:
+    case FaultKind::kSingleTaskJobs:
+    case FaultKind::kQuotasFilled:
+    case FaultKind::kFailingJobs:
+    case FaultKind::kPollStorm:
+      return begin_with_users(fault);
+  }
+}
+
+void FaultInjector::begin_at_controller(const Fault& fault, int controller) {
+  double until = env_.queue.now() + fault.duration_s;
+  Cut cut{until, fault.deliver_later};
+  auto& network = env_.network;
+  env_.outcome.schedule.back() += " n" + std::to_string(controller);
+  switch (fault.kind) {
+    case FaultKind::kControllerCrash:
+      return env_.controller(controller).crash(fault.duration_s);
+    case FaultKind::kControllerPause:
+      if (fault.before_callback)
+        return network.pause_before(controller, *fault.before_callback, fault.duration_s);
+      [[fallthrough]];
+    case FaultKind::kLongControllerPause:
+      return network.pause(controller, until);
+    case FaultKind::kControllerCutFromState:
+      return network.cut_state(controller, cut);
+    case FaultKind::kControllerCutFromPeers:
+      return network.cut_peers(controller, cut);
+    case FaultKind::kStateRefusesController:
+      return env_.state.refuse(controller, until);
+    case FaultKind::kControllerCut:
+      network.cut_workers(controller, cut);
+      network.cut_users(controller, cut);
+      [[fallthrough]];
+    default:
+      network.cut_state(controller, cut);
+      network.cut_peers(controller, cut);
+  }
+}
+
+void FaultInjector::begin_at_machine(const Fault& fault, Machine& m) {
+  double until = env_.queue.now() + fault.duration_s;
+  env_.outcome.schedule.back() += " " + m.name.value();
+  switch (fault.kind) {
+    case FaultKind::kMachineHangs:
+      m.hangs_until = until;
+      return;
+    case FaultKind::kMachineInboundCut:
+      m.inbound_cut_until = until;
+      return;
+    case FaultKind::kMachineOutboundCut:
+      m.outbound_cut_until = until;
+      return;
+    case FaultKind::kMachineFaulty:
+      m.faulty_until = until;
+      return;
+    default:
+      return env_.cloud.kill(m.name);
+  }
+}
+
+void FaultInjector::begin_in_state_store(const Fault& fault) {
+  double until = env_.queue.now() + fault.duration_s;
+  Window window{until, fault.share};
+  switch (fault.kind) {
+    case FaultKind::kStateOutage:
+      return env_.state.outage(until);
+    case FaultKind::kStateSlow:
+      return env_.state.answer_slowly(window);
+    case FaultKind::kLostResponses:
+      return env_.state.lose_responses(window);
+    default:
+      return env_.state.delay_writes(window);
+  }
+}
+
+void FaultInjector::begin_with_messages(const Fault& fault) {
+  double until = env_.queue.now() + fault.duration_s;
+  Window window{until, fault.share};
+  switch (fault.kind) {
+    case FaultKind::kZoneCut:
+      return env_.network.cut_zone(fault.zone.value_or(zones().front()), {until, fault.deliver_later});
+    case FaultKind::kLostPeerMessages:
+      return env_.network.lose_peer_messages(window);
+    case FaultKind::kLatePeerMessages:
+      return env_.network.delay_peer_messages(window);
+    case FaultKind::kLateHeartbeats:
+      return env_.workers.duplicate_heartbeats(window);
+    case FaultKind::kHeartbeatsForNextLeader:
+      return env_.workers.hold_heartbeats_for_next_leader(window);
+    default:
+      return env_.workers.delay_commands(window);
+  }
+}
+
+void FaultInjector::begin_with_users(const Fault& fault) {
+  double until = env_.queue.now() + fault.duration_s;
+  switch (fault.kind) {
+    case FaultKind::kCancelRunning: {
+      auto there = users_.cancel_running(fault.count);
+      if (there.size() > kMaxHangingMachines) there.resize(kMaxHangingMachines);
+      for (const auto& name : there)
+        if (auto* m = ledger_.machine(name)) m->hangs_until = std::max(m->hangs_until, until);
+      return;
+    }
+    case FaultKind::kCancelAtCompletion:
+      return users_.cancel_at_completion({until, fault.share});
+    case FaultKind::kQueryBursts:
+      return users_.query_in_bursts(until);
+    case FaultKind::kInvalidRequests:
+      return repeat(until, kInvalidRequestPeriod, [this] { users_.invalid_request(); });
+    case FaultKind::kSingleTaskJobs:
+      return repeat(until, kSmallJobPeriod, [this] { users_.submit_small(); });
+    case FaultKind::kFailingJobs:
+      for (int i = 0; i < fault.count; ++i) users_.submit_failing(fault.duration_s);
+      return;
+    case FaultKind::kPollStorm:
+      return repeat(until, kPollStormPeriod, [this] { users_.poll_drawn(kPollStormQueries); });
+    default:
+      return users_.fill_quotas();
+  }
+}
+
+void FaultInjector::change_leaders(const Fault& fault) {
+  repeat(env_.queue.now() + fault.duration_s, fault.period_s, [this] {
+    if (auto n = leader()) env_.controller(*n).crash(kLeaderRestart);
+  });
+}
+
+void FaultInjector::repeat(double until, double period, std::function<void()> f) {
+  if (env_.queue.now() >= until) return;
+  f();
+  env_.queue.after(period, [this, until, period, f] { repeat(until, period, f); });
+}
+
+}  // namespace beaconsill::sim
--- a/tests/sim/heartbeats.cpp
+++ b/tests/sim/heartbeats.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 Heartbeats::Heartbeats(int controller, WallMs began, Instant now)
-    : node_(controller),
+    : controller_(controller),
       sequence_(static_cast<std::uint64_t>(began.value()) << 16),
       cancellation_barrier_(barrier_params(), peers_of(controller), now) {}
 
@@ -41,7 +41,8 @@
 }
 
 bool Heartbeats::reachable(int controller, Instant now) const {
-  return controller == node_ || now - cancellation_barrier_.echoed(controller_name(controller)) < kFresh;
+  return controller == controller_ ||
+         now - cancellation_barrier_.echoed(controller_name(controller)) < kFresh;
 }
 
 std::optional<Heartbeats::Owner> Heartbeats::owner(ShardId shard) const {
--- a/tests/sim/heartbeats.h
+++ b/tests/sim/heartbeats.h
@@ -29,7 +29,7 @@
   std::optional<Owner> owner(ShardId shard) const;
 
  private:
-  int node_;
+  int controller_;
   std::uint64_t sequence_;
   shard::CancellationBarrier cancellation_barrier_;
   std::map<ShardId, Owner> owners_;
--- a/tests/sim/rules.h
+++ b/tests/sim/invariants.h
@@ -1,38 +1,40 @@
-// The rules of the protocol, checked on the books.
+// The invariants of the protocol, checked against the ledger.
 #pragma once
 
 #include <functional>
 #include <string>
 
-#include "sim/answer.h"
-#include "sim/books.h"
 #include "sim/clock.h"
+#include "sim/ledger.h"
 #include "sim/options.h"
 #include "sim/state_service.h"
+#include "sim/user_response.h"
 
 namespace beaconsill::sim {
 
-class Rules {
+class InvariantChecker {
  public:
   // `advance`: lets everything happen that is due on the machines.
-  Rules(const EventQueue& queue, const Books& books, Outcome& outcome, std::function<void()> advance)
-      : queue_(queue), books_(books), outcome_(outcome), advance_(std::move(advance)) {}
+  InvariantChecker(const EventQueue& queue, const Ledger& ledger, Outcome& outcome,
+                   std::function<void()> advance)
+      : queue_(queue), ledger_(ledger), outcome_(outcome), advance_(std::move(advance)) {}
 
-  void broke(const std::string& rule, const std::string& what);
+  void report_violation(const std::string& rule, const std::string& what);
   // A task begins to run on a machine.
   void on_begin(const Machine& m, const TaskId& task, const Job& job);
   // The state store holds a new value.
   void on_written(const protocol::Write& w);
-  // An answer reached its user. Jobs that aren't in the books were never submitted, or not as they should be.
-  void on_estimate_response(const EstimateResponse& a);
-  // Looks at everything. To be called about once a second. `calm_since`: when the last trouble was over.
-  void look(double calm_since);
+  // An answer reached its user. Jobs that aren't in the ledger were never submitted, or not as they should
+  // be.
+  void on_response(const UserResponse& a);
+  // Looks at everything. To be called about once a second. `calm_since`: when the last fault was over.
+  void check_all(double calm_since);
   // What users want of the job is so.
   bool satisfied(const JobId& id, const Job& job, const StateService& state) const;
 
  private:
-  // What users were told of a job, and when.
-  struct Told {
+  // What users know of a job, and since when.
+  struct KnownToUser {
     std::optional<double> accepted, over;
     // When the first and the last of the questions since the last answer were given up.
     std::optional<double> unanswered_from;
@@ -46,17 +48,17 @@
   };
   void check_place(const Machine& m, const TaskId& task, const Job& job);
   void check_late_cancellations();
-  void check_orphaned(const EstimateResponse& a, const std::string& text);
+  void check_orphaned(const UserResponse& a, const std::string& text);
   bool awaits_accepted(const Job& job, double sent_s) const;
   void check_answered(const JobId& id, const Job& job, double calm_since);
   void check_waiting(const JobId& id, const Job& job, double calm_since);
   bool could_run(const JobId& id, const Job& job) const;
 
   const EventQueue& queue_;
-  const Books& books_;
+  const Ledger& ledger_;
   Outcome& outcome_;
   std::function<void()> advance_;
-  std::map<JobId, Told> notified_;
+  std::map<JobId, KnownToUser> known_to_users_;
   std::map<JobId, Wait> waits_;
   std::map<JobId, int> started_;
   std::set<JobId> recorded_done_;
--- a/tests/sim/books.h
+++ b/tests/sim/ledger.h
@@ -1,5 +1,5 @@
-// What is true in the simulated world, whatever the controllers believe: the machines with the tasks on them,
-// and the jobs as their users know them. The rules are checked on these books.
+// The true state of the simulated world, whatever the controllers believe: the machines with the tasks on
+// them, and the jobs as their users know them. Invariants are checked against this ledger.
 #pragma once
 
 #include <map>
@@ -26,16 +26,16 @@
 struct Machine {
   MachineName name;
   Zone zone;
-  bool gone = false;
-  double hangs_until = 0;   // does nothing
-  double deaf_until = 0;    // reports, but neither answers nor commands arrive
-  double mute_until = 0;    // commands arrive, but it reaches no controller
-  double faulty_until = 0;  // fails every task that it starts
+  bool terminated = false;
+  double hangs_until = 0;         // does nothing
+  double inbound_cut_until = 0;   // sends heartbeats, but receives neither replies nor commands
+  double outbound_cut_until = 0;  // commands arrive, but it reaches no controller
+  double faulty_until = 0;        // fails every task that it starts
   std::uint64_t incarnation = 1;
   std::uint64_t sequence = 0;
   std::uint64_t token = 0;
   double lease_from = 0;
-  int controller = 0;  // where it reports
+  int controller = 0;  // where it sends its heartbeats
   bool in_flight = false;
   std::map<std::pair<TaskId, Attempt>, Task> tasks;
 };
@@ -43,22 +43,22 @@
 struct Job {
   std::shared_ptr<const protocol::JobSpec> spec;
   std::optional<double> run_s;  // of each task; none: drawn
-  bool mistaken = false;        // fails on every machine
+  bool always_fails = false;    // fails on every machine
   double submitted = 0;
   bool accepted = false;
   bool cancel_asked = false;
-  std::optional<double> cancelled;  // when its user was told
+  std::optional<double> cancelled;  // when its user received the confirmation
   std::set<std::uint32_t> done;     // tasks that completed, as the workers know
 };
 
-struct Books {
+struct Ledger {
   std::map<MachineName, Machine> machines;
   std::map<JobId, Job> jobs;
 
   // None if there is no such machine any more.
   Machine* machine(const MachineName& name) {
     auto it = machines.find(name);
-    return it == machines.end() || it->second.gone ? nullptr : &it->second;
+    return it == machines.end() || it->second.terminated ? nullptr : &it->second;
   }
   // Calls `f(job)` for all jobs that this one needs, directly or through others.
   template <class F>
@@ -74,7 +74,7 @@
   template <class F>
   void each_task(const JobId& id, F f) const {
     for (const auto& [name, m] : machines) {
-      if (m.gone) continue;
+      if (m.terminated) continue;
       for (auto t = m.tasks.lower_bound({TaskId{id, 0}, Attempt()});
            t != m.tasks.end() && t->first.first.job == id; ++t)
         f(m, t->first, t->second);
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -10,13 +10,13 @@
 
 namespace beaconsill::sim {
 
-// What a controller's callback is about: it can be made to stand still right before the next one of a kind.
-enum class Await { kTimer, kTransaction, kRead, kCommand, kPeer, kReport, kUserRequest };
+// What a controller's callback is about: the process can be paused right before the next one of a kind.
+enum class CallbackKind { kTimer, kTransaction, kRead, kCommand, kPeer, kHeartbeat, kUserRequest };
 
 // A connection that is interrupted. What is sent meanwhile is refused, or held and delivered afterwards.
 struct Cut {
   double until = 0;
-  bool lease = false;
+  bool deliver_later = false;
 };
 
 class Network {
@@ -25,19 +25,19 @@
 
   // ---- Processes
   bool up(int controller) const { return at(controller).up; }
-  std::uint64_t life(int controller) const { return at(controller).life; }
+  std::uint64_t incarnation(int controller) const { return at(controller).incarnation; }
   void start(int controller);
   void stop(int controller) { at(controller).up = false; }
   // The process does nothing until then; what comes meanwhile waits.
-  void pause_detector(int controller, double until) { at(controller).still_until = until; }
+  void pause(int controller, double until) { at(controller).paused_until = until; }
   // The same, beginning with its next callback of that kind.
-  void stand_still_at(int controller, Await await, double for_s);
-  // `f` happens at the controller now, or once it doesn't stand still any more; never in another life.
-  void run(int controller, std::uint64_t life, Await await, std::function<void()> f);
-  void run(int controller, Await await, std::function<void()> f) {
-    run(controller, life(controller), await, std::move(f));
+  void pause_before(int controller, CallbackKind kind, double duration_s);
+  // `f` happens at the controller now, or once it's no longer paused; never in another incarnation.
+  void run(int controller, std::uint64_t incarnation, CallbackKind kind, std::function<void()> f);
+  void run(int controller, CallbackKind kind, std::function<void()> f) {
+    run(controller, incarnation(controller), kind, std::move(f));
   }
-  void later(int controller, double d, Await await, std::function<void()> f);
+  void later(int controller, double d, CallbackKind kind, std::function<void()> f);
 
   // ---- Cuts
   void cut_state(int controller, Cut c) { at(controller).state = c; }
@@ -46,11 +46,11 @@
   void cut_users(int controller, Cut c) { at(controller).users = c; }
   // Nothing passes between the zone and everything else.
   void cut_zone(const Zone& zone, Cut c) { zones_[zone] = c; }
-  // The cut on the way, if there is one.
-  std::optional<Cut> way_to_state(int controller) const;
-  std::optional<Cut> way_between(int controller, int other) const;
-  std::optional<Cut> way_to_worker(int controller, const Zone& zone) const;
-  std::optional<Cut> way_to_user(int controller) const;
+  // The cut on the path, if there is one.
+  std::optional<Cut> blocked_path_to_state(int controller) const;
+  std::optional<Cut> blocked_path_between(int controller, int other) const;
+  std::optional<Cut> blocked_path_to_worker(int controller, const Zone& zone) const;
+  std::optional<Cut> blocked_path_to_user(int controller) const;
 
   // ---- Messages between controllers
   // Lost, late, or come twice. `f` is what the receiver does.
@@ -62,9 +62,9 @@
  private:
   struct Process {
     bool up = false;
-    std::uint64_t life = 0;
-    double still_until = 0;
-    std::optional<std::pair<Await, double>> still_at;
+    std::uint64_t incarnation = 0;
+    double paused_until = 0;
+    std::optional<std::pair<CallbackKind, double>> pause_before;
     Cut state, peers, workers, users;
   };
   Process& at(int controller) { return processes_[static_cast<std::size_t>(controller)]; }
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -2,25 +2,25 @@
 
 namespace beaconsill::sim {
 namespace {
-constexpr double kHold = 2;
-constexpr double kHoldLag = 0.05;
+constexpr double kKeyLease = 2;
+constexpr double kKeyLeaseLag = 0.05;
 constexpr double kTimeout = 1.5;
 constexpr double kRefusal = 0.02;
 }  // namespace
 
 StateService::StateService(EventQueue& queue, Network& network, DecisionDigest& decisions,
-                           double lost_answers, std::function<void(const protocol::Write&)> on_written)
+                           double lost_responses, std::function<void(const protocol::Write&)> on_written)
     : queue_(queue),
       network_(network),
       decisions_(decisions),
-      lost_answers_(lost_answers),
+      lost_responses_(lost_responses),
       on_written_(std::move(on_written)) {}
 
 bool StateService::answers(int controller) const {
   auto refused = refused_until_.find(controller);
   return queue_.now() >= outage_until_ &&
          (refused == refused_until_.end() || queue_.now() >= refused->second) &&
-         !network_.way_to_state(controller);
+         !network_.blocked_path_to_state(controller);
 }
 
 bool StateService::apply(const protocol::Txn& t, Revision& r) {
@@ -50,25 +50,25 @@
   });
 }
 
-double StateService::way() {
-  double way = queue_.uniform(0.003, 0.012) * (queue_.mishap(0.02) ? 30 : 1);
-  return slow_.hits(queue_) ? queue_.uniform(0.1, 1.2) : way;
+double StateService::path_delay() {
+  double delay = queue_.uniform(0.003, 0.012) * (queue_.random_fault(0.02) ? 30 : 1);
+  return slow_.hits(queue_) ? queue_.uniform(0.1, 1.2) : delay;
 }
 
 void StateService::txn(int controller, protocol::Txn t, Done done) {
   decisions_.on_transaction(controller, t);
-  auto answer = [this, controller, done, life = network_.life(controller)](double d,
-                                                                           state_store::TxnResult r) {
-    queue_.after(d, [this, controller, done, life, r] {
-      network_.run(controller, life, Await::kTransaction, [done, r] { done(r); });
+  auto answer = [this, controller, done, incarnation = network_.incarnation(controller)](
+                    double d, state_store::TxnResult r) {
+    queue_.after(d, [this, controller, done, incarnation, r] {
+      network_.run(controller, incarnation, CallbackKind::kTransaction, [done, r] { done(r); });
     });
   };
-  if (auto cut = network_.way_to_state(controller); cut && cut->lease) {
+  if (auto cut = network_.blocked_path_to_state(controller); cut && cut->deliver_later) {
     apply_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), t);
     return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
   }
   if (!answers(controller)) return answer(kRefusal, {state_store::RequestOutcome::kRefused, {}});
-  double there = way();
+  double there = path_delay();
   if (at_once_.hits(queue_)) {
     apply_later(there, t);
     return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
@@ -77,12 +77,12 @@
     apply_later(queue_.uniform(2, 12), t);
     return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
   }
-  if (queue_.mishap(lost_answers_)) {
+  if (queue_.random_fault(lost_responses_)) {
     // No answer. It's carried out, never, or long after.
     if (!queue_.chance(0.3)) apply_later(queue_.chance(0.5) ? there : queue_.uniform(1, 60), t);
     return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
   }
-  double back = way();
+  double back = path_delay();
   queue_.after(there, [this, t, answer, there, back] {
     Revision r;
     bool ok = apply(t, r);
@@ -93,16 +93,17 @@
 }
 
 void StateService::read(int controller, std::function<void(std::optional<std::size_t>)> done) {
-  auto answer = [this, controller, done, life = network_.life(controller)](double d,
-                                                                           std::optional<std::size_t> upto) {
-    queue_.after(d, [this, controller, done, life, upto] {
-      network_.run(controller, life, Await::kRead, [done, upto] { done(upto); });
+  auto answer = [this, controller, done, incarnation = network_.incarnation(controller)](
+                    double d, std::optional<std::size_t> upto) {
+    queue_.after(d, [this, controller, done, incarnation, upto] {
+      network_.run(controller, incarnation, CallbackKind::kRead, [done, upto] { done(upto); });
     });
   };
-  if (auto cut = network_.way_to_state(controller); cut && cut->lease) return answer(kTimeout, std::nullopt);
+  if (auto cut = network_.blocked_path_to_state(controller); cut && cut->deliver_later)
+    return answer(kTimeout, std::nullopt);
   if (!answers(controller)) return answer(kRefusal, std::nullopt);
-  double there = way();
-  double back = way();
+  double there = path_delay();
+  double back = path_delay();
   queue_.after(there, [this, controller, answer, back] {
     if (!answers(controller)) return answer(back, std::nullopt);
     answer(back, log_.size());
@@ -111,24 +112,25 @@
 
 void StateService::renew(int controller, const std::string& key) {
   if (!answers(controller)) return;
-  hold_until_[controller] = queue_.now() + kHold;
+  lease_until_[controller] = queue_.now() + kKeyLease;
   if (!find(key)) {
-    // It's attached to the hold, and refused once that is over.
-    queue_.after(way(), [this, controller, key] {
+    // It's attached to the lease, and refused once that has expired.
+    queue_.after(path_delay(), [this, controller, key] {
       Revision r;
-      if (queue_.now() < hold_until_[controller] && !find(key))
+      if (queue_.now() < lease_until_[controller] && !find(key))
         apply({{}, {{key, protocol::Json{{"up", true}}, std::nullopt}}}, r);
     });
   }
-  queue_.after(kHold + kHoldLag, [this, controller, key] { expire(controller, key); });
+  queue_.after(kKeyLease + kKeyLeaseLag, [this, controller, key] { expire(controller, key); });
 }
 
 void StateService::expire(int controller, const std::string& key) {
   if (queue_.now() < outage_until_) {
-    hold_until_[controller] = outage_until_ + kHold;  // once it's over every hold has its full time
-    return queue_.at(outage_until_ + kHold + kHoldLag, [this, controller, key] { expire(controller, key); });
+    lease_until_[controller] = outage_until_ + kKeyLease;  // after an outage every lease has its full time
+    return queue_.at(outage_until_ + kKeyLease + kKeyLeaseLag,
+                     [this, controller, key] { expire(controller, key); });
   }
-  if (queue_.now() < hold_until_[controller] || !find(key)) return;
+  if (queue_.now() < lease_until_[controller] || !find(key)) return;
   Revision r;
   apply({{}, {{key, std::nullopt, std::nullopt}}}, r);
 }
--- a/tests/sim/state_service.h
+++ b/tests/sim/state_service.h
@@ -1,4 +1,4 @@
-// Stand-in of the state store: keys with versions, transactions, and the controllers' holds.
+// Fake of the state store: keys with versions, transactions, and leases of the controllers' liveness keys.
 #pragma once
 
 #include <map>
@@ -19,17 +19,17 @@
   };
   using Done = std::function<void(state_store::TxnResult)>;
 
-  // `decisions` gets every transaction that is sent. `lost_answers`: the share of transactions without an
+  // `decisions` gets every transaction that is sent. `lost_responses`: the share of transactions without an
   // answer, at any time.
   // `on_written` is called for each change.
-  StateService(EventQueue& queue, Network& network, DecisionDigest& decisions, double lost_answers,
+  StateService(EventQueue& queue, Network& network, DecisionDigest& decisions, double lost_responses,
                std::function<void(const protocol::Write&)> on_written);
 
-  // ---- Troubles
+  // ---- Faults
   void outage(double until) { outage_until_ = std::max(outage_until_, until); }
   void refuse(int controller, double until) { refused_until_[controller] = until; }
   // Of that share of transactions only the answer is lost.
-  void lose_answers(Window w) { at_once_ = w; }
+  void lose_responses(Window w) { at_once_ = w; }
   // That share has no answer and is carried out 2 to 12 s later, after newer ones.
   void delay_writes(Window w) { late_ = w; }
   void answer_slowly(Window w) { slow_ = w; }
@@ -40,7 +40,7 @@
   // Reads all changes so far; `done` gets the number of entries of the log that were read, or none.
   void read(int controller, std::function<void(std::optional<std::size_t>)> done);
   const std::vector<protocol::Change>& log() const { return log_; }
-  // Renews the hold under a controller's liveness key, and writes the key if it isn't there.
+  // Renews the lease of a controller's liveness key, and writes the key if it isn't there.
   void renew(int controller, const std::string& key);
 
   const Entry* find(const std::string& key) const {
@@ -52,17 +52,17 @@
   bool apply(const protocol::Txn& t, Revision& r);
   void apply_later(double d, const protocol::Txn& t);
   void expire(int controller, const std::string& key);
-  double way();
+  double path_delay();
 
   EventQueue& queue_;
   Network& network_;
   DecisionDigest& decisions_;
-  double lost_answers_;
+  double lost_responses_;
   std::function<void(const protocol::Write&)> on_written_;
   std::map<std::string, Entry> entries_;
   std::vector<protocol::Change> log_;
   std::uint64_t revision_ = 0;
-  std::map<int, double> hold_until_, refused_until_;
+  std::map<int, double> lease_until_, refused_until_;
   double outage_until_ = 0;
   Window at_once_, late_, slow_;
 };
--- a/tests/sim/answer.h
+++ b/tests/sim/user_response.h
@@ -1,4 +1,4 @@
-// What a user asked, and what a controller answered.
+// A user's request, and the response of a controller.
 #pragma once
 
 #include <optional>
@@ -7,14 +7,14 @@
 
 namespace beaconsill::sim {
 
-enum class EstimateRequest { kSubmit, kStatus, kCancel };
+enum class UserRequest { kSubmit, kStatus, kCancel };
 
-struct EstimateResponse {
+struct UserResponse {
   double sent_s = 0;
   double at_s = 0;
   int controller = 0;
   JobId job;
-  EstimateRequest estimate_request = EstimateRequest::kSubmit;
+  UserRequest request = UserRequest::kSubmit;
   int status = 0;  // of HTTP; 0: no connection or no answer
   std::optional<protocol::JobState> state;
   double retry_after_s = 0;
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -20,13 +20,13 @@
   return protocol::JobState::kCancelled;
 }
 
-net::Request render(const JobId& id, EstimateRequest estimate_request, std::string body) {
-  switch (estimate_request) {
-    case EstimateRequest::kSubmit:
+net::Request render(const JobId& id, UserRequest request, std::string body) {
+  switch (request) {
+    case UserRequest::kSubmit:
       return {"POST", kPath, "", std::move(body)};
-    case EstimateRequest::kStatus:
+    case UserRequest::kStatus:
       return {"GET", kPath + '/' + id.value(), "", ""};
-    case EstimateRequest::kCancel:
+    case UserRequest::kCancel:
       break;
   }
   return {"POST", kPath + '/' + id.value() + "/withdraw", "", ""};
@@ -35,67 +35,68 @@
 }  // namespace
 
 void Users::submit(int controller, const protocol::JobSpec& spec, std::optional<double> run_s,
-                   OnAnswer then) {
-  auto& j = books_.jobs[spec.id];
+                   OnResponse then) {
+  auto& j = ledger_.jobs[spec.id];
   if (!j.spec) {
     j.spec = std::make_shared<const protocol::JobSpec>(spec);
     j.run_s = run_s;
     j.submitted = env_.queue.now();
   }
   auto sent = spec;
-  if (env_.options.mistake == Mistake::kZoneIgnored) sent.zone.reset();
-  if (env_.options.mistake == Mistake::kAwaitsLost) sent.depends_on.clear();
-  if (env_.options.mistake == Mistake::kAwaitedUnknown && !sent.depends_on.empty())
+  if (env_.options.seeded_bug == SeededBug::kZoneDropped) sent.zone.reset();
+  if (env_.options.seeded_bug == SeededBug::kDependenciesDropped) sent.depends_on.clear();
+  if (env_.options.seeded_bug == SeededBug::kDependenciesRejected && !sent.depends_on.empty())
     sent.depends_on.front() = JobId("run-404404");
-  if (env_.options.mistake == Mistake::kZonesIgnored) sent.one_zone = sent.spread = false;
-  request(controller, spec.id, EstimateRequest::kSubmit, protocol::job_to_json(sent).dump(), std::move(then));
+  if (env_.options.seeded_bug == SeededBug::kZoneConstraintsDropped) sent.one_zone = sent.spread = false;
+  send_request(controller, spec.id, UserRequest::kSubmit, protocol::job_to_json(sent).dump(),
+               std::move(then));
 }
 
-void Users::poll(int controller, const JobId& id, OnAnswer then) {
-  request(controller, id, EstimateRequest::kStatus, "", std::move(then));
+void Users::poll(int controller, const JobId& id, OnResponse then) {
+  send_request(controller, id, UserRequest::kStatus, "", std::move(then));
 }
 
-void Users::cancel(int controller, const JobId& id, OnAnswer then) {
-  if (auto j = books_.jobs.find(id); j != books_.jobs.end()) j->second.cancel_asked = true;
-  request(controller, id, EstimateRequest::kCancel, "", std::move(then));
+void Users::cancel(int controller, const JobId& id, OnResponse then) {
+  if (auto j = ledger_.jobs.find(id); j != ledger_.jobs.end()) j->second.cancel_asked = true;
+  send_request(controller, id, UserRequest::kCancel, "", std::move(then));
 }
 
-void Users::request(int controller, const JobId& id, EstimateRequest estimate_request, std::string body,
-                    OnAnswer then) {
+void Users::send_request(int controller, const JobId& id, UserRequest request, std::string body,
+                         OnResponse then) {
   auto& q = env_.queue;
   auto over = std::make_shared<bool>(false);
-  EstimateResponse unanswered{q.now(), q.now(), controller, id, estimate_request, 0, {}, 0};
-  auto finish = [this, over, then](EstimateResponse a) {
+  UserResponse unanswered{q.now(), q.now(), controller, id, request, 0, {}, 0};
+  auto finish = [this, over, then](UserResponse a) {
     if (std::exchange(*over, true)) return;
     a.at_s = env_.queue.now();
-    on_estimate_response(a);
+    on_response(a);
     if (then) then(a);
   };
-  q.after(estimate_request == EstimateRequest::kStatus ? kStatusTimeout : kTimeout,
+  q.after(request == UserRequest::kStatus ? kStatusTimeout : kTimeout,
           [finish, unanswered] { finish(unanswered); });
   auto reply = [this, controller, id, finish, unanswered](const net::Response& r) {
     env_.decisions.on_user_response(controller, id, r);
-    if (env_.network.way_to_user(controller)) return;
+    if (env_.network.blocked_path_to_user(controller)) return;
     auto a = unanswered;
     a.status = r.status;
     a.state = parse_state(r);
     a.retry_after_s = r.retry_after_s.value_or(0);
     env_.queue.after(env_.queue.uniform(0.0002, 0.001), [finish, a] { finish(a); });
   };
-  if (env_.network.way_to_user(controller)) return;
+  if (env_.network.blocked_path_to_user(controller)) return;
   q.after(q.uniform(0.0002, 0.001),
-          [this, controller, finish, unanswered, reply, r = render(id, estimate_request, std::move(body))] {
+          [this, controller, finish, unanswered, reply, r = render(id, request, std::move(body))] {
             if (!env_.network.up(controller)) return finish(unanswered);
-            env_.network.run(controller, Await::kUserRequest,
+            env_.network.run(controller, CallbackKind::kUserRequest,
                              [this, controller, r, reply] { env_.controller(controller).on_user(r, reply); });
           });
 }
 
-void Users::on_estimate_response(const EstimateResponse& a) {
-  rules_.on_estimate_response(a);
-  answers_.push_back(a);
-  auto it = books_.jobs.find(a.job);
-  if (it == books_.jobs.end() || !a.ok()) return;
+void Users::on_response(const UserResponse& a) {
+  invariants_.on_response(a);
+  responses_.push_back(a);
+  auto it = ledger_.jobs.find(a.job);
+  if (it == ledger_.jobs.end() || !a.ok()) return;
   auto& j = it->second;
   bool news = !j.accepted;
   j.accepted = true;
@@ -103,29 +104,29 @@
     j.cancelled = a.at_s;
     news = true;
   }
-  if (news) look_closely_at(a.job);
+  if (news) query_burst(a.job);
 }
 
 void Users::on_all_done(const JobId& id) {
-  look_closely_at(id);
-  if (cancel_at_end_.hits(env_.queue)) cancel_until_told(id);
+  query_burst(id);
+  if (cancel_at_completion_.hits(env_.queue)) cancel_until_confirmed(id);
 }
 
 // At all controllers, again and again; some repeat the submission, some cancel at once.
-void Users::look_closely_at(const JobId& id) {
+void Users::query_burst(const JobId& id) {
   auto& q = env_.queue;
-  if (q.now() >= close_looks_until_) return;
+  if (q.now() >= query_bursts_until_) return;
   for (int round = 0; round < 4; ++round)
     for (int n = 0; n < kControllers; ++n) q.after(q.uniform(0, 0.03), [this, id, n] { poll(n, id); });
   q.after(q.uniform(0, 0.03),
-          [this, id, n = q.draw_below(kControllers)] { submit(n, *books_.jobs.at(id).spec); });
-  if (q.chance(0.1)) q.after(q.uniform(0, 0.02), [this, id] { cancel_until_told(id); });
+          [this, id, n = q.draw_below(kControllers)] { submit(n, *ledger_.jobs.at(id).spec); });
+  if (q.chance(0.1)) q.after(q.uniform(0, 0.02), [this, id] { cancel_until_confirmed(id); });
 }
 
-int Users::drawn_node() {
+int Users::random_controller() {
   int n = env_.queue.draw_below(kControllers);
   for (int i = 0; i < kControllers; ++i, n = (n + 1) % kControllers)
-    if (env_.network.up(n) && env_.controller(n).ready() && !env_.network.way_to_user(n)) return n;
+    if (env_.network.up(n) && env_.controller(n).ready() && !env_.network.blocked_path_to_user(n)) return n;
   return n;
 }
 
@@ -190,14 +191,14 @@
   pipeline.back().deadline_s = 60;
   // Some go on with what others have submitted.
   auto earlier = drawn_job();
-  if (q.chance(0.4) && earlier && books_.jobs.at(*earlier).spec->kind == JobKind::kArray)
+  if (q.chance(0.4) && earlier && ledger_.jobs.at(*earlier).spec->kind == JobKind::kArray)
     pipeline.front().depends_on.push_back(*earlier);
   return pipeline;
 }
 
 bool Users::over(const JobId& id) const {
-  return std::any_of(answers_.begin(), answers_.end(),
-                     [&](const EstimateResponse& a) { return a.job == id && a.ok() && a.final(); });
+  return std::any_of(responses_.begin(), responses_.end(),
+                     [&](const UserResponse& a) { return a.job == id && a.ok() && a.final(); });
 }
 
 void Users::submit_step(const std::shared_ptr<const Pipeline>& pipeline, std::size_t step, bool last_waits) {
@@ -219,8 +220,8 @@
   if (!q.chance(0.5)) return;
   auto cancelled = (*pipeline)[static_cast<std::size_t>(q.draw_below(static_cast<int>(pipeline->size())))].id;
   q.after(q.uniform(1, 40), [this, cancelled] {
-    if (auto j = books_.jobs.find(cancelled); j != books_.jobs.end() && j->second.accepted)
-      cancel_until_told(cancelled);
+    if (auto j = ledger_.jobs.find(cancelled); j != ledger_.jobs.end() && j->second.accepted)
+      cancel_until_confirmed(cancelled);
   });
 }
 
@@ -229,18 +230,18 @@
   submit_until_accepted(next_spec(1), std::nullopt, cancelled ? env_.queue.uniform(0.05, 6) : 0);
 }
 
-void Users::submit_mistaken(double within_s) {
+void Users::submit_failing(double within_s) {
   auto spec = next_spec(1 + static_cast<std::uint32_t>(env_.queue.draw_below(20)));
-  books_.jobs[spec.id].mistaken = true;
+  ledger_.jobs[spec.id].always_fails = true;
   submit_until_accepted(spec, std::nullopt, env_.queue.uniform(0.5, 1) * within_s);
 }
 
-void Users::poll_drawn(int questions) {
-  for (int i = 0; i < questions; ++i)
-    if (auto id = drawn_job(); id && books_.jobs.at(*id).spec) poll(drawn_node(), *id);
+void Users::poll_drawn(int queries) {
+  for (int i = 0; i < queries; ++i)
+    if (auto id = drawn_job(); id && ledger_.jobs.at(*id).spec) poll(random_controller(), *id);
 }
 
-void Users::fill_limits() {
+void Users::fill_quotas() {
   for (const auto& team : teams()) {
     auto s = next_spec(static_cast<std::uint32_t>(kTeamCpus) + 10);
     s.team = team;
@@ -251,35 +252,37 @@
 // `cancel_after_s`: after it was accepted; 0: not.
 void Users::submit_until_accepted(const protocol::JobSpec& spec, std::optional<double> run_s,
                                   double cancel_after_s, const std::function<void()>& then) {
-  submit(drawn_node(), spec, run_s, [this, spec, run_s, cancel_after_s, then](const EstimateResponse& a) {
+  submit(random_controller(), spec, run_s, [this, spec, run_s, cancel_after_s, then](const UserResponse& a) {
     if (!a.ok())
       return env_.queue.after(std::max(kRetry, a.retry_after_s), [this, spec, run_s, cancel_after_s, then] {
         submit_until_accepted(spec, run_s, cancel_after_s, then);
       });
     if (then) then();
-    if (cancel_after_s > 0) env_.queue.after(cancel_after_s, [this, id = spec.id] { cancel_until_told(id); });
+    if (cancel_after_s > 0)
+      env_.queue.after(cancel_after_s, [this, id = spec.id] { cancel_until_confirmed(id); });
     poll_on(spec.id);
   });
 }
 
-void Users::cancel_until_told(const JobId& id) {
-  cancel(drawn_node(), id, [this, id](const EstimateResponse& a) {
-    if (!a.ok()) env_.queue.after(std::max(kRetry, a.retry_after_s), [this, id] { cancel_until_told(id); });
+void Users::cancel_until_confirmed(const JobId& id) {
+  cancel(random_controller(), id, [this, id](const UserResponse& a) {
+    if (!a.ok())
+      env_.queue.after(std::max(kRetry, a.retry_after_s), [this, id] { cancel_until_confirmed(id); });
   });
 }
 
 void Users::poll_on(const JobId& id) {
-  poll(drawn_node(), id, [this, id](const EstimateResponse& a) {
+  poll(random_controller(), id, [this, id](const UserResponse& a) {
     double wait = a.final() ? kPollPeriodOver : kPollPeriod;
     env_.queue.after(wait, [this, id] { poll_on(id); });
   });
 }
 
-std::vector<MachineName> Users::cancel_now(int count) {
+std::vector<MachineName> Users::cancel_running(int count) {
   std::vector<JobId> long_to_go;
-  for (const auto& [id, j] : books_.jobs) {
+  for (const auto& [id, j] : ledger_.jobs) {
     bool runs = false;
-    books_.each_task(id, [&](const Machine&, const auto&, const Task& t) {
+    ledger_.each_task(id, [&](const Machine&, const auto&, const Task& t) {
       runs |= t.on_machine() && (j.spec->kind == JobKind::kService || t.ends - env_.queue.now() > 2);
     });
     if (runs && j.accepted && !j.cancel_asked) long_to_go.push_back(id);
@@ -289,40 +292,41 @@
     auto chosen = long_to_go.begin() + env_.queue.draw_below(static_cast<int>(long_to_go.size()));
     auto id = *chosen;
     long_to_go.erase(chosen);
-    books_.each_task(id, [&](const Machine& m, const auto&, const Task& t) {
+    ledger_.each_task(id, [&](const Machine& m, const auto&, const Task& t) {
       if (t.on_machine()) there.push_back(m.name);
     });
-    env_.queue.after(env_.queue.uniform(0, 0.2), [this, id] { cancel_until_told(id); });
+    env_.queue.after(env_.queue.uniform(0, 0.2), [this, id] { cancel_until_confirmed(id); });
   }
   return there;
 }
 
 std::optional<JobId> Users::drawn_job() {
-  if (books_.jobs.empty()) return std::nullopt;
-  return std::next(books_.jobs.begin(), env_.queue.draw_below(static_cast<int>(books_.jobs.size())))->first;
+  if (ledger_.jobs.empty()) return std::nullopt;
+  return std::next(ledger_.jobs.begin(), env_.queue.draw_below(static_cast<int>(ledger_.jobs.size())))->first;
 }
 
-void Users::odd_request() {
+void Users::invalid_request() {
   auto id = drawn_job();
   switch (env_.queue.draw_below(4)) {
     case 0:
-      if (id) submit(drawn_node(), *books_.jobs.at(*id).spec);
+      if (id) submit(random_controller(), *ledger_.jobs.at(*id).spec);
       return;
     case 1:
-      if (id && books_.jobs.at(*id).done.size() == books_.jobs.at(*id).spec->tasks) cancel(drawn_node(), *id);
+      if (id && ledger_.jobs.at(*id).done.size() == ledger_.jobs.at(*id).spec->tasks)
+        cancel(random_controller(), *id);
       return;
     case 2: {
       JobId unknown("run-" + std::to_string(900000 + env_.queue.draw_below(1000)));
-      if (env_.queue.chance(0.5)) return cancel(drawn_node(), unknown);
-      return poll(drawn_node(), unknown);
+      if (env_.queue.chance(0.5)) return cancel(random_controller(), unknown);
+      return poll(random_controller(), unknown);
     }
     case 3:
-      return odd_submission();
+      return invalid_submission();
   }
 }
 
-// Of a job that can't run, or that lacks a field: it's not in the books, and must not be accepted.
-void Users::odd_submission() {
+// Of a job that can't run, or that lacks a field: it's not in the ledger, and must not be accepted.
+void Users::invalid_submission() {
   auto spec = next_spec(4);
   bool lacks = env_.queue.chance(0.4);
   if (env_.queue.chance(0.5)) {
@@ -344,7 +348,7 @@
       body = lacking;
     }
   }
-  request(drawn_node(), spec.id, EstimateRequest::kSubmit, body.dump(), {});
+  send_request(random_controller(), spec.id, UserRequest::kSubmit, body.dump(), {});
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/users.h
+++ b/tests/sim/users.h
@@ -1,4 +1,4 @@
-// The users: they submit jobs, cancel some, ask for them, and remember what they were told. Requests go
+// The users: they submit jobs, cancel some, query them, and record the responses. Requests go
 // through the users' endpoints of `api` in the form that the protocol gives them.
 #pragma once
 
@@ -12,15 +12,16 @@
 
 class Users {
  public:
-  using OnAnswer = std::function<void(const EstimateResponse&)>;
-  Users(Environment& env, Books& books, Rules& rules) : env_(env), books_(books), rules_(rules) {}
+  using OnResponse = std::function<void(const UserResponse&)>;
+  Users(Environment& env, Ledger& ledger, InvariantChecker& invariants)
+      : env_(env), ledger_(ledger), invariants_(invariants) {}
 
   // ---- Requests, each sent now
   void submit(int controller, const protocol::JobSpec& spec, std::optional<double> run_s = {},
-              OnAnswer then = {});
-  void poll(int controller, const JobId& id, OnAnswer then = {});
-  void cancel(int controller, const JobId& id, OnAnswer then = {});
-  const std::vector<EstimateResponse>& is_responsive() const { return answers_; }
+              OnResponse then = {});
+  void poll(int controller, const JobId& id, OnResponse then = {});
+  void cancel(int controller, const JobId& id, OnResponse then = {});
+  const std::vector<UserResponse>& responses() const { return responses_; }
 
   // ---- Drawn users
   // A drawn job is submitted until it's accepted, polled until it's over, and perhaps cancelled meanwhile.
@@ -31,23 +32,23 @@
   // A job of one task.
   void submit_small();
   // A job that fails on every machine. Its user cancels it within so many seconds.
-  void submit_mistaken(double within_s);
-  // So many questions about drawn jobs.
-  void poll_drawn(int questions);
+  void submit_failing(double within_s);
+  // So many queries of random jobs.
+  void poll_drawn(int queries);
   // For each team one array larger than its limit.
-  void fill_limits();
+  void fill_quotas();
   // Cancels so many jobs that run and have long to go, within a fifth of a second. Returns the machines that
   // run them.
-  std::vector<MachineName> cancel_now(int count);
-  // Repeated submissions, cancellations of jobs that are over, jobs that can't run or lack a field, questions
-  // about jobs that nobody submitted.
-  void odd_request();
+  std::vector<MachineName> cancel_running(int count);
+  // Repeated submissions, cancellations of jobs that are over, jobs that can't run or lack a field, queries
+  // of jobs that nobody submitted.
+  void invalid_request();
 
-  // ---- Troubles
-  // Users ask at all controllers within milliseconds after a job was accepted, ended or cancelled.
-  void look_closely(double until) { close_looks_until_ = until; }
+  // ---- Faults
+  // Users query all controllers within milliseconds after a job was accepted, ended or cancelled.
+  void query_in_bursts(double until) { query_bursts_until_ = until; }
   // That share of the jobs that end is cancelled at the moment of the end.
-  void cancel_at_end(Window w) { cancel_at_end_ = w; }
+  void cancel_at_completion(Window w) { cancel_at_completion_ = w; }
   // The last task of the job has completed.
   void on_all_done(const JobId& id);
 
@@ -60,24 +61,23 @@
   Pipeline drawn_pipeline(int i);
   void submit_step(const std::shared_ptr<const Pipeline>& pipeline, std::size_t step, bool last_waits);
   bool over(const JobId& id) const;
-  void cancel_until_told(const JobId& id);
+  void cancel_until_confirmed(const JobId& id);
   void poll_on(const JobId& id);
-  void look_closely_at(const JobId& id);
-  void odd_submission();
+  void query_burst(const JobId& id);
+  void invalid_submission();
   std::optional<JobId> drawn_job();
   // A controller that a load balancer would choose.
-  int drawn_node();
-  void request(int controller, const JobId& id, EstimateRequest estimate_request, std::string body,
-               OnAnswer then);
-  void on_estimate_response(const EstimateResponse& a);
+  int random_controller();
+  void send_request(int controller, const JobId& id, UserRequest request, std::string body, OnResponse then);
+  void on_response(const UserResponse& a);
 
   Environment& env_;
-  Books& books_;
-  Rules& rules_;
-  std::vector<EstimateResponse> answers_;
+  Ledger& ledger_;
+  InvariantChecker& invariants_;
+  std::vector<UserResponse> responses_;
   int next_job_ = 1000;
-  double close_looks_until_ = 0;
-  Window cancel_at_end_;
+  double query_bursts_until_ = 0;
+  Window cancel_at_completion_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/mirror.cpp
+++ b/tests/sim/watch_cache.cpp
@@ -1,10 +1,14 @@
-#include "sim/mirror.h"
+#include "sim/watch_cache.h"
 
 namespace beaconsill::sim {
 
-WatchCache::WatchCache(int controller, EventQueue& queue, StateService& state, Mistake mistake,
+WatchCache::WatchCache(int controller, EventQueue& queue, StateService& state, SeededBug seeded_bug,
                        std::function<void(const state_store::StateView::ChangeSet&)> on_change)
-    : node_(controller), queue_(queue), state_(state), mistake_(mistake), on_change_(std::move(on_change)) {}
+    : controller_(controller),
+      queue_(queue),
+      state_(state),
+      seeded_bug_(seeded_bug),
+      on_change_(std::move(on_change)) {}
 
 Revision WatchCache::revision() const {
   return known_ ? state_.log()[known_ - 1].version : Revision();
@@ -16,10 +20,10 @@
   reading_ = true;
   auto served = std::make_shared<Waiting>(std::move(waiting_));
   waiting_.clear();
-  state_.read(node_, [this, served, begun = queue_.now()](std::optional<std::size_t> upto) {
+  state_.read(controller_, [this, served, begun = queue_.now()](std::optional<std::size_t> upto) {
     if (!upto) return finish(false, *served);
     for (; known_ < *upto; ++known_) view_.apply(state_.log()[known_]);
-    word_ = begun;
+    synced_at_ = begun;
     ready_ = true;
     publish_changes();
     finish(true, *served);
@@ -52,11 +56,11 @@
 }
 
 void EndpointReader::sync(std::function<void(bool)> done) {
-  if (mistake_ == Mistake::kAnswersUnread) return done(true);
+  if (seeded_bug_ == SeededBug::kNoReadBarrier) return done(true);
   watch_cache_->sync([this, done](bool ok) {
     failed_ |= !ok;
-    if (mistake_ == Mistake::kCallbackLost && failed_) return;
-    done(ok || mistake_ == Mistake::kOutageIsEmpty);
+    if (seeded_bug_ == SeededBug::kCallbackLost && failed_) return;
+    done(ok || seeded_bug_ == SeededBug::kOutageReadsAsEmpty);
   });
 }
 
--- a/tests/sim/mirror.h
+++ b/tests/sim/watch_cache.h
@@ -1,4 +1,4 @@
-// A controller's view of the state store, as `store::Mirror` keeps it.
+// A controller's view of the state store, as `state_store::WatchCache` keeps it.
 #pragma once
 
 #include "sim/options.h"
@@ -8,7 +8,7 @@
 
 class WatchCache : public state_store::StateReader {
  public:
-  WatchCache(int controller, EventQueue& queue, StateService& state, Mistake mistake,
+  WatchCache(int controller, EventQueue& queue, StateService& state, SeededBug seeded_bug,
              std::function<void(const state_store::StateView::ChangeSet&)> on_change);
 
   const state_store::StateView& view() const override { return view_; }
@@ -19,14 +19,14 @@
   bool is_responsive() const override { return true; }
   void commit(protocol::Txn t, state_store::Urgency, std::function<void(state_store::TxnResult)> done,
               Duration) override {
-    state_.txn(node_, std::move(t), std::move(done));
+    state_.txn(controller_, std::move(t), std::move(done));
   }
   // Ends that another controller has read.
   void apply_cancelled(const std::vector<protocol::CancelledJob>& jobs);
   bool reading() const { return reading_; }
   // The view holds all changes that were made before this time.
-  Instant as_of() const override { return EventQueue::instant(word_); }
-  double word_s() const { return word_; }
+  Instant as_of() const override { return EventQueue::instant(synced_at_); }
+  double synced_at_s() const { return synced_at_; }
   Revision revision() const;
 
  private:
@@ -34,24 +34,24 @@
   void finish(bool ok, const Waiting& served);
   void publish_changes();
 
-  int node_;
+  int controller_;
   EventQueue& queue_;
   StateService& state_;
-  Mistake mistake_;
+  SeededBug seeded_bug_;
   std::function<void(const state_store::StateView::ChangeSet&)> on_change_;
   state_store::StateView view_;
   std::size_t known_ = 0;  // entries of the state store's log that were read
-  double word_ = -100;
+  double synced_at_ = -100;
   bool ready_ = false;
   bool reading_ = false;
   Waiting waiting_;
 };
 
-// What the users' endpoints see of it: the place for mistakes of theirs.
+// The users' endpoints read through this: the place for bugs seeded into them.
 class EndpointReader : public state_store::StateReader {
  public:
-  EndpointReader(std::shared_ptr<WatchCache> watch_cache, Mistake mistake)
-      : watch_cache_(std::move(watch_cache)), mistake_(mistake) {}
+  EndpointReader(std::shared_ptr<WatchCache> watch_cache, SeededBug seeded_bug)
+      : watch_cache_(std::move(watch_cache)), seeded_bug_(seeded_bug) {}
   const state_store::StateView& view() const override { return watch_cache_->view(); }
   bool ready() const override { return watch_cache_->ready(); }
   void sync(std::function<void(bool)> done) override;
@@ -65,22 +65,22 @@
 
  private:
   std::shared_ptr<WatchCache> watch_cache_;
-  Mistake mistake_;
+  SeededBug seeded_bug_;
   bool failed_ = false;
 };
 
 // A controller's transactions.
 class Transactions : public state_store::TxnExecutor {
  public:
-  Transactions(int controller, StateService& state) : node_(controller), state_(state) {}
+  Transactions(int controller, StateService& state) : controller_(controller), state_(state) {}
   void txn(protocol::Txn t, state_store::Urgency, std::function<void(state_store::TxnResult)> done) override {
-    state_.txn(node_, std::move(t), std::move(done));
+    state_.txn(controller_, std::move(t), std::move(done));
   }
-  // The stand-in has no limits.
+  // The fake has no limits.
   Duration write_wait(state_store::Urgency) const override { return Duration(0); }
 
  private:
-  int node_;
+  int controller_;
   StateService& state_;
 };
 
--- a/tests/sim/workers.cpp
+++ b/tests/sim/workers.cpp
@@ -2,19 +2,19 @@
 
 namespace beaconsill::sim {
 namespace {
-constexpr double kReportTimeout = 4;
-constexpr double kNextNode = 1;  // a worker waits so long before it tries the next one
+constexpr double kHeartbeatTimeout = 4;
+constexpr double kNextControllerDelay = 1;  // a worker waits so long before it tries the next one
 constexpr double kCommandTimeout = 2;
 constexpr double kFailsWithin = 3;
 }  // namespace
 
-Workers::Workers(EventQueue& queue, Network& network, DecisionDigest& decisions, Books& books, Rules& rules,
-                 Outcome& outcome, const Options& options, Hooks hooks)
+Workers::Workers(EventQueue& queue, Network& network, DecisionDigest& decisions, Ledger& ledger,
+                 InvariantChecker& invariants, Outcome& outcome, const Options& options, Hooks hooks)
     : queue_(queue),
       network_(network),
       decisions_(decisions),
-      books_(books),
-      rules_(rules),
+      ledger_(ledger),
+      invariants_(invariants),
       outcome_(outcome),
       options_(options),
       hooks_(std::move(hooks)) {}
@@ -24,8 +24,8 @@
 }
 
 void Workers::advance_all() {
-  for (auto& [name, m] : books_.machines)
-    if (!m.gone) advance(m);
+  for (auto& [name, m] : ledger_.machines)
+    if (!m.terminated) advance(m);
 }
 
 protocol::WorkerHeartbeat Workers::compose(Machine& m) {
@@ -58,12 +58,12 @@
   if (now < m.hangs_until) return;
   for (auto& [key, t] : m.tasks) {
     if (t.ended) continue;
-    auto& job = books_.jobs.at(key.first.job);
+    auto& job = ledger_.jobs.at(key.first.job);
     if (!t.running && now >= t.ready) {
       t.running = true;
       // The result of a task that completed is kept: it ends at once.
       if (job.done.contains(key.first.index)) t.ends = now;
-      rules_.on_begin(m, key.first, job);
+      invariants_.on_begin(m, key.first, job);
     }
     if (t.running && t.fails && now >= t.ends) {
       t.ended = true;
@@ -84,7 +84,7 @@
 }
 
 void Workers::heartbeat(const MachineName& name) {
-  auto* m = books_.machine(name);
+  auto* m = ledger_.machine(name);
   if (!m) return;
   queue_.after(options_.report_s * queue_.uniform(0.75, 1.25), [this, name] { heartbeat(name); });
   if (queue_.now() < m->hangs_until || m->in_flight) return;
@@ -92,29 +92,32 @@
   m->in_flight = true;
   int to = m->controller;
   int next = (to + 1) % kControllers;
-  if (queue_.now() < m->mute_until || !network_.up(to)) return report_over(name, kNextNode, next);
-  if (network_.way_to_worker(to, m->zone)) return report_over(name, kReportTimeout + kNextNode, next);
-  if (queue_.mishap(0.04) || copies_.hits(queue_)) copy_later(r);
-  if (for_next_.hits(queue_)) kept_.push_back(r);
-  send_report(name, to, r);
+  if (queue_.now() < m->outbound_cut_until || !network_.up(to))
+    return heartbeat_finished(name, kNextControllerDelay, next);
+  if (network_.blocked_path_to_worker(to, m->zone))
+    return heartbeat_finished(name, kHeartbeatTimeout + kNextControllerDelay, next);
+  if (queue_.random_fault(0.04) || duplicates_.hits(queue_)) copy_later(r);
+  if (held_for_next_leader_.hits(queue_)) held_heartbeats_.push_back(r);
+  send_heartbeat_to(name, to, r);
 }
 
-void Workers::send_report(const MachineName& name, int to, const protocol::WorkerHeartbeat& r) {
+void Workers::send_heartbeat_to(const MachineName& name, int to, const protocol::WorkerHeartbeat& r) {
   double sent = queue_.now();
   auto incarnation = r.incarnation.value();
   auto answered = std::make_shared<bool>(false);
   auto reply = [this, name, to, sent, incarnation, answered](const HeartbeatReply& x) {
-    decisions_.on_report_reply(to, name, x);
+    decisions_.on_heartbeat_reply(to, name, x);
     queue_.after(queue_.uniform(0.0005, 0.003), [this, name, to, sent, incarnation, answered, x] {
       if (std::exchange(*answered, true)) return;
       on_reply(name, to, sent, incarnation, x);
     });
   };
-  queue_.after(kReportTimeout, [this, name, to, answered] {
-    if (!std::exchange(*answered, true)) report_over(name, kNextNode, (to + 1) % kControllers);
+  queue_.after(kHeartbeatTimeout, [this, name, to, answered] {
+    if (!std::exchange(*answered, true))
+      heartbeat_finished(name, kNextControllerDelay, (to + 1) % kControllers);
   });
   queue_.after(queue_.uniform(0.0005, 0.007), [this, to, r, reply] {
-    network_.run(to, Await::kReport, [this, to, r, reply] { hooks_.heartbeat(to, r, reply); });
+    network_.run(to, CallbackKind::kHeartbeat, [this, to, r, reply] { hooks_.heartbeat(to, r, reply); });
   });
 }
 
@@ -125,66 +128,68 @@
 }
 
 void Workers::deliver_copy(int controller, protocol::WorkerHeartbeat r) {
-  if (auto* m = books_.machine(r.machine); m && options_.mistake == Mistake::kCopiesAreNews) {
+  if (auto* m = ledger_.machine(r.machine); m && options_.seeded_bug == SeededBug::kStaleHeartbeatsAccepted) {
     r.incarnation = Incarnation(m->incarnation);
     r.sequence = Sequence(++m->sequence);
     r.token = Token(m->token);
   }
   auto reply = [this, controller, name = r.machine](const HeartbeatReply& x) {
-    decisions_.on_report_reply(controller, name, x);
+    decisions_.on_heartbeat_reply(controller, name, x);
   };
-  network_.run(controller, Await::kReport,
+  network_.run(controller, CallbackKind::kHeartbeat,
                [this, controller, r, reply] { hooks_.heartbeat(controller, r, reply); });
 }
 
 void Workers::on_new_leader() {
-  for (const auto& r : std::exchange(kept_, {}))
+  for (const auto& r : std::exchange(held_heartbeats_, {}))
     for (int n = 0; n < kControllers; ++n)
       queue_.after(queue_.uniform(0, 1), [this, n, r] { deliver_copy(n, r); });
 }
 
-void Workers::report_over(const MachineName& name, double wait, int next_node) {
-  queue_.after(wait, [this, name, next_node] {
-    auto* m = books_.machine(name);
+void Workers::heartbeat_finished(const MachineName& name, double wait, int next_controller) {
+  queue_.after(wait, [this, name, next_controller] {
+    auto* m = ledger_.machine(name);
     if (!m) return;
     m->in_flight = false;
-    if (next_node >= 0) m->controller = next_node;
+    if (next_controller >= 0) m->controller = next_controller;
   });
 }
 
 void Workers::on_reply(const MachineName& name, int controller, double sent, std::uint64_t incarnation,
                        const HeartbeatReply& reply) {
-  auto* m = books_.machine(name);
+  auto* m = ledger_.machine(name);
   if (!m) return;
   double now = queue_.now();
   int next = (controller + 1) % kControllers;
-  bool lost = now < m->deaf_until || network_.way_to_worker(controller, m->zone) || queue_.mishap(0.002);
-  if (lost) return report_over(name, sent + kReportTimeout + kNextNode - now, next);
+  bool lost = now < m->inbound_cut_until || network_.blocked_path_to_worker(controller, m->zone) ||
+              queue_.random_fault(0.002);
+  if (lost) return heartbeat_finished(name, sent + kHeartbeatTimeout + kNextControllerDelay - now, next);
   if (!reply.answer) {
-    bool told_where = reply.redirect >= 0 && reply.redirect != controller;
-    return report_over(name, told_where ? 0.3 : kNextNode, told_where ? reply.redirect : next);
+    bool redirected = reply.redirect >= 0 && reply.redirect != controller;
+    return heartbeat_finished(name, redirected ? 0.3 : kNextControllerDelay,
+                              redirected ? reply.redirect : next);
   }
-  report_over(name, 0.001, -1);
+  heartbeat_finished(name, 0.001, -1);
   if (now < m->hangs_until || m->incarnation != incarnation || reply.answer->token.value() < m->token) return;
   advance(*m);
   if (m->incarnation != incarnation) return;
   m->token = reply.answer->token.value();
   m->lease_from = std::max(m->lease_from, sent);
-  for (const auto& c : reply.answer->commands) obey(*m, c);
+  for (const auto& c : reply.answer->commands) apply_command(*m, c);
 }
 
 void Workers::command(int controller, const shard::ShardManager::Batch& b,
                       std::function<void(std::optional<CommandReply>)> done) {
   decisions_.on_commands(controller, b);
   auto none = [this, done] { queue_.after(kCommandTimeout, [done] { done(std::nullopt); }); };
-  auto* m = books_.machine(b.machine);
-  if (!m || queue_.now() < m->deaf_until || queue_.mishap(0.01)) {
+  auto* m = ledger_.machine(b.machine);
+  if (!m || queue_.now() < m->inbound_cut_until || queue_.random_fault(0.01)) {
     // Held up on the way, it may still arrive, minutes late.
-    if (queue_.mishap(0.5)) carry_out_later(queue_.uniform(0.5, 60), b);
+    if (queue_.random_fault(0.5)) carry_out_later(queue_.uniform(0.5, 60), b);
     return none();
   }
-  if (auto cut = network_.way_to_worker(controller, m->zone)) {
-    if (cut->lease) carry_out_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), b);
+  if (auto cut = network_.blocked_path_to_worker(controller, m->zone)) {
+    if (cut->deliver_later) carry_out_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), b);
     return none();
   }
   if (queue_.now() < m->hangs_until) {
@@ -197,7 +202,7 @@
   }
   queue_.after(queue_.uniform(0.001, 0.01), [this, b, done, none] {
     auto r = carry_out(b);
-    if (!r || queue_.mishap(0.01)) return none();
+    if (!r || queue_.random_fault(0.01)) return none();
     queue_.after(0.005, [done, r] { done(r); });
   });
 }
@@ -207,8 +212,8 @@
 }
 
 std::optional<CommandReply> Workers::carry_out(const shard::ShardManager::Batch& b) {
-  auto* m = books_.machine(b.machine);
-  if (!m || queue_.now() < m->deaf_until) return std::nullopt;
+  auto* m = ledger_.machine(b.machine);
+  if (!m || queue_.now() < m->inbound_cut_until) return std::nullopt;
   if (queue_.now() < m->hangs_until) {
     carry_out_later(m->hangs_until - queue_.now(), b);
     return std::nullopt;
@@ -217,28 +222,28 @@
   bool ok = b.token.value() >= m->token && b.incarnation.value() == m->incarnation;
   if (ok) {
     m->token = b.token.value();
-    for (const auto& c : b.commands) obey(*m, c);
+    for (const auto& c : b.commands) apply_command(*m, c);
   }
   return CommandReply{ok, compose(*m)};
 }
 
-void Workers::obey(Machine& m, const protocol::Command& c) {
+void Workers::apply_command(Machine& m, const protocol::Command& c) {
   std::pair key{c.task, c.attempt};
   auto it = m.tasks.find(key);
   if (c.op == protocol::Command::Op::kStart) {
     if (it != m.tasks.end()) return;
     auto& t = m.tasks[key];
     t.ready = queue_.now() + queue_.uniform(0.1, 1.5);
-    const auto& job = books_.jobs.at(c.task.job);
+    const auto& job = ledger_.jobs.at(c.task.job);
     t.ends = t.ready + job.run_s.value_or(queue_.uniform(0.5, 6));
-    t.fails = job.mistaken || queue_.now() < m.faulty_until;
+    t.fails = job.always_fails || queue_.now() < m.faulty_until;
     if (t.fails) t.ends = t.ready + queue_.uniform(0.1, kFailsWithin);
     ++outcome_.started;
-    outcome_.started_mistaken += job.mistaken;
+    outcome_.failing_starts += job.always_fails;
     // Time passes between reports as well.
     for (double when : {t.ready, t.ends})
       queue_.at(when + 0.001, [this, name = m.name] {
-        if (auto* x = books_.machine(name)) advance(*x);
+        if (auto* x = ledger_.machine(name)) advance(*x);
       });
   } else if (c.op == protocol::Command::Op::kStop && it != m.tasks.end() && !it->second.ended) {
     it->second.ended = true;
--- a/tests/sim/workers.h
+++ b/tests/sim/workers.h
@@ -1,15 +1,15 @@
-// Stand-ins of the workers: they report, obey, and let their tasks run.
+// Simulated workers: they send heartbeats, carry out commands, and let their tasks run.
 #pragma once
 
 #include <functional>
 #include <vector>
 
 #include "shard/shard_manager.h"
-#include "sim/books.h"
 #include "sim/decision_digest.h"
+#include "sim/invariants.h"
+#include "sim/ledger.h"
 #include "sim/network.h"
 #include "sim/options.h"
-#include "sim/rules.h"
 
 namespace beaconsill::sim {
 
@@ -35,8 +35,8 @@
     std::function<void(const JobId&)> all_done;
   };
   // `decisions` gets all commands and all answers to reports.
-  Workers(EventQueue& queue, Network& network, DecisionDigest& decisions, Books& books, Rules& rules,
-          Outcome& outcome, const Options& options, Hooks hooks);
+  Workers(EventQueue& queue, Network& network, DecisionDigest& decisions, Ledger& ledger,
+          InvariantChecker& invariants, Outcome& outcome, const Options& options, Hooks hooks);
 
   // A new worker begins to report.
   void on_added(const MachineName& m);
@@ -46,13 +46,13 @@
   void command(int controller, const shard::ShardManager::Batch& b,
                std::function<void(std::optional<CommandReply>)> done);
 
-  // ---- Troubles
+  // ---- Faults
   // Of that share of reports a copy arrives again, up to well over a lease later.
-  void copy_reports(Window w) { copies_ = w; }
+  void duplicate_heartbeats(Window w) { duplicates_ = w; }
   // The same, but the copies are kept until there is a new leader, and then reach every controller.
-  void keep_copies_for_next(Window w) { for_next_ = w; }
+  void hold_heartbeats_for_next_leader(Window w) { held_for_next_leader_ = w; }
   void on_new_leader();
-  std::size_t kept_copies() const { return kept_.size(); }
+  std::size_t held_heartbeats() const { return held_heartbeats_.size(); }
   // That share of direct commands is held up for 2 to 16 s, unanswered, and then carried out.
   void delay_commands(Window w) { late_commands_ = w; }
 
@@ -61,26 +61,26 @@
   void advance(Machine& m);
   void on_done(const JobId& id, Job& job, std::uint32_t index);
   void heartbeat(const MachineName& name);
-  void send_report(const MachineName& name, int to, const protocol::WorkerHeartbeat& r);
+  void send_heartbeat_to(const MachineName& name, int to, const protocol::WorkerHeartbeat& r);
   void copy_later(const protocol::WorkerHeartbeat& r);
   void deliver_copy(int controller, protocol::WorkerHeartbeat r);
-  void report_over(const MachineName& name, double wait, int next_node);
+  void heartbeat_finished(const MachineName& name, double wait, int next_controller);
   void on_reply(const MachineName& name, int controller, double sent, std::uint64_t incarnation,
                 const HeartbeatReply& reply);
   std::optional<CommandReply> carry_out(const shard::ShardManager::Batch& b);
   void carry_out_later(double d, const shard::ShardManager::Batch& b);
-  void obey(Machine& m, const protocol::Command& c);
+  void apply_command(Machine& m, const protocol::Command& c);
 
   EventQueue& queue_;
   Network& network_;
   DecisionDigest& decisions_;
-  Books& books_;
-  Rules& rules_;
+  Ledger& ledger_;
+  InvariantChecker& invariants_;
   Outcome& outcome_;
   const Options& options_;
   Hooks hooks_;
-  Window copies_, for_next_, late_commands_;
-  std::vector<protocol::WorkerHeartbeat> kept_;
+  Window duplicates_, held_for_next_leader_, late_commands_;
+  std::vector<protocol::WorkerHeartbeat> held_heartbeats_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim_script_test.cpp
+++ b/tests/sim_script_test.cpp
@@ -12,7 +12,7 @@
   void SetUp() override { spdlog::set_level(spdlog::level::off); }
 };
 
-TEST_F(Script, WithoutTroublesAJobIsAcceptedRunsAndIsDone) {
+TEST_F(Script, WithoutFaultsAJobIsAcceptedRunsAndCompletes) {
   World w(Options::scripted());
   auto job = array_job("run-1", 8);
   w.submit(2, job, 1);
@@ -30,17 +30,17 @@
   std::vector<std::uint64_t> early;
   w.at(15, [&] { early = terms(); });
   auto r = w.run();
-  EXPECT_TRUE(r.broken.empty()) << r.first;
+  EXPECT_TRUE(r.violations.empty()) << r.first_violation;
   EXPECT_EQ(r.started, 8);
   EXPECT_EQ(terms(), early);
-  EXPECT_EQ(w.last_answer(job.id, EstimateRequest::kSubmit)->status, 201);
-  int told_done = 0;
-  for (const auto& a : w.is_responsive())
-    told_done += a.estimate_request == EstimateRequest::kStatus && a.state == protocol::JobState::kDone;
-  EXPECT_EQ(told_done, kControllers);
+  EXPECT_EQ(w.last_response(job.id, UserRequest::kSubmit)->status, 201);
+  int done_responses = 0;
+  for (const auto& a : w.responses())
+    done_responses += a.request == UserRequest::kStatus && a.state == protocol::JobState::kDone;
+  EXPECT_EQ(done_responses, kControllers);
 }
 
-TEST_F(Script, ACancelledJobIsGoneAndARepeatIsTold) {
+TEST_F(Script, ACancelledJobStopsAndARepeatedSubmissionReportsIt) {
   World w(Options::scripted());
   auto job = array_job("run-1", 8);
   w.submit(2, job, 1, 60);
@@ -51,21 +51,24 @@
   std::size_t ran = 0;
   w.at(10.9, [&] { ran = w.running_on(job.id).size(); });
   auto r = w.run();
-  EXPECT_TRUE(r.broken.empty()) << r.first;
+  EXPECT_TRUE(r.violations.empty()) << r.first_violation;
   EXPECT_GT(ran, 0u);
-  EXPECT_EQ(w.last_answer(job.id, EstimateRequest::kCancel)->state, protocol::JobState::kCancelled);
-  EXPECT_EQ(w.last_answer(job.id, EstimateRequest::kSubmit)->status, 200);
-  EXPECT_EQ(w.last_answer(job.id, EstimateRequest::kSubmit)->state, protocol::JobState::kCancelled);
+  EXPECT_EQ(w.last_response(job.id, UserRequest::kCancel)->state, protocol::JobState::kCancelled);
+  EXPECT_EQ(w.last_response(job.id, UserRequest::kSubmit)->status, 200);
+  EXPECT_EQ(w.last_response(job.id, UserRequest::kSubmit)->state, protocol::JobState::kCancelled);
   EXPECT_TRUE(w.running_on(job.id).empty());
 }
 
-TEST_F(Script, TroublesComeAtTheirTime) {
+TEST_F(Script, FaultsBeginAtTheirTime) {
   World w(Options::scripted());
   auto job = service_job("run-1", 4);
   w.submit(2, job, 1);
-  w.trouble({.at_s = 10, .kind = TroubleKind::kNodeEnds, .for_s = 3, .who = Who::leader()});
-  w.trouble({.at_s = 20, .kind = TroubleKind::kStateOutage, .for_s = 5});
-  w.trouble({.at_s = 30, .kind = TroubleKind::kMachineEnds, .which = Which::of_job(job.id)});
+  w.inject({.at_s = 10,
+            .kind = FaultKind::kControllerCrash,
+            .duration_s = 3,
+            .controllers = ControllerSelector::leader()});
+  w.inject({.at_s = 20, .kind = FaultKind::kStateOutage, .duration_s = 5});
+  w.inject({.at_s = 30, .kind = FaultKind::kMachineCrash, .machines = MachineSelector::of_job(job.id)});
   int leader = -1;
   w.at(9.9, [&] { leader = w.leader().value_or(-1); });
   w.at(10.1, [&] { EXPECT_FALSE(w.network().up(leader)); });
@@ -76,13 +79,13 @@
   w.at(29.9, [&] { EXPECT_FALSE(w.running_on(job.id).empty()); });
   w.at(30.1, [&] { EXPECT_TRUE(w.running_on(job.id).empty()); });
   auto r = w.run();
-  EXPECT_TRUE(r.broken.empty()) << r.first;
-  EXPECT_EQ(w.last_answer(job.id, EstimateRequest::kStatus)->status, 503);
-  EXPECT_GT(r.takeovers, kControllers);
+  EXPECT_TRUE(r.violations.empty()) << r.first_violation;
+  EXPECT_EQ(w.last_response(job.id, UserRequest::kStatus)->status, 503);
+  EXPECT_GT(r.shard_acquisitions, kControllers);
   EXPECT_FALSE(w.running_on(job.id).empty());
 }
 
-TEST_F(Script, AProbeThatSpeaksUpBreaksItsRule) {
+TEST_F(Script, AProbeThatReportsAViolationFails) {
   World w(Options::scripted());
   w.submit(2, array_job("run-1", 8), 1, 60);
   w.probe("too_many", [](World& x) -> std::optional<std::string> {
@@ -90,7 +93,7 @@
     return "it runs";
   });
   auto r = w.run();
-  EXPECT_EQ(r.broken["too_many"], 1) << r.first;
+  EXPECT_EQ(r.violations["too_many"], 1) << r.first_violation;
 }
 
 }  // namespace
--- a/tests/meetings_store_test.cpp
+++ b/tests/state_view_ordering_test.cpp
@@ -1,5 +1,5 @@
-// Meetings of troubles at the view of the state store: answers that are lost or come late, while others
-// read and write. See docs/meetings.md.
+// The view of the state store when responses are lost or come late while others read and write. See
+// docs/concurrent-faults.md.
 #include <gtest/gtest.h>
 
 #include "state_store/state_view.h"
@@ -11,8 +11,8 @@
 using protocol::Json;
 
 const JobId kJob("run-1");
-const ShardId kPart(0);
-const ControllerName kNode("n0");
+const ShardId kShard(0);
+const ControllerName kController("n0");
 
 Json job() {
   protocol::JobSpec s;
@@ -25,7 +25,7 @@
 }
 Json grants() {
   return to_json(
-      Grants{{{Generation(1), kPart, Term(1), Ranges::span(0, 4), std::nullopt, false, {}}}, Generation(1)});
+      Grants{{{Generation(1), kShard, Term(1), Ranges::span(0, 4), std::nullopt, false, {}}}, Generation(1)});
 }
 Json machines() {
   return to_json(std::vector<MachineRecord>{{MachineName("m"), MachineType("t"), Zone("z")}});
@@ -49,22 +49,23 @@
       {"job", job_key(kJob), job(), [](const StateView& v) { return v.job(kJob) != nullptr; }},
       {"grants", grants_key(kJob), grants(),
        [](const StateView& v) { return v.jobs().contains(kJob) && v.jobs().at(kJob).grants.exists(); }},
-      {"progress", progress_key(kPart, kJob), to_json(Progress{Ranges::span(0, 1), {}}),
+      {"progress", progress_key(kShard, kJob), to_json(Progress{Ranges::span(0, 1), {}}),
        [](const StateView& v) { return v.jobs().contains(kJob) && !v.jobs().at(kJob).progress.empty(); }},
-      {"registry", machines_key(kPart, 3), machines(),
-       [](const StateView& v) { return v.machines(kPart, 3).exists(); }},
-      {"presence", alive_key(kNode), Json{{"up", true}}, [](const StateView& v) { return v.alive(kNode); }},
+      {"registry", machines_key(kShard, 3), machines(),
+       [](const StateView& v) { return v.machines(kShard, 3).exists(); }},
+      {"liveness", alive_key(kController), Json{{"up", true}},
+       [](const StateView& v) { return v.alive(kController); }},
   };
 }
 
-// "A transaction is carried out at once and only its answer is lost, while other controllers read what it
-// wrote", and its writer, that hears of it late: a read has seen the key come and go by then.
-TEST(LateAnswer, NeverBringsBackWhatAReadHasSeenDeleted) {
+// A transaction is carried out at once and only its response is lost, while other controllers read what it
+// wrote. Its writer learns of it late: a read has seen the key written and deleted by then.
+TEST(LateResponse, NeverRestoresAKeyThatAReadHasSeenDeleted) {
   for (const auto& k : kinds()) {
     StateView v;
     v.apply_all({set(k.key, k.value, 10), drop(k.key, 12)});
     v.complete_to(Revision(12));
-    v.apply(set(k.key, k.value, 10));  // the writer's own answer
+    v.apply(set(k.key, k.value, 10));  // the writer's own response
     EXPECT_FALSE(k.held(v)) << k.what;
     // What is newer counts, whoever brings it.
     v.apply(set(k.key, k.value, 13));
@@ -73,14 +74,14 @@
 }
 
 // The protocol's own example lists a deletion after a change of a later revision.
-TEST(ListOfChanges, MayComeInAnyOrder) {
+TEST(ChangeList, MayComeInAnyOrder) {
   for (const auto& k : kinds()) {
     for (bool backwards : {false, true}) {
-      std::vector<Change> gone{set(k.key, k.value, 10), drop(k.key, 12)};
+      std::vector<Change> deleted{set(k.key, k.value, 10), drop(k.key, 12)};
       std::vector<Change> back{drop(k.key, 10), set(k.key, k.value, 12)};
-      if (backwards) std::reverse(gone.begin(), gone.end()), std::reverse(back.begin(), back.end());
+      if (backwards) std::reverse(deleted.begin(), deleted.end()), std::reverse(back.begin(), back.end());
       StateView v;
-      v.apply_all(gone);
+      v.apply_all(deleted);
       EXPECT_FALSE(k.held(v)) << k.what << backwards;
       StateView w;
       w.apply(set(k.key, k.value, 5));
@@ -90,26 +91,26 @@
   }
 }
 
-// A load anew, after more changes than the state store keeps: what was dropped meanwhile is gone through by
-// leader and owners like every other change.
-TEST(LoadAnew, WhatDoesNotComeBackIsTouched) {
+// A reload, after more changes than the state store keeps: what was dropped meanwhile is handled by
+// leader and shard leaders like every other change.
+TEST(Reload, KeysThatAreNotReloadedAreReportedAsChanged) {
   StateView v;
   for (const auto& k : kinds()) v.apply(set(k.key, k.value, 10));
   v.complete_to(Revision(10));
   v.take_changes();
   v.clear();
-  auto touched = v.take_changes();
-  EXPECT_TRUE(touched.jobs.contains(kJob));
-  EXPECT_TRUE(touched.machines.contains(kPart));
-  EXPECT_TRUE(touched.roles);
+  auto changes = v.take_changes();
+  EXPECT_TRUE(changes.jobs.contains(kJob));
+  EXPECT_TRUE(changes.machines.contains(kShard));
+  EXPECT_TRUE(changes.roles);
   // The load's pages hold older versions than what was known before.
   v.apply(set(job_key(kJob), job(), 8));
   EXPECT_NE(v.job(kJob), nullptr);
 }
 
-// Users ask at all controllers within milliseconds: an end stands whatever arrives afterwards, in any order,
-// also once the job's other keys were dropped.
-TEST(CloseLooks, AnEndStandsWhateverArrivesAfterwards) {
+// Users query all controllers within milliseconds: a terminal state stands whatever arrives afterwards, in
+// any order, also once the job's other keys were dropped.
+TEST(TerminalState, StandsWhateverArrivesAfterwards) {
   const std::vector<Change> changes{
       set(job_key(kJob), job(), 10), set(grants_key(kJob), grants(), 11),
       set(terminal_key(kJob), to_json(TerminalRecord{TerminalState::kCancelled, 0}), 12),
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -271,7 +271,7 @@
 TEST(WatchCache, KnowsWhetherItsQuestionsAreAnswered) {
   struct Case {
     const char* what;
-    std::function<void(standin::State&, bool)> fail;
+    std::function<void(fakes::StateStore&, bool)> fail;
   };
   const Case cases[] = {
       {"an outage", [](auto& s, bool on) { s.down = on; }},
--- a/tests/store_world.h
+++ b/tests/store_world.h
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "base/log.h"
-#include "standins.h"
+#include "fakes/state_store.h"
 #include "state_store/watch_cache.h"
 
 namespace beaconsill {
@@ -36,7 +36,7 @@
 
   asio::io_context io;
   SystemClock clock;
-  standin::State state;
+  fakes::StateStore state;
   std::shared_ptr<state_store::StoreClient> client;
   std::shared_ptr<state_store::WatchCache> watch_cache;
 };
