--- a/tests/api_concurrent_faults_test.cpp
+++ b/tests/api_concurrent_faults_test.cpp
@@ -9,14 +9,14 @@
 namespace beaconsill {
 namespace {
 
-using standin::Json;
-using Trouble = standin::State::Trouble;
+using fakes::Json;
+using Trouble = fakes::StateStore::RequestFault;
 
 std::string job(const std::string& id) {
   return job_json(id, "batch", 4, "standard");
 }
 
-bool writes(const standin::Request& request, std::string_view key) {
+bool writes(const fakes::Request& request, std::string_view key) {
   if (request.path != "/txn") return false;
   auto txn = Json::parse(request.body);
   return std::any_of(txn["writes"].begin(), txn["writes"].end(),
@@ -82,11 +82,11 @@
   ASSERT_TRUE(viewer.ready);
   ASSERT_TRUE(viewer.read_to(viewer.state.revision()));
   viewer.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
-  viewer.state.trouble = [](const standin::Request& request) {
+  viewer.state.fault = [](const fakes::Request& request) {
     return request.path == "/watch" ? Trouble::kAnswerKept : Trouble::kNone;
   };
   ASSERT_TRUE(viewer.run_until([&] { return viewer.state.kept() > 0; }));
-  viewer.state.trouble = nullptr;
+  viewer.state.fault = nullptr;
   viewer.state.remove(state_store::job_key(kJob));
   protocol::Txn own;
   own.writes = {{state_store::job_key(kJob), std::nullopt, std::nullopt}};
@@ -97,7 +97,7 @@
   EXPECT_EQ(viewer.watch_cache->view().job(kJob), nullptr);
 }
 
-config::Settings api_settings(const standin::State& state, const standin::Cloud& cloud) {
+config::Settings api_settings(const fakes::StateStore& state, const fakes::Cloud& cloud) {
   auto settings = controller_settings(state, cloud, 0);
   settings.zone = Zone("east");
   settings.zones = {Zone("east")};
@@ -148,7 +148,7 @@
   for (auto end : {state_store::TerminalState::kDone, state_store::TerminalState::kCancelled}) {
     Users users;
     ASSERT_TRUE(users.ready);
-    users.state.trouble = [](const standin::Request& request) {
+    users.state.fault = [](const fakes::Request& request) {
       return writes(request, "beaconsill/jobs/") ? Trouble::kAnswerKept : Trouble::kNone;
     };
     auto answer = users.send("POST", "/v1/jobs", job("run-000001"));
@@ -248,7 +248,7 @@
   ASSERT_TRUE(users.ready);
   users.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
   ASSERT_TRUE(users.read_to(users.state.revision()));
-  users.state.trouble = [](const standin::Request& request) {
+  users.state.fault = [](const fakes::Request& request) {
     return writes(request, "beaconsill/ends/") ? Trouble::kAnswerKept : Trouble::kNone;
   };
   auto answer = users.send("POST", "/v1/jobs/run-000001/withdraw");
--- a/tests/controller_concurrent_faults_test.cpp
+++ b/tests/controller_concurrent_faults_test.cpp
@@ -9,8 +9,8 @@
 namespace beaconsill {
 namespace {
 
-using standin::Json;
-using Trouble = standin::State::Trouble;
+using fakes::Json;
+using Trouble = fakes::StateStore::RequestFault;
 
 constexpr double kQuotaCpus = 4;  // of the team
 
@@ -18,7 +18,7 @@
   return job_json(id, "batch", 4, priority);
 }
 
-bool writes(const standin::Request& request, std::string_view key) {
+bool writes(const fakes::Request& request, std::string_view key) {
   if (request.path != "/txn") return false;
   auto txn = Json::parse(request.body);
   return std::any_of(txn["writes"].begin(), txn["writes"].end(),
@@ -32,17 +32,17 @@
     settings.zone = Zone("east");
     settings.zones = {Zone("east")};
     settings.teams = {{Team("blue"), 0, kQuotaCpus, 0, 0}};
-    net::Tcp::acceptor users(io, standin::any_port()), peers(io, standin::any_port());
+    net::Tcp::acceptor users(io, fakes::any_port()), peers(io, fakes::any_port());
     endpoint = users.local_endpoint();
-    settings.listen = standin::text(endpoint);
-    settings.peer_listen = standin::text(peers.local_endpoint());
+    settings.listen = fakes::text(endpoint);
+    settings.peer_listen = fakes::text(peers.local_endpoint());
     users.close();
     peers.close();
     controller = std::make_unique<controller::Controller>(io, clock, settings,
                                                           config::parse_policy("", "test", settings));
     controller->start();
     for (const char* name : {"host-0", "host-1"}) {
-      workers.push_back(std::make_unique<standin::Worker>(io, name, "east", std::vector{endpoint},
+      workers.push_back(std::make_unique<fakes::Worker>(io, name, "east", std::vector{endpoint},
                                                           std::vector<std::string>{"n0"}));
       workers.back()->run_reports = 1000000;
     }
@@ -67,7 +67,7 @@
 
   net::Tcp::endpoint endpoint;
   std::unique_ptr<controller::Controller> controller;
-  std::vector<std::unique_ptr<standin::Worker>> workers;
+  std::vector<std::unique_ptr<fakes::Worker>> workers;
 };
 
 // Grants get no answer, and the next round gives what is left of the team's quota to another job. Carried out
@@ -75,7 +75,7 @@
 TEST(ConcurrentFaults, GrantsThatAreCarriedOutLateDoNotExceedTheQuota) {
   OneController cluster;
   ASSERT_TRUE(cluster.wait_until_healthy());
-  cluster.state.trouble = [&](const standin::Request& request) {
+  cluster.state.fault = [&](const fakes::Request& request) {
     return writes(request, "beaconsill/grants/run-000001") && cluster.state.late() == 0 ? Trouble::kLate
                                                                                         : Trouble::kNone;
   };
@@ -84,7 +84,7 @@
   ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000002", "production")), 201);
   ASSERT_TRUE(cluster.run_until([&] { return cluster.state.keys.contains("beaconsill/grants/run-000002"); }));
   ASSERT_TRUE(cluster.run_until([&] { return cluster.started() == 4; }));
-  cluster.state.trouble = nullptr;
+  cluster.state.fault = nullptr;
   for (int status : cluster.state.carry_out_late()) EXPECT_EQ(status, 409);
   cluster.run_for(std::chrono::milliseconds(1500));
   auto superseded = cluster.state.keys.find("beaconsill/grants/run-000001");
@@ -99,7 +99,7 @@
   OneController cluster;
   ASSERT_TRUE(cluster.wait_until_healthy());
   int lost = 0;
-  cluster.state.trouble = [&](const standin::Request& request) {
+  cluster.state.fault = [&](const fakes::Request& request) {
     if (!writes(request, "beaconsill/grants/") || lost > 0) return Trouble::kNone;
     ++lost;
     return Trouble::kAnswerKept;
@@ -119,7 +119,7 @@
     OneController cluster;
     ASSERT_TRUE(cluster.wait_until_healthy());
     int writes_of_first = 0;
-    cluster.state.trouble = [&](const standin::Request& request) {
+    cluster.state.fault = [&](const fakes::Request& request) {
       if (!writes(request, "beaconsill/grants/run-000001") || ++writes_of_first > 2) return Trouble::kNone;
       return writes_of_first == 2 && carried_out ? Trouble::kAnswerKept : Trouble::kLate;
     };
--- a/tests/controller_end_to_end_test.cpp
+++ b/tests/controller_end_to_end_test.cpp
@@ -7,7 +7,7 @@
 namespace beaconsill {
 namespace {
 
-using standin::Json;
+using fakes::Json;
 
 struct TwoControllersSettings {
   double lease_s = 5;
@@ -20,13 +20,13 @@
   explicit TwoControllers(TwoControllersSettings fixture_settings = {}) : settings(fixture_settings) {
     // Ports that are free now; the controllers bind them a moment later.
     for (int i = 0; i < 4; ++i) {
-      net::Tcp::acceptor acceptor(io, standin::any_port());
+      net::Tcp::acceptor acceptor(io, fakes::any_port());
       ports.push_back(acceptor.local_endpoint());
     }
     controllers.resize(2);
     for (std::size_t i = 0; i < 2; ++i) start(i);
     for (std::size_t i = 0; i < 2; ++i)
-      workers.push_back(std::make_unique<standin::Worker>(
+      workers.push_back(std::make_unique<fakes::Worker>(
           io, "host-" + std::to_string(i), i ? "west" : "east", std::vector{ports[0], ports[2]},
           std::vector<std::string>{"n0", "n1"}));
   }
@@ -39,10 +39,10 @@
   void start(std::size_t i) {
     auto s = controller_settings(state, cloud, i);
     s.zone = Zone(i ? "west" : "east");
-    s.listen = standin::text(ports[2 * i]);
-    s.peer_listen = standin::text(ports[2 * i + 1]);
+    s.listen = fakes::text(ports[2 * i]);
+    s.peer_listen = fakes::text(ports[2 * i + 1]);
     s.peers = {{ControllerName("n" + std::to_string(1 - i)), Zone(i ? "east" : "west"),
-                standin::text(ports[2 * (1 - i) + 1])}};
+                fakes::text(ports[2 * (1 - i) + 1])}};
     s.zones = {Zone("east"), Zone("west")};
     s.teams = {{Team("blue"), 0, 0, 0, 0}};
     s.lease_s = settings.lease_s;
@@ -121,7 +121,7 @@
   TwoControllersSettings settings;
   std::vector<net::Tcp::endpoint> ports;
   std::vector<std::unique_ptr<controller::Controller>> controllers;
-  std::vector<std::unique_ptr<standin::Worker>> workers;
+  std::vector<std::unique_ptr<fakes::Worker>> workers;
 };
 
 TEST(EndToEnd, RunsAnArrayOnBothShardsAndKeepsItsTerminalState) {
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -13,18 +13,20 @@
 #include "base/log.h"
 #include "config/settings.h"
 #include "net/http_client.h"
-#include "standins.h"
+#include "fakes/cloud.h"
+#include "fakes/state_store.h"
+#include "fakes/worker.h"
 
 namespace beaconsill {
 
 // Settings of controller `n<number>`, which reaches the state store by its own endpoint of the fake.
 // Addresses to listen on, peers, zones and teams are left to the caller.
-inline config::Settings controller_settings(const standin::State& state, const standin::Cloud& cloud,
+inline config::Settings controller_settings(const fakes::StateStore& state, const fakes::Cloud& cloud,
                                             std::size_t number) {
   config::Settings settings;
   settings.controller = ControllerName("n" + std::to_string(number));
-  settings.cloud = standin::text(cloud.server->local());
-  settings.state = standin::text(state.doors[number]->local());
+  settings.cloud = fakes::text(cloud.server->local());
+  settings.state = fakes::text(state.doors[number]->local());
   settings.report_s = 0.2;
   settings.lease_s = 5;
   settings.cancel_s = 20;
@@ -42,7 +44,7 @@
 
 // A submission as users send it. `kind`: batch or daemon.
 inline std::string job_json(const std::string& id, const char* kind, int tasks, const char* priority) {
-  return standin::Json{{"ref", id},
+  return fakes::Json{{"ref", id},
                        {"berth", "c"},
                        {"crew", "blue"},
                        {"shape", kind},
@@ -65,7 +67,7 @@
 struct HttpAnswer {
   int status = 0;  // 0: there was none
   std::optional<int> retry_after_s;
-  standin::Json body;
+  fakes::Json body;
 };
 
 // An event loop with the fakes of state store and cloud. What derives from it stops its own components in its
@@ -93,7 +95,7 @@
     auto client = std::make_shared<net::HttpClient>(io, to, 1);
     std::optional<HttpAnswer> answer;
     client->request(method, path, body, std::chrono::seconds(5), [&](net::Result result) {
-      answer = {result.status, result.retry_after_s, standin::Json::parse(result.body, nullptr, false)};
+      answer = {result.status, result.retry_after_s, fakes::Json::parse(result.body, nullptr, false)};
     });
     EXPECT_TRUE(run_until([&] { return answer.has_value(); })) << path;
     client->stop();
@@ -102,8 +104,8 @@
 
   asio::io_context io;
   SystemClock clock;
-  standin::State state;
-  standin::Cloud cloud;
+  fakes::StateStore state;
+  fakes::Cloud cloud;
 };
 
 }  // namespace beaconsill
