--- a/src/protocol/api.cpp
+++ b/src/protocol/api.cpp
@@ -3,147 +3,140 @@
 #include <algorithm>
 #include <charconv>
 #include <set>
+#include <utility>
+
+#include "protocol/field_names.h"
+#include "protocol/named_values.h"
 
 namespace beaconsill::protocol {
 namespace {
 
 constexpr std::string_view kIdPrefix = "run-";
+constexpr std::size_t kMaxIdBytes = 32;
 
-JobKind parse_kind(const std::string& s) {
-  if (s == "batch") return JobKind::kArray;
-  if (s == "group") return JobKind::kGang;
-  if (s == "daemon") return JobKind::kService;
-  throw ProtocolError("shape is unknown");
-}
-
-const char* kind_name(JobKind k) {
-  switch (k) {
-    case JobKind::kArray:
-      return "batch";
-    case JobKind::kGang:
-      return "group";
-    case JobKind::kService:
-      return "daemon";
-  }
-  return "batch";
-}
-
-Priority parse_priority(const std::string& s) {
-  if (s == "production") return Priority::kProduction;
-  if (s == "high") return Priority::kHigh;
-  if (s == "standard") return Priority::kNormal;
-  if (s == "best_effort") return Priority::kLow;
-  throw ProtocolError("precedence is unknown");
-}
-
-const char* priority_name(Priority p) {
-  switch (p) {
-    case Priority::kProduction:
-      return "production";
-    case Priority::kHigh:
-      return "high";
-    case Priority::kNormal:
-      return "standard";
-    case Priority::kLow:
-      return "best_effort";
-  }
-  return "standard";
-}
-
-const char* state_name(JobState s) {
-  switch (s) {
-    case JobState::kQueued:
-      return "queued";
-    case JobState::kRunning:
-      return "running";
-    case JobState::kDone:
-      return "done";
-    case JobState::kCancelled:
-      return "withdrawn";
+constexpr NamedValue<JobKind> kJobKinds[] = {
+    {JobKind::kArray, "batch"}, {JobKind::kGang, "group"}, {JobKind::kService, "daemon"}};
+
+constexpr NamedValue<Priority> kPriorityNames[] = {{Priority::kNormal, "standard"},
+                                                   {Priority::kProduction, "production"},
+                                                   {Priority::kHigh, "high"},
+                                                   {Priority::kLow, "best_effort"}};
+
+constexpr NamedValue<JobState> kJobStates[] = {{JobState::kQueued, "queued"},
+                                               {JobState::kRunning, "running"},
+                                               {JobState::kDone, "done"},
+                                               {JobState::kCancelled, "withdrawn"}};
+
+template <class Enum, std::size_t Size>
+Enum parse_named(const NamedValue<Enum> (&table)[Size], const Json& json, const char* field) {
+  const auto value = find_value(table, get_string(json, field));
+  if (!value) throw field_error(field, "is unknown");
+  return *value;
+}
+
+std::uint32_t parse_task_count(const Json& json) {
+  const auto tasks = get_count(json, field::kTasks);
+  if (tasks < 1 || tasks > kMaxTasks) throw field_error(field::kTasks, "is out of range");
+  return static_cast<std::uint32_t>(tasks);
+}
+
+std::vector<MachineType> parse_types(const Json& list) {
+  if (!list.is_array()) throw field_error(field::kMachineTypes, "is not a list");
+  std::vector<MachineType> types;
+  for (const Json& name : list) {
+    if (!name.is_string()) throw field_error(field::kMachineTypes, "holds something other than a name");
+    types.emplace_back(name.get<std::string>());
   }
-  return "queued";
+  return types;
 }
 
 std::vector<JobId> parse_dependencies(const Json& list, const JobId& job) {
   auto depends_on = parse_job_ids(list);
   std::set<JobId> names{job};
   for (const auto& dependency : depends_on) {
-    if (dependency == job) throw ProtocolError("awaits names the job itself");
-    if (!names.insert(dependency).second) throw ProtocolError("awaits names a job twice");
+    if (dependency == job) throw field_error(field::kDependsOn, "names the job itself");
+    if (!names.insert(dependency).second) throw field_error(field::kDependsOn, "names a job twice");
   }
   return depends_on;
 }
 
+// What a task needs, and how long it takes.
+void parse_task(const Json& json, JobSpec& spec) {
+  spec.each = {get_amount(json, field::kCpus), get_amount(json, field::kGpus),
+               get_amount(json, field::kMemoryGb)};
+  spec.image = ImageName(get_string(json, field::kImage));
+  spec.image_gb = get_amount(json, field::kImageGb);
+}
+
+// Where the tasks may run.
+void parse_constraints(const Json& json, JobSpec& spec) {
+  if (const Json* types = find(json, field::kMachineTypes)) spec.types = parse_types(*types);
+  if (find(json, field::kZone)) spec.zone = Zone(get_string(json, field::kZone));
+  spec.one_zone = get_bool(json, field::kOneZone);
+  spec.spread = get_bool(json, field::kSpread);
+  spec.spot = get_bool(json, field::kSpot);
+}
+
+void parse_times(const Json& json, JobSpec& spec) {
+  spec.estimate_s = get_amount(json, field::kEstimateS);
+  spec.checkpoint_s = get_amount(json, field::kCheckpointS);
+  spec.save_s = get_amount(json, field::kSaveS);
+  if (find(json, field::kDeadlineS)) spec.deadline_s = get_amount(json, field::kDeadlineS);
+}
+
 }  // namespace
 
 bool valid_job_id(std::string_view id) {
-  if (!id.starts_with(kIdPrefix) || id.size() > 32) return false;
-  auto digits = id.substr(kIdPrefix.size());
+  if (!id.starts_with(kIdPrefix) || id.size() > kMaxIdBytes) return false;
+  const auto digits = id.substr(kIdPrefix.size());
   return !digits.empty() &&
-         std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
-}
-
-JobSpec parse_job(const Json& j) {
-  JobSpec s;
-  s.id = JobId(get_string(j, "ref"));
-  if (!valid_job_id(s.id.value())) throw ProtocolError("ref is not a job id");
-  s.job_class = get_string(j, "berth");
-  s.team = Team(get_string(j, "crew"));
-  s.kind = parse_kind(get_string(j, "shape"));
-  s.priority = parse_priority(get_string(j, "precedence"));
-  auto tasks = get_count(j, "lamps");
-  if (tasks < 1 || tasks > kMaxTasks) throw ProtocolError("lamps is out of range");
-  s.tasks = static_cast<std::uint32_t>(tasks);
-  s.each = {get_amount(j, "vcpus"), get_amount(j, "cards"), get_amount(j, "memoryGb")};
-  s.image = ImageName(get_string(j, "cargo"));
-  s.image_gb = get_amount(j, "sizeGb");
-  if (const Json* types = find(j, "hulls")) {
-    if (!types->is_array()) throw ProtocolError("hulls is not a list");
-    s.types.emplace();
-    for (const Json& t : *types) {
-      if (!t.is_string()) throw ProtocolError("hulls holds something other than a name");
-      s.types->emplace_back(t.get<std::string>());
-    }
-  }
-  if (find(j, "harbour")) s.zone = Zone(get_string(j, "harbour"));
-  s.one_zone = get_bool(j, "together");
-  s.spread = get_bool(j, "scatter");
-  s.spot = get_bool(j, "driftwood");
-  s.estimate_s = get_amount(j, "reckonS");
-  s.checkpoint_s = get_amount(j, "markS");
-  s.save_s = get_amount(j, "stowS");
-  if (find(j, "tideS")) s.deadline_s = get_amount(j, "tideS");
-  if (const Json* depends_on = find(j, "awaits")) s.depends_on = parse_dependencies(*depends_on, s.id);
-  return s;
-}
-
-Json job_to_json(const JobSpec& s) {
-  Json j{{"ref", s.id.value()},
-         {"berth", s.job_class},
-         {"crew", s.team.value()},
-         {"shape", kind_name(s.kind)},
-         {"precedence", priority_name(s.priority)},
-         {"lamps", s.tasks},
-         {"vcpus", s.each.cpus},
-         {"cards", s.each.gpus},
-         {"memoryGb", s.each.memory_gb},
-         {"cargo", s.image.value()},
-         {"sizeGb", s.image_gb},
-         {"together", s.one_zone},
-         {"scatter", s.spread},
-         {"driftwood", s.spot},
-         {"reckonS", s.estimate_s},
-         {"markS", s.checkpoint_s},
-         {"stowS", s.save_s}};
-  if (s.types) {
+         std::all_of(digits.begin(), digits.end(), [](char digit) { return digit >= '0' && digit <= '9'; });
+}
+
+JobSpec parse_job(const Json& json) {
+  JobSpec spec;
+  spec.id = JobId(get_string(json, field::kId));
+  if (!valid_job_id(spec.id.value())) throw field_error(field::kId, "is not a job id");
+  spec.job_class = get_string(json, field::kJobClass);
+  spec.team = Team(get_string(json, field::kTeam));
+  spec.kind = parse_named(kJobKinds, json, field::kJobKind);
+  spec.priority = parse_named(kPriorityNames, json, field::kPriority);
+  spec.tasks = parse_task_count(json);
+  parse_task(json, spec);
+  parse_constraints(json, spec);
+  parse_times(json, spec);
+  if (const Json* depends_on = find(json, field::kDependsOn))
+    spec.depends_on = parse_dependencies(*depends_on, spec.id);
+  return spec;
+}
+
+Json job_to_json(const JobSpec& spec) {
+  Json json{{field::kId, spec.id.value()},
+            {field::kJobClass, spec.job_class},
+            {field::kTeam, spec.team.value()},
+            {field::kJobKind, find_name(kJobKinds, spec.kind)},
+            {field::kPriority, find_name(kPriorityNames, spec.priority)},
+            {field::kTasks, spec.tasks},
+            {field::kCpus, spec.each.cpus},
+            {field::kGpus, spec.each.gpus},
+            {field::kMemoryGb, spec.each.memory_gb},
+            {field::kImage, spec.image.value()},
+            {field::kImageGb, spec.image_gb},
+            {field::kOneZone, spec.one_zone},
+            {field::kSpread, spec.spread},
+            {field::kSpot, spec.spot},
+            {field::kEstimateS, spec.estimate_s},
+            {field::kCheckpointS, spec.checkpoint_s},
+            {field::kSaveS, spec.save_s}};
+  if (spec.types) {
     Json list = Json::array();
-    for (const auto& t : *s.types) list.push_back(t.value());
-    j["hulls"] = std::move(list);
+    for (const auto& type : *spec.types) list.push_back(type.value());
+    json[field::kMachineTypes] = std::move(list);
   }
-  if (s.zone) j["harbour"] = s.zone->value();
-  if (s.deadline_s) j["tideS"] = *s.deadline_s;
-  if (!s.depends_on.empty()) j["awaits"] = job_ids_to_json(s.depends_on);
-  return j;
+  if (spec.zone) json[field::kZone] = spec.zone->value();
+  if (spec.deadline_s) json[field::kDeadlineS] = *spec.deadline_s;
+  if (!spec.depends_on.empty()) json[field::kDependsOn] = job_ids_to_json(spec.depends_on);
+  return json;
 }
 
 Json job_ids_to_json(const std::vector<JobId>& ids) {
@@ -153,36 +146,39 @@
 }
 
 std::vector<JobId> parse_job_ids(const Json& list) {
-  if (!list.is_array()) throw ProtocolError("awaits is not a list");
+  if (!list.is_array()) throw field_error(field::kDependsOn, "is not a list");
   std::vector<JobId> ids;
   for (const Json& name : list) {
     if (!name.is_string() || !valid_job_id(name.get_ref<const std::string&>()))
-      throw ProtocolError("awaits holds something other than a job id");
+      throw field_error(field::kDependsOn, "holds something other than a job id");
     ids.emplace_back(name.get<std::string>());
   }
   return ids;
 }
 
 std::string render_accepted(const JobId& id, JobState state) {
-  return dump(Json{{"ref", id.value()}, {"bearing", state_name(state)}});
+  return dump(Json{{field::kId, id.value()}, {field::kState, find_name(kJobStates, state)}});
 }
 
 std::string render_status(const JobId& id, JobState state, std::uint32_t done, std::uint32_t running) {
-  return dump(
-      Json{{"ref", id.value()}, {"bearing", state_name(state)}, {"done", done}, {"running", running}});
+  return dump(Json{{field::kId, id.value()},
+                   {field::kState, find_name(kJobStates, state)},
+                   {field::kDone, done},
+                   {field::kRunning, running}});
 }
 
 std::string render_error(std::string_view reason) {
-  return dump(Json{{"error", reason}});
+  return dump(Json{{field::kError, reason}});
 }
 
 std::optional<TaskId> parse_task_id(std::string_view text) {
-  auto slash = text.find('/');
+  const auto slash = text.find('/');
   if (slash == std::string_view::npos || !valid_job_id(text.substr(0, slash))) return std::nullopt;
-  std::uint32_t n = 0;
-  auto [p, ec] = std::from_chars(text.data() + slash + 1, text.data() + text.size(), n);
-  if (ec != std::errc() || p != text.data() + text.size()) return std::nullopt;
-  return TaskId{JobId(std::string(text.substr(0, slash))), n};
+  std::uint32_t index = 0;
+  const char* end = text.data() + text.size();
+  auto [parsed_to, ec] = std::from_chars(text.data() + slash + 1, end, index);
+  if (ec != std::errc() || parsed_to != end) return std::nullopt;
+  return TaskId{JobId(std::string(text.substr(0, slash))), index};
 }
 
 std::string task_name(const TaskId& id) {
--- a/src/protocol/api.h
+++ b/src/protocol/api.h
@@ -1,8 +1,10 @@
-// What users and the service say to each other.
+// The users' protocol: jobs, their status and errors.
 #pragma once
 
+#include <cstdint>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "base/types.h"
@@ -10,6 +12,7 @@
 
 namespace beaconsill::protocol {
 
+// A job as its user submits it.
 struct JobSpec {
   JobId id;
   std::string job_class;
@@ -17,38 +20,39 @@
   JobKind kind = JobKind::kArray;
   Priority priority = Priority::kNormal;
   std::uint32_t tasks = 0;
-  Resources each;
+  Resources each;  // of a task
   ImageName image;
   double image_gb = 0;
-  std::optional<std::vector<MachineType>> types;
-  std::optional<Zone> zone;
-  bool one_zone = false;
-  bool spread = false;
-  bool spot = false;
-  double estimate_s = 0;
-  double checkpoint_s = 0;
-  double save_s = 0;
+  std::optional<std::vector<MachineType>> types;  // none: any
+  std::optional<Zone> zone;                       // none: any
+  bool one_zone = false;                          // all tasks in the same zone
+  bool spread = false;                            // at most half of the tasks in one zone
+  bool spot = false;                              // may run on spot machines
+  double estimate_s = 0;                          // expected run time of a task
+  double checkpoint_s = 0;                        // between two checkpoints; 0: none
+  double save_s = 0;                              // to save a checkpoint when stopped
   std::optional<double> deadline_s;
   std::vector<JobId> depends_on;  // jobs that have to be done before any task of this one starts
 };
 
 constexpr std::uint32_t kMaxTasks = 100'000;
 
-// The form that every job id has.
+// Whether a text has the form of a job id.
 bool valid_job_id(std::string_view id);
 // Throws ProtocolError.
-JobSpec parse_job(const Json& j);
+JobSpec parse_job(const Json& json);
 Json job_to_json(const JobSpec& spec);
-// Of ids as `awaits` holds them. Parser: ProtocolError.
+// A list of job ids, as a job holds its dependencies. The parser throws ProtocolError.
 Json job_ids_to_json(const std::vector<JobId>& ids);
 std::vector<JobId> parse_job_ids(const Json& list);
 
 enum class JobState { kQueued, kRunning, kDone, kCancelled };
 std::string render_accepted(const JobId& id, JobState state);
+// `done`, `running`: numbers of tasks.
 std::string render_status(const JobId& id, JobState state, std::uint32_t done, std::uint32_t running);
 std::string render_error(std::string_view reason);
 
-// Task names are JOB/NUMBER.
+// Tasks are named JOB/NUMBER. None: the text is no such name.
 std::optional<TaskId> parse_task_id(std::string_view text);
 std::string task_name(const TaskId& id);
 
--- a/src/protocol/cloud.cpp
+++ b/src/protocol/cloud.cpp
@@ -1,82 +1,96 @@
 #include "protocol/cloud.h"
 
+#include <utility>
+
+#include "protocol/field_names.h"
+
 namespace beaconsill::protocol {
+namespace {
 
-Catalogue parse_catalogue(const Json& j) {
-  Catalogue c;
-  const Json& list = need(j, "hulls");
-  if (!list.is_array()) throw ProtocolError("hulls is not a list");
-  for (const Json& e : list) {
-    TypeInfo t;
-    t.name = MachineType(get_string(e, "sku"));
-    t.total = {get_amount(e, "vcpus"), get_amount(e, "cards"), get_amount(e, "memoryGb")};
-    t.cache_gb = get_amount(e, "localGb");
-    t.fetch_gb_per_s = get_amount(e, "pullGbPerS");
-    t.price = get_amount(e, "hourly");
-    t.spot_price = get_amount(e, "lowPrice");
-    t.boot_s = get_amount(e, "readyS");
-    const Json& zones = need(e, "harbours");
-    if (!zones.is_array()) throw ProtocolError("harbours is not a list");
-    for (const Json& z : zones) {
-      if (!z.is_string()) throw ProtocolError("harbours holds something other than a name");
-      t.zones.emplace_back(z.get<std::string>());
-    }
-    c[t.name] = std::move(t);
-  }
-  return c;
+constexpr char kBooting[] = "starting";
+constexpr char kRunning[] = "running";
+
+std::string get_name(const Json& json, const char* field) {
+  if (!json.is_string()) throw field_error(field, "holds something other than a name");
+  return json.get<std::string>();
+}
+
+TypeInfo parse_type(const Json& json) {
+  TypeInfo type;
+  type.name = MachineType(get_string(json, field::kTypeName));
+  type.total = {get_amount(json, field::kCpus), get_amount(json, field::kGpus),
+                get_amount(json, field::kMemoryGb)};
+  type.cache_gb = get_amount(json, field::kCacheGb);
+  type.fetch_gb_per_s = get_amount(json, field::kFetchGbPerS);
+  type.price = get_amount(json, field::kPrice);
+  type.spot_price = get_amount(json, field::kSpotPrice);
+  type.boot_s = get_amount(json, field::kBootS);
+  for (const Json& zone : get_list(json, field::kZones))
+    type.zones.emplace_back(get_name(zone, field::kZones));
+  return type;
+}
+
+MachineState parse_state(const std::string& name) {
+  if (name == kBooting) return MachineState::kBooting;
+  return name == kRunning ? MachineState::kRunning : MachineState::kFailed;
+}
+
+ListedMachine parse_machine(const Json& json) {
+  ListedMachine machine;
+  machine.name = MachineName(get_string(json, field::kId));
+  if (find(json, field::kAddress)) machine.address = get_string(json, field::kAddress);
+  machine.type = MachineType(get_string(json, field::kMachineType));
+  machine.zone = Zone(get_string(json, field::kZone));
+  machine.spot = get_bool(json, field::kSpot);
+  machine.state = parse_state(get_string(json, field::kState));
+  machine.age_s = get_amount(json, field::kAgeS);
+  return machine;
 }
 
-MachinePage parse_machine_page(const Json& j) {
-  MachinePage p;
-  const Json& list = need(j, "beacons");
-  if (!list.is_array()) throw ProtocolError("beacons is not a list");
-  for (const Json& e : list) {
-    ListedMachine m;
-    m.name = MachineName(get_string(e, "ref"));
-    if (find(e, "address")) m.address = get_string(e, "address");
-    m.type = MachineType(get_string(e, "hull"));
-    m.zone = Zone(get_string(e, "harbour"));
-    m.spot = get_bool(e, "driftwood");
-    auto state = get_string(e, "bearing");
-    m.state = state == "starting"  ? MachineState::kBooting
-              : state == "running" ? MachineState::kRunning
-                                   : MachineState::kFailed;
-    m.age_s = get_amount(e, "heldS");
-    p.machines.push_back(std::move(m));
+}  // namespace
+
+Catalogue parse_catalogue(const Json& json) {
+  Catalogue catalogue;
+  for (const Json& entry : get_list(json, field::kMachineTypes)) {
+    auto type = parse_type(entry);
+    catalogue[type.name] = std::move(type);
   }
-  p.more = get_bool_or(j, "more", false);
-  return p;
+  return catalogue;
 }
 
-std::vector<MachineName> parse_rented(const Json& j) {
+MachinePage parse_machine_page(const Json& json) {
+  MachinePage page;
+  for (const Json& machine : get_list(json, field::kMachines))
+    page.machines.push_back(parse_machine(machine));
+  page.more = get_bool_or(json, field::kMore, false);
+  return page;
+}
+
+std::vector<MachineName> parse_rented(const Json& json) {
   std::vector<MachineName> names;
-  const Json& list = need(j, "beacons");
-  if (!list.is_array()) throw ProtocolError("beacons is not a list");
-  for (const Json& e : list) {
-    if (!e.is_string()) throw ProtocolError("beacons holds something other than a name");
-    names.emplace_back(e.get<std::string>());
-  }
+  for (const Json& name : get_list(json, field::kMachines))
+    names.emplace_back(get_name(name, field::kMachines));
   return names;
 }
 
-std::string render_rent(const RentRequest& r) {
-  return dump(Json{{"charter", r.request},
-                   {"hull", r.type.value()},
-                   {"harbour", r.zone.value()},
-                   {"driftwood", r.spot},
-                   {"count", r.count}});
+std::string render_rent(const RentRequest& request) {
+  return dump(Json{{field::kRequestId, request.request},
+                   {field::kMachineType, request.type.value()},
+                   {field::kZone, request.zone.value()},
+                   {field::kSpot, request.spot},
+                   {field::kCount, request.count}});
 }
 
 std::string render_delete(const std::vector<MachineName>& names) {
   Json list = Json::array();
-  for (const auto& n : names) list.push_back(n.value());
-  return dump(Json{{"beacons", std::move(list)}});
+  for (const auto& name : names) list.push_back(name.value());
+  return dump(Json{{field::kMachines, std::move(list)}});
 }
 
 std::string machine_page_target(const std::optional<MachineName>& after) {
-  std::string t = "/machines?page=" + std::to_string(kMachinePage);
-  if (after) t += "&after=" + after->value();
-  return t;
+  std::string target = "/machines?page=" + std::to_string(kMachinePage);
+  if (after) target += "&after=" + after->value();
+  return target;
 }
 
 }  // namespace beaconsill::protocol
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -1,80 +1,45 @@
 // Checked access to JSON: every getter throws ProtocolError naming the field, never a library exception.
 #pragma once
 
-#include <cmath>
+#include <cstddef>
+#include <cstdint>
 #include <nlohmann/json.hpp>
-#include <optional>
 #include <stdexcept>
 #include <string>
+#include <string_view>
 
 namespace beaconsill::protocol {
 
 using Json = nlohmann::json;
 
+// A message that doesn't keep to the protocol. The text may be shown to users.
 class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-inline Json parse_json(std::string_view text) {
-  Json j = Json::parse(text.begin(), text.end(), nullptr, false);
-  if (j.is_discarded()) throw ProtocolError("not JSON");
-  return j;
-}
-
-inline Json parse_object(std::string_view text) {
-  Json j = parse_json(text);
-  if (!j.is_object()) throw ProtocolError("not an object");
-  return j;
-}
-
-// A field that is null counts as missing.
-inline const Json* find(const Json& j, const char* name) {
-  if (!j.is_object()) throw ProtocolError("not an object");
-  auto it = j.find(name);
-  return it == j.end() || it->is_null() ? nullptr : &*it;
-}
-
-inline const Json& need(const Json& j, const char* name) {
-  if (const Json* f = find(j, name)) return *f;
-  throw ProtocolError(std::string("missing field ") + name);
-}
-
-inline std::string get_string(const Json& j, const char* name, std::size_t max = 200) {
-  const Json& f = need(j, name);
-  if (!f.is_string()) throw ProtocolError(std::string(name) + " is not a string");
-  const auto& s = f.get_ref<const std::string&>();
-  if (s.empty() || s.size() > max) throw ProtocolError(std::string(name) + " has a bad length");
-  return s;
-}
-
-inline bool get_bool(const Json& j, const char* name) {
-  const Json& f = need(j, name);
-  if (!f.is_boolean()) throw ProtocolError(std::string(name) + " is not a boolean");
-  return f.get<bool>();
-}
-
-inline bool get_bool_or(const Json& j, const char* name, bool otherwise) {
-  return find(j, name) ? get_bool(j, name) : otherwise;
-}
-
-inline std::uint64_t get_count(const Json& j, const char* name) {
-  const Json& f = need(j, name);
-  if (!f.is_number_unsigned()) throw ProtocolError(std::string(name) + " is not a non-negative integer");
-  return f.get<std::uint64_t>();
-}
-
-inline double get_amount(const Json& j, const char* name) {
-  const Json& f = need(j, name);
-  if (!f.is_number()) throw ProtocolError(std::string(name) + " is not a number");
-  double d = f.get<double>();
-  if (!std::isfinite(d) || d < 0 || d > 1e9) throw ProtocolError(std::string(name) + " is out of range");
-  return d;
-}
+// An error of one field: "FIELD PROBLEM".
+ProtocolError field_error(const char* field, std::string_view problem);
+
+// Throw ProtocolError for what isn't JSON, or isn't an object.
+Json parse_json(std::string_view text);
+Json parse_object(std::string_view text);
+
+// The field of an object; null if it's missing. A field that is null counts as missing.
+const Json* find(const Json& json, const char* field);
+// The field of an object, which has to be there.
+const Json& need(const Json& json, const char* field);
+// A string that isn't empty and has at most `max_bytes`.
+std::string get_string(const Json& json, const char* field, std::size_t max_bytes = 200);
+bool get_bool(const Json& json, const char* field);
+bool get_bool_or(const Json& json, const char* field, bool otherwise);
+// A non-negative integer.
+std::uint64_t get_count(const Json& json, const char* field);
+// A finite number from 0 to 1e9.
+double get_amount(const Json& json, const char* field);
+const Json& get_list(const Json& json, const char* field);
 
 // Output that never throws, whatever bytes a string holds.
-inline std::string dump(const Json& j) {
-  return j.dump(-1, ' ', false, Json::error_handler_t::replace);
-}
+std::string dump(const Json& json);
 
 }  // namespace beaconsill::protocol
--- a/src/protocol/peer.h
+++ b/src/protocol/peer.h
@@ -1,7 +1,8 @@
-// What controllers say to each other: Cap'n Proto messages and their plain forms.
+// The protocol between controllers: messages, and their encoding with Cap'n Proto (peer.capnp).
 #pragma once
 
 #include <chrono>
+#include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
@@ -19,8 +20,9 @@
   ShardId shard;
   Term term;
 };
-// What the receiver of a heartbeat may conclude about cancellations that its sender discloses to users; the
-// fields are explained in peer.capnp.
+
+// What the receiver of a heartbeat may conclude about cancellations that its sender acknowledges to users;
+// the fields are explained in peer.capnp.
 struct CancellationSync {
   bool ready = false;
   Revision read_until;
@@ -28,6 +30,8 @@
   bool complete = false;
   std::vector<CancelledJob> cancelled;
 };
+
+// Sent to each controller periodically; the fields are explained in peer.capnp.
 struct Heartbeat {
   Revision acknowledged_until;
   std::vector<ShardTerm> terms;
@@ -36,41 +40,50 @@
   bool state_ok = false;
   std::optional<CancellationSync> cancellation_sync;  // none: the sender is of a version without it
 };
+
+// The state store has changes up to this revision.
 struct ChangeNotification {
   Revision revision;
 };
 
-// What an estimate is asked for: a task's needs and the machines it may use.
+// What a task needs, and the machines that it may use.
 struct ResourceRequest {
   Resources each;
-  std::optional<std::vector<MachineType>> types;
-  std::optional<Zone> zone;
+  std::optional<std::vector<MachineType>> types;  // none: any
+  std::optional<Zone> zone;                       // none: any
   bool spot = false;
   ImageName image;
   Priority priority = Priority::kNormal;
-  std::uint32_t wanted = 0;
+  std::uint32_t wanted = 0;  // no more tasks than this need to be counted
   bool operator==(const ResourceRequest&) const = default;
 };
+
+// The leader asks each shard for how many tasks it has capacity.
 struct EstimateRequest {
   std::uint64_t round = 0;
   std::vector<ResourceRequest> resource_requests;
 };
+
+// For how many tasks a zone of a shard has capacity.
 struct ZoneCapacity {
   Zone zone;
   std::uint32_t free = 0;
-  std::uint32_t warm = 0;
-  std::uint32_t preemptible = 0;
-  std::uint32_t warm_preemptible = 0;
+  std::uint32_t warm = 0;              // of the free, on machines that hold the image
+  std::uint32_t preemptible = 0;       // further ones, if work of lower priority were preempted
+  std::uint32_t warm_preemptible = 0;  // of the preemptible, on machines that hold the image
   bool operator==(const ZoneCapacity&) const = default;
 };
 using CapacityByZone = std::vector<ZoneCapacity>;
+
 struct EstimateResponse {
   std::uint64_t round = 0;
   ShardId shard;
   Term term;
-  Revision seen;
-  std::vector<CapacityByZone> rooms;  // one for each shape asked for
+  Revision seen;                      // grants up to it were known
+  std::vector<CapacityByZone> rooms;  // one for each resource request
 };
+
+// A machine of a shard and what is free there.
 struct MachineCapacity {
   MachineName name;
   MachineType type;
@@ -80,49 +93,62 @@
   double idle_s = 0;
   bool usable = true;
 };
+
+// How many tasks of a job run in a shard.
 struct JobCount {
   JobId job;
   std::uint32_t running = 0;
 };
+
+// What a shard reports to the leader periodically.
 struct Summary {
   ShardId shard;
   Term term;
   Revision seen;
   std::vector<MachineCapacity> machines;
   std::vector<JobCount> running;
-  std::uint32_t page = 0;  // see wire/paging.h
+  std::uint32_t page = 0;  // see protocol/paging.h
   bool more = false;
 };
+
+// The leader asks a shard to release these machines, so that they can be returned to the cloud.
 struct ReleaseMachines {
   std::vector<MachineName> machines;
 };
+
+// These machines are proved to be terminated.
 struct TerminatedMachines {
   std::vector<MachineName> machines;
 };
 
+// An agent's heartbeat, passed on to the leader of its shard.
 struct RelayedHeartbeat {
   std::uint64_t id = 0;
   std::string heartbeat;
 };
+
+// The shard leader's reply to it.
 struct RelayedReply {
   std::uint64_t id = 0;
-  int status = 0;
+  int status = 0;  // of HTTP
   std::string body;
 };
 
-// What an owner has found out about a job of which tasks failed.
+// What a shard leader has found out about a job of which tasks failed.
 enum class JobHealth {
   kNone,   // nothing new
   kFails,  // its tasks fail on several machines, and none is known to work
   kWorks   // it was taken to fail, but some task has completed or runs well
 };
+
 struct JobProgress {
   JobId job;
   Ranges done;
   std::vector<ReleasedTasks> released;
   JobHealth verdict = JobHealth::kNone;
 };
-// What became of tasks granted to a shard, as far as its owner's record may not hold it yet.
+
+// What became of tasks granted to a shard, as far as its record may not hold it yet.
 struct ProgressReport {
   ShardId shard;
   Term term;
@@ -132,12 +158,13 @@
 using PeerPayload =
     std::variant<Heartbeat, ChangeNotification, EstimateRequest, EstimateResponse, Summary, ReleaseMachines,
                  TerminatedMachines, RelayedHeartbeat, RelayedReply, ProgressReport>;
+
 struct PeerMessage {
   ControllerName from;
   PeerPayload body;
 };
 
-std::string encode_peer(const PeerMessage& m);
+std::string encode_peer(const PeerMessage& message);
 // None for anything that isn't a well-formed message.
 std::optional<PeerMessage> decode_peer(std::string_view bytes);
 
--- a/src/protocol/state_store.cpp
+++ b/src/protocol/state_store.cpp
@@ -1,73 +1,80 @@
 #include "protocol/state_store.h"
 
+#include <utility>
+
+#include "protocol/field_names.h"
+
 namespace beaconsill::protocol {
+namespace {
 
-Item parse_item(const Json& j) {
-  return {get_string(j, "path"), need(j, "v"), Revision(get_count(j, "entry"))};
+Change parse_change(const Json& json) {
+  Change change;
+  if (find(json, field::kPut)) {
+    change.key = get_string(json, field::kPut);
+    change.value = need(json, field::kValue);
+  } else {
+    change.key = get_string(json, field::kDelete);
+  }
+  change.version = Revision(get_count(json, field::kVersion));
+  return change;
 }
 
-Page parse_page(const Json& j) {
-  Page p;
-  const Json& rows = need(j, "rows");
-  if (!rows.is_array()) throw ProtocolError("rows is not a list");
-  for (const Json& r : rows) p.items.push_back(parse_item(r));
-  p.more = get_bool_or(j, "more", false);
-  p.revision = Revision(get_count(j, "logline"));
-  return p;
+Json write_to_json(const Write& write) {
+  if (!write.value) return {{field::kDelete, write.key}};
+  Json json{{field::kPut, write.key}, {field::kValue, *write.value}};
+  if (write.lease) json[field::kLease] = write.lease->value();
+  return json;
 }
 
-Changes parse_changes(const Json& j) {
-  Changes c;
-  if (const Json* news = find(j, "news")) {
-    if (!news->is_array()) throw ProtocolError("news is not a list");
-    for (const Json& n : *news) {
-      Change ch;
-      if (find(n, "set")) {
-        ch.key = get_string(n, "set");
-        ch.value = need(n, "v");
-      } else {
-        ch.key = get_string(n, "drop");
-      }
-      ch.version = Revision(get_count(n, "entry"));
-      c.changes.push_back(std::move(ch));
-    }
-  }
-  c.revision = Revision(get_count(j, "logline"));
-  return c;
+}  // namespace
+
+Item parse_item(const Json& json) {
+  return {get_string(json, field::kKey), need(json, field::kValue),
+          Revision(get_count(json, field::kVersion))};
+}
+
+Page parse_page(const Json& json) {
+  Page page;
+  for (const Json& item : get_list(json, field::kItems)) page.items.push_back(parse_item(item));
+  page.more = get_bool_or(json, field::kMore, false);
+  page.revision = parse_revision(json);
+  return page;
 }
 
-Revision parse_revision(const Json& j) {
-  return Revision(get_count(j, "logline"));
+Changes parse_changes(const Json& json) {
+  Changes changes;
+  if (find(json, field::kChanges))
+    for (const Json& change : get_list(json, field::kChanges))
+      changes.changes.push_back(parse_change(change));
+  changes.revision = parse_revision(json);
+  return changes;
 }
 
-LeaseId parse_lease(const Json& j) {
-  return LeaseId(get_count(j, "moorage"));
+Revision parse_revision(const Json& json) {
+  return Revision(get_count(json, field::kRevision));
 }
 
-std::string render_txn(const Txn& t) {
-  Json when = Json::array();
-  for (const auto& c : t.conditions) when.push_back({{"path", c.key}, {"entry", c.version.value()}});
+LeaseId parse_lease(const Json& json) {
+  return LeaseId(get_count(json, field::kLease));
+}
+
+std::string render_txn(const Txn& txn) {
+  Json conditions = Json::array();
+  for (const auto& condition : txn.conditions)
+    conditions.push_back({{field::kKey, condition.key}, {field::kVersion, condition.version.value()}});
   Json writes = Json::array();
-  for (const auto& w : t.writes) {
-    if (!w.value) {
-      writes.push_back({{"drop", w.key}});
-      continue;
-    }
-    Json e{{"set", w.key}, {"v", *w.value}};
-    if (w.lease) e["moorage"] = w.lease->value();
-    writes.push_back(std::move(e));
-  }
-  return dump(Json{{"when", std::move(when)}, {"writes", std::move(writes)}});
+  for (const auto& write : txn.writes) writes.push_back(write_to_json(write));
+  return dump(Json{{field::kConditions, std::move(conditions)}, {field::kWrites, std::move(writes)}});
 }
 
 std::string render_lease(std::uint32_t ttl_ms) {
-  return dump(Json{{"ttlMs", ttl_ms}});
+  return dump(Json{{field::kTtlMs, ttl_ms}});
 }
 
 std::string page_target(std::string_view prefix, std::string_view after, std::uint32_t limit) {
-  std::string t = "/store?under=" + std::string(prefix) + "&page=" + std::to_string(limit);
-  if (!after.empty()) t += "&after=" + std::string(after);
-  return t;
+  std::string target = "/store?under=" + std::string(prefix) + "&page=" + std::to_string(limit);
+  if (!after.empty()) target += "&after=" + std::string(after);
+  return target;
 }
 
 std::string watch_target(std::string_view prefix, Revision after, std::uint32_t wait_ms) {
@@ -75,4 +82,12 @@
          "&holdMs=" + std::to_string(wait_ms);
 }
 
+std::string leases_target() {
+  return "/holds";
+}
+
+std::string lease_target(LeaseId id) {
+  return leases_target() + '/' + std::to_string(id.value());
+}
+
 }  // namespace beaconsill::protocol
--- a/src/protocol/worker.cpp
+++ b/src/protocol/worker.cpp
@@ -1,94 +1,104 @@
 #include "protocol/worker.h"
 
+#include <utility>
+
 #include "protocol/api.h"
+#include "protocol/field_names.h"
+#include "protocol/named_values.h"
 
 namespace beaconsill::protocol {
 namespace {
 
-TaskState parse_state(const std::string& s) {
-  if (s == "fetching") return TaskState::kFetching;
-  if (s == "waiting") return TaskState::kWaiting;
-  if (s == "running") return TaskState::kRunning;
-  if (s == "saving") return TaskState::kSaving;
-  if (s == "ended") return TaskState::kEnded;
-  throw ProtocolError("bearing of a task is unknown");
-}
+constexpr NamedValue<TaskState> kTaskStates[] = {{TaskState::kFetching, "fetching"},
+                                                 {TaskState::kWaiting, "waiting"},
+                                                 {TaskState::kRunning, "running"},
+                                                 {TaskState::kSaving, "saving"},
+                                                 {TaskState::kEnded, "ended"}};
+
+constexpr NamedValue<EndCause> kEndCauses[] = {
+    {EndCause::kDone, "done"},      {EndCause::kStopped, "halted"},      {EndCause::kPeersGone, "mates_gone"},
+    {EndCause::kAlone, "alone"},    {EndCause::kNoCapacityLeft, "full"}, {EndCause::kBusy, "in_use"},
+    {EndCause::kUnknown, "unknown"}};
 
-EndCause parse_cause(const std::string& s) {
-  if (s == "done") return EndCause::kDone;
-  if (s == "halted") return EndCause::kStopped;
-  if (s == "mates_gone") return EndCause::kPeersGone;
-  if (s == "alone") return EndCause::kAlone;
-  if (s == "full") return EndCause::kNoCapacityLeft;
-  if (s == "in_use") return EndCause::kBusy;
-  if (s == "unknown") return EndCause::kUnknown;
-  return EndCause::kError;  // also any cause that isn't known yet: the task ended without being done
+constexpr char kStart[] = "run";
+constexpr char kStop[] = "kill";
+constexpr char kForget[] = "clear";
+
+TaskState parse_state(const std::string& name) {
+  const auto state = find_value(kTaskStates, name);
+  if (!state) throw field_error(field::kState, "of a task is unknown");
+  return *state;
 }
 
-}  // namespace
+TaskStatus parse_task_status(const Json& json) {
+  TaskStatus status;
+  auto id = parse_task_id(get_string(json, field::kTask));
+  if (!id) throw field_error(field::kTask, "is not a task id");
+  status.task = std::move(*id);
+  status.attempt = Attempt(get_count(json, field::kAttempt));
+  status.state = parse_state(get_string(json, field::kState));
+  // A cause that isn't known yet: the task ended without being done.
+  if (status.state == TaskState::kEnded)
+    status.cause = find_value(kEndCauses, get_string(json, field::kCause)).value_or(EndCause::kError);
+  status.saved = get_bool_or(json, field::kSaved, false);
+  return status;
+}
 
-WorkerHeartbeat parse_worker_heartbeat(const Json& j) {
-  WorkerHeartbeat r;
-  r.machine = MachineName(get_string(j, "beacon"));
-  r.address = get_string(j, "address");
-  r.type = MachineType(get_string(j, "hull"));
-  r.zone = Zone(get_string(j, "harbour"));
-  r.spot = get_bool(j, "driftwood");
-  r.incarnation = Incarnation(get_count(j, "watch"));
-  r.sequence = Sequence(get_count(j, "tally"));
-  r.token = Token(get_count(j, "helm"));
-  if (find(j, "recallS")) r.notice_s = get_amount(j, "recallS");
-  const Json& tasks = need(j, "lamps");
-  if (!tasks.is_array()) throw ProtocolError("lamps is not a list");
-  r.tasks.reserve(tasks.size());
-  for (const Json& t : tasks) {
-    TaskStatus tr;
-    auto id = parse_task_id(get_string(t, "lamp"));
-    if (!id) throw ProtocolError("lamp is not a task id");
-    tr.task = std::move(*id);
-    tr.attempt = Attempt(get_count(t, "launch"));
-    tr.state = parse_state(get_string(t, "bearing"));
-    if (tr.state == TaskState::kEnded) tr.cause = parse_cause(get_string(t, "cause"));
-    tr.saved = get_bool_or(t, "stored", false);
-    r.tasks.push_back(std::move(tr));
+Json command_to_json(const Command& command) {
+  Json json{{field::kTask, task_name(command.task)}, {field::kAttempt, command.attempt.value()}};
+  switch (command.op) {
+    case Command::Op::kStart:
+      json[field::kCommand] = kStart;
+      break;
+    case Command::Op::kStop:
+      json[field::kCommand] = kStop;
+      json[field::kGraceS] = command.grace_s;
+      break;
+    case Command::Op::kForget:
+      json[field::kCommand] = kForget;
+      break;
   }
-  return r;
+  return json;
 }
 
-namespace {
-Json command_list(const std::vector<Command>& commands) {
+Json commands_to_json(const std::vector<Command>& commands) {
   Json list = Json::array();
-  for (const auto& c : commands) {
-    Json e{{"lamp", task_name(c.task)}, {"launch", c.attempt.value()}};
-    switch (c.op) {
-      case Command::Op::kStart:
-        e["signal"] = "run";
-        break;
-      case Command::Op::kStop:
-        e["signal"] = "kill";
-        e["dousingS"] = c.grace_s;
-        break;
-      case Command::Op::kForget:
-        e["signal"] = "clear";
-        break;
-    }
-    list.push_back(std::move(e));
-  }
+  for (const auto& command : commands) list.push_back(command_to_json(command));
   return list;
 }
+
 }  // namespace
 
+WorkerHeartbeat parse_worker_heartbeat(const Json& json) {
+  WorkerHeartbeat heartbeat;
+  heartbeat.machine = MachineName(get_string(json, field::kMachine));
+  heartbeat.address = get_string(json, field::kAddress);
+  heartbeat.type = MachineType(get_string(json, field::kMachineType));
+  heartbeat.zone = Zone(get_string(json, field::kZone));
+  heartbeat.spot = get_bool(json, field::kSpot);
+  heartbeat.incarnation = Incarnation(get_count(json, field::kIncarnation));
+  heartbeat.sequence = Sequence(get_count(json, field::kSequence));
+  heartbeat.token = Token(get_count(json, field::kFencingToken));
+  if (find(json, field::kTerminationNoticeS))
+    heartbeat.notice_s = get_amount(json, field::kTerminationNoticeS);
+  const Json& tasks = get_list(json, field::kTasks);
+  heartbeat.tasks.reserve(tasks.size());
+  for (const Json& task : tasks) heartbeat.tasks.push_back(parse_task_status(task));
+  return heartbeat;
+}
+
 std::string render_heartbeat_response(Token token, const std::vector<Command>& commands) {
-  return dump(Json{{"helm", token.value()}, {"signals", command_list(commands)}});
+  return dump(Json{{field::kFencingToken, token.value()}, {field::kCommands, commands_to_json(commands)}});
 }
 
 std::string render_commands(Token token, Incarnation incarnation, const std::vector<Command>& commands) {
-  return dump(
-      Json{{"helm", token.value()}, {"watch", incarnation.value()}, {"signals", command_list(commands)}});
+  return dump(Json{{field::kFencingToken, token.value()},
+                   {field::kIncarnation, incarnation.value()},
+                   {field::kCommands, commands_to_json(commands)}});
 }
 
-std::string render_redirect(const std::optional<ControllerName>& owner) {
-  return owner ? dump(Json{{"keeper", owner->value()}}) : std::string("{}");
+std::string render_redirect(const std::optional<ControllerName>& shard_leader) {
+  return shard_leader ? dump(Json{{field::kShardLeader, shard_leader->value()}}) : std::string("{}");
 }
 
 }  // namespace beaconsill::protocol
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -4,6 +4,8 @@
 #include <array>
 #include <utility>
 
+#include "protocol/field_names.h"
+
 namespace beaconsill::state_store {
 namespace {
 
@@ -43,7 +45,7 @@
 Json to_json(const JobRecord& record) {
   Json json{{"job", protocol::job_to_json(*record.spec)}, {"at", record.submitted.value()}};
   if (record.dependency_keys == 0) return json;
-  json["job"].erase("awaits");
+  json["job"].erase(protocol::field::kDependsOn);
   json["awaitsKeys"] = record.dependency_keys;
   return json;
 }
--- a/tests/encoding_samples_peer_test.cpp
+++ b/tests/encoding_samples_peer_test.cpp
@@ -79,7 +79,7 @@
           7};
 }
 
-EstimateResponse answer() {
+EstimateResponse estimate_response() {
   return {4, ShardId(2), Term(3), Revision(6), {{{Zone("a"), 1, 2, 3, 4}, {Zone("b"), 5, 6, 7, 8}}, {}}};
 }
 
@@ -149,7 +149,7 @@
 }
 
 TEST(AnswerEncoding, Samples) {
-  expect_samples({{"all fields", answer(),
+  expect_samples({{"all fields", estimate_response(),
                    "0000000017000000 0000000001000200 0300000000000000 050000001a000000 0400000004000100 "
                    "6e31000000000000 0400000000000000 0200000000000000 0300000000000000 0600000000000000 "
                    "0100000017000000 0800000000000100 0500000037000000 2500000007000000 0800000002000100 "
--- a/tests/paging_test.cpp
+++ b/tests/paging_test.cpp
@@ -62,7 +62,7 @@
   for (const auto& page : pages) whole = assembler.add(page);
   ASSERT_TRUE(whole);
   EXPECT_EQ(whole->running.size(), 60u);
-  // Another owner's page doesn't belong to it.
+  // A page of another term doesn't belong to it.
   assembler.add(pages[0]);
   auto other = pages[1];
   other.term = Term(8);
@@ -71,13 +71,13 @@
   EXPECT_TRUE(assembler.add(summary(2, 2)));
 }
 
-TEST(Paging, OutcomesOfAnySizeFitIntoFrames) {
-  ProgressReport o{ShardId(0), Term(2), {}};
+TEST(Paging, ProgressReportsOfAnySizeFitIntoFrames) {
+  ProgressReport report{ShardId(0), Term(2), {}};
   Ranges scattered;
   for (std::uint32_t i = 0; i < 300; i += 2) scattered.add(i);
   for (std::size_t i = 0; i < 6000; ++i)
-    o.jobs.push_back({JobId("run-" + std::to_string(i)), scattered, {{Generation(2), scattered}}});
-  auto pages = paged(o);
+    report.jobs.push_back({JobId("run-" + std::to_string(i)), scattered, {{Generation(2), scattered}}});
+  auto pages = paged(report);
   EXPECT_GT(pages.size(), 1u);
   std::size_t jobs = 0;
   for (const auto& page : pages) {
@@ -85,7 +85,7 @@
     EXPECT_EQ(page.term, Term(2));
     jobs += page.jobs.size();
   }
-  EXPECT_EQ(jobs, o.jobs.size());
+  EXPECT_EQ(jobs, report.jobs.size());
   EXPECT_EQ(paged(ProgressReport{ShardId(0), Term(2), {}}).size(), 1u);
 }
 
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -14,6 +14,46 @@
   "hulls":["g8"],"harbour":null,"together":true,"scatter":false,"driftwood":true,
   "reckonS":240.0,"markS":30.0,"stowS":4.0,"tideS":900.0,"later":[1,2]})";
 
+// What each getter takes, of fields that are missing, of the wrong type or out of range.
+TEST(Json, GettersNameTheFieldThatTheyRefuse) {
+  struct Case {
+    const char* value;  // JSON; null pointer: the field is missing
+    bool is_string, is_bool, is_count, is_amount, is_list;
+  };
+  const Case cases[] = {
+      {nullptr, false, false, false, false, false},    {"null", false, false, false, false, false},
+      {R"("text")", true, false, false, false, false}, {R"("")", false, false, false, false, false},
+      {"true", false, true, false, false, false},      {"7", false, false, true, true, false},
+      {"-7", false, false, false, false, false},       {"0.5", false, false, false, true, false},
+      {"1e9", false, false, false, true, false},       {"1.1e9", false, false, false, false, false},
+      {"[]", false, false, false, false, true},        {"{}", false, false, false, false, false},
+  };
+  auto accepts = [](const auto& getter, const Json& json) {
+    try {
+      getter(json, "field");
+      return true;
+    } catch (const ProtocolError& error) {
+      EXPECT_NE(std::string(error.what()).find("field"), std::string::npos);
+      return false;
+    }
+  };
+  for (const auto& c : cases) {
+    Json json = Json::object();
+    if (c.value) json["field"] = parse_json(c.value);
+    const std::string what = c.value ? c.value : "missing";
+    auto string_getter = [](const Json& object, const char* field) { get_string(object, field); };
+    EXPECT_EQ(accepts(string_getter, json), c.is_string) << what;
+    EXPECT_EQ(accepts(get_bool, json), c.is_bool) << what;
+    EXPECT_EQ(accepts(get_count, json), c.is_count) << what;
+    EXPECT_EQ(accepts(get_amount, json), c.is_amount) << what;
+    EXPECT_EQ(accepts(get_list, json), c.is_list) << what;
+  }
+  EXPECT_THROW(get_string(Json{{"field", "text"}}, "field", 3), ProtocolError);
+  EXPECT_TRUE(get_bool_or(Json::object(), "field", true));
+  EXPECT_FALSE(get_bool_or(Json{{"field", false}}, "field", true));
+  EXPECT_THROW(find(Json::array(), "field"), ProtocolError);
+}
+
 TEST(Job, GoodOnesSurviveTheRoundTrip) {
   auto spec = parse_job(parse_object(kJob));
   EXPECT_EQ(spec.id, JobId("run-000412"));
@@ -82,7 +122,7 @@
   }
 }
 
-TEST(WorkerHeartbeat, NewerBySessionThenSequence) {
+TEST(WorkerHeartbeat, NewerByIncarnationThenSequence) {
   WorkerHeartbeat r;
   r.incarnation = Incarnation(2);
   r.sequence = Sequence(5);
@@ -107,7 +147,7 @@
   EXPECT_EQ(render_redirect(std::nullopt), "{}");
 }
 
-TEST(Store, Forms) {
+TEST(StateStore, MessagesHaveTheFormOfTheProtocol) {
   Txn t{{{"a/b", Revision()}}, {{"a/b", Json{{"x", 1}}, LeaseId(7)}, {"c/d", std::nullopt, std::nullopt}}};
   EXPECT_EQ(
       parse_object(render_txn(t)),
@@ -184,7 +224,7 @@
   for (const auto& job : progress_report.jobs) verdicts.push_back(job.verdict);
   EXPECT_EQ(verdicts,
             (std::vector{JobHealth::kNone, JobHealth::kNone, JobHealth::kFails, JobHealth::kWorks}));
-  // A heartbeat of a version without disclosures is told from one that discloses nothing.
+  // A heartbeat of a version without a cancellation sync differs from one that has nothing to sync.
   auto heartbeat = [&](std::size_t i) {
     return std::get<Heartbeat>(decode_peer(encode_peer({ControllerName("n"), bodies[i]}))->body);
   };
