--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -5,6 +5,26 @@
 #include "shard/estimator.h"
 
 namespace beaconsill::api {
+namespace {
+
+// Rounding errors of sums of resources.
+constexpr double kTolerance = 1e-6;
+
+// `limit`: 0 for none.
+bool exceeds(double needed, double limit) {
+  return limit > 0 && needed > limit + kTolerance;
+}
+
+// Whether a task fits a machine of this type in some zone that it may use.
+bool fits_type(const protocol::JobSpec& spec, const protocol::TypeInfo& info, const MachineType& type) {
+  const auto request = shard::request_of(spec, 1);
+  const bool allowed = std::any_of(info.zones.begin(), info.zones.end(), [&](const Zone& zone) {
+    return shard::allowed(request, type, zone, false);
+  });
+  return allowed && shard::fits(info.total, spec.each) > 0;
+}
+
+}  // namespace
 
 const JobId* first_unknown_dependency(const protocol::JobSpec& spec,
                                       const std::function<bool(const JobId&)>& known) {
@@ -18,18 +38,15 @@
   using Kind = AdmissionResult::Kind;
   const auto* team = settings.team(spec.team);
   if (!team) return {Kind::kNever, "unknown team"};
-  double n = spec.kind == JobKind::kArray ? 1 : spec.tasks;
-  if (team->cpus_max > 0 && spec.each.cpus * n > team->cpus_max + 1e-6)
+  // Tasks that run at the same time, at least.
+  const double tasks = spec.kind == JobKind::kArray ? 1 : spec.tasks;
+  if (exceeds(spec.each.cpus * tasks, team->cpus_max))
     return {Kind::kNever, "needs more CPUs than the team's limit"};
-  if (team->gpus_max > 0 && spec.each.gpus * n > team->gpus_max + 1e-6)
+  if (exceeds(spec.each.gpus * tasks, team->gpus_max))
     return {Kind::kNever, "needs more GPUs than the team's limit"};
   if (!catalogue) return {Kind::kNotYet, "machine types not known yet"};
-  auto resource_request = shard::request_of(spec, 1);
-  bool fits = std::any_of(catalogue->begin(), catalogue->end(), [&](const auto& t) {
-    bool zone = std::any_of(t.second.zones.begin(), t.second.zones.end(), [&](const auto& z) {
-      return shard::allowed(resource_request, t.first, z, false);
-    });
-    return zone && shard::fits(t.second.total, spec.each) > 0;
+  const bool fits = std::any_of(catalogue->begin(), catalogue->end(), [&](const auto& entry) {
+    return fits_type(spec, entry.second, entry.first);
   });
   if (!fits) return {Kind::kNever, "fits no allowed machine type"};
   return {};
--- a/src/api/admission.h
+++ b/src/api/admission.h
@@ -11,12 +11,16 @@
 namespace beaconsill::api {
 
 struct AdmissionResult {
-  enum class Kind { kAccept, kNever, kNotYet };
+  enum class Kind {
+    kAccept,
+    kNever,   // it exceeds a limit, or fits no machine type
+    kNotYet,  // not known yet
+  };
   Kind kind = Kind::kAccept;
-  std::string reason;
+  std::string reason;  // of a refusal, for the user
 };
 
-// The first of the jobs it awaits that isn't among those known; null: all are.
+// The first dependency of the job that isn't among those known; null: all are.
 const JobId* first_unknown_dependency(const protocol::JobSpec& spec,
                                       const std::function<bool(const JobId&)>& known);
 
--- /dev/null
+++ b/src/api/cancellation.cpp
@@ -0,0 +1,51 @@
+#include "api/cancellation.h"
+
+namespace beaconsill::api {
+
+void Cancellation::handle(const JobId& id, const net::HttpServer::Reply& reply) const {
+  if (!context_.reader->ready()) return reply(retry_later(kStarting));
+  if (auto state = status_.state(id)) {
+    if (context_.view().end(id)) return reply(status_.status_response(id, *state));
+    return write_terminal_record(id, reply);
+  }
+  context_.read_now([this, id, reply](bool fresh) {
+    if (!fresh) return reply(retry_later(kUnreachable));
+    auto state = status_.state(id);
+    if (!state) return reply({404, protocol::render_error(kNoSuchJob)});
+    if (context_.view().end(id)) return reply(status_.status_response(id, *state));
+    write_terminal_record(id, reply);
+  });
+}
+
+void Cancellation::write_terminal_record(const JobId& id, const net::HttpServer::Reply& reply) const {
+  if (!context_.reader->is_responsive()) return reply(retry_later(kUnreachable));
+  if (context_.overloaded()) return reply(retry_later("too many requests", kRetryLaterS));
+  const auto* job = context_.view().job(id);
+  const state_store::TerminalRecord record{state_store::TerminalState::kCancelled, job->done().count()};
+  protocol::Txn txn;
+  txn.conditions = {{state_store::terminal_key(id), Revision()}, {state_store::job_key(id), job->created}};
+  txn.writes = {{state_store::terminal_key(id), state_store::to_json(record), std::nullopt}};
+  context_.commit(txn, [this, txn, id, reply](const state_store::TxnResult& result) {
+    on_result(txn, id, reply, result);
+  });
+}
+
+void Cancellation::on_result(const protocol::Txn& txn, const JobId& id, const net::HttpServer::Reply& reply,
+                             const state_store::TxnResult& result) const {
+  using state_store::RequestOutcome;
+  if (result.outcome == RequestOutcome::kOk) {
+    context_.reader->apply_own(txn, result.revision);
+    reply(status_.status_response(id, protocol::JobState::kCancelled));
+    return context_.hooks.changed(result.revision);
+  }
+  if (result.outcome != RequestOutcome::kConflict && result.outcome != RequestOutcome::kUnknown)
+    return reply(retry_later(kUnreachable));
+  // Done or cancelled by now, or no response: what is stored decides.
+  context_.read_now([this, id, reply](bool fresh) {
+    auto state = status_.state(id);
+    if (fresh && state && context_.view().end(id)) return reply(status_.status_response(id, *state));
+    reply(retry_later(kStateUnknown));
+  });
+}
+
+}  // namespace beaconsill::api
--- /dev/null
+++ b/src/api/context.cpp
@@ -0,0 +1,36 @@
+#include "api/context.h"
+
+#include <utility>
+
+#include "base/log.h"
+#include "protocol/api.h"
+
+namespace beaconsill::api {
+namespace {
+
+// A change that would wait longer than this for the state store's rate limits is refused at once.
+constexpr Duration kMaxWriteWait = std::chrono::milliseconds(500);
+// What can't be sent for a user by then is of no use any more.
+constexpr Duration kSendWithin = std::chrono::milliseconds(600);
+
+}  // namespace
+
+bool Context::overloaded() const {
+  return store->write_wait(state_store::Urgency::kUserRequest) > kMaxWriteWait;
+}
+
+void Context::read_now(std::function<void(bool)> done) const {
+  if (!reader->is_responsive()) return done(false);
+  reader->sync(std::move(done));
+}
+
+void Context::commit(const protocol::Txn& txn, std::function<void(state_store::TxnResult)> done) const {
+  reader->commit(txn, state_store::Urgency::kUserRequest, std::move(done), kSendWithin);
+}
+
+net::Response retry_later(std::string_view reason, int retry_after_s) {
+  spdlog::debug("request_refused reason=\"{}\" seconds={}", reason, retry_after_s);
+  return {503, protocol::render_error(reason), retry_after_s};
+}
+
+}  // namespace beaconsill::api
--- /dev/null
+++ b/src/api/job_status.cpp
@@ -0,0 +1,56 @@
+#include "api/job_status.h"
+
+namespace beaconsill::api {
+namespace {
+
+using protocol::JobState;
+
+constexpr std::string_view kNotAcknowledged = "cancellation not yet known to all controllers";
+
+}  // namespace
+
+void JobStatus::handle(const JobId& id, const net::HttpServer::Reply& reply) const {
+  auto respond = [this, id, reply](bool fresh) {
+    if (!fresh) return reply(retry_later(kUnreachable));
+    if (auto current = state(id)) return reply(status_response(id, *current));
+    reply({404, protocol::render_error(kNoSuchJob)});
+  };
+  if (!context_.reader->ready()) return reply(retry_later(kStarting));
+  // A final state is final; everything else is read anew, since another controller may have shown something
+  // newer.
+  if (context_.view().end(id)) return respond(true);
+  context_.read_now(respond);
+}
+
+std::optional<JobState> JobStatus::state(const JobId& id) const {
+  const auto& view = context_.view();
+  if (auto terminal_state = view.end(id))
+    return *terminal_state == state_store::TerminalState::kDone ? JobState::kDone : JobState::kCancelled;
+  if (!view.job(id)) return std::nullopt;
+  return context_.hooks.running(id) > 0 ? JobState::kRunning : JobState::kQueued;
+}
+
+bool JobStatus::acknowledgement_pending(const JobId& id, JobState state) const {
+  return state == JobState::kCancelled && !context_.hooks.may_acknowledge_cancellation(id);
+}
+
+net::Response JobStatus::accepted_response(const JobId& id, JobState state) const {
+  if (acknowledgement_pending(id, state)) return retry_later(kNotAcknowledged);
+  return {200, protocol::render_accepted(id, state)};
+}
+
+net::Response JobStatus::status_response(const JobId& id, JobState state) const {
+  if (acknowledgement_pending(id, state)) return retry_later(kNotAcknowledged);
+  const bool terminal = state == JobState::kDone || state == JobState::kCancelled;
+  const auto running = terminal ? 0 : context_.hooks.running(id);
+  return {200, protocol::render_status(id, state, done_tasks(id), running)};
+}
+
+std::uint32_t JobStatus::done_tasks(const JobId& id) const {
+  const auto& view = context_.view();
+  if (const auto& record = view.terminal_record(id); record.exists()) return record.value.done;
+  const auto* job = view.job(id);
+  return job ? job->done().count() : 0;
+}
+
+}  // namespace beaconsill::api
--- a/src/api/reply_deadline.cpp
+++ b/src/api/reply_deadline.cpp
@@ -7,29 +7,29 @@
 
 // NOLINTNEXTLINE(bugprone-exception-escape): a timer that is set can always be cancelled.
 ReplyDeadline::~ReplyDeadline() {
-  state_->open.clear();
+  state_->pending.clear();
   state_->timer.cancel();
 }
 
-void ReplyDeadline::Open::answer(net::Response r) {
+void ReplyDeadline::PendingRequest::respond(net::Response response) {
   if (!reply) return;
-  auto to = std::move(reply);
+  auto first_reply = std::move(reply);
   reply = nullptr;
-  to(std::move(r));
+  first_reply(std::move(response));
 }
 
 net::HttpServer::Reply ReplyDeadline::guard(net::HttpServer::Reply reply) {
-  auto open =
-      std::make_shared<Open>(Open{std::move(reply), std::chrono::steady_clock::now() + state_->limit});
-  state_->open.push_back(open);
+  auto request = std::make_shared<PendingRequest>(
+      PendingRequest{std::move(reply), std::chrono::steady_clock::now() + state_->limit});
+  state_->pending.push_back(request);
   arm(state_);
-  return [open](net::Response r) { open->answer(std::move(r)); };
+  return [request](net::Response response) { request->respond(std::move(response)); };
 }
 
 void ReplyDeadline::arm(const std::shared_ptr<State>& state) {
-  if (state->armed || state->open.empty()) return;
+  if (state->armed || state->pending.empty()) return;
   state->armed = true;
-  state->timer.expires_at(state->open.front()->deadline);
+  state->timer.expires_at(state->pending.front()->deadline);
   state->timer.async_wait([state](std::error_code ec) {
     state->armed = false;
     if (!ec) expire(state);
@@ -37,11 +37,11 @@
 }
 
 void ReplyDeadline::expire(const std::shared_ptr<State>& state) {
-  auto now = std::chrono::steady_clock::now();
-  while (!state->open.empty() && state->open.front()->deadline <= now) {
-    auto open = std::move(state->open.front());
-    state->open.pop_front();
-    open->answer(state->late);
+  const auto now = std::chrono::steady_clock::now();
+  while (!state->pending.empty() && state->pending.front()->deadline <= now) {
+    auto request = std::move(state->pending.front());
+    state->pending.pop_front();
+    request->respond(state->late);
   }
   arm(state);
 }
--- a/src/api/reply_deadline.h
+++ b/src/api/reply_deadline.h
@@ -1,32 +1,34 @@
-// A bound on how long any request may wait for its answer.
+// A bound on how long any request may wait for its response.
 #pragma once
 
 #include <asio/io_context.hpp>
 #include <asio/steady_timer.hpp>
 #include <deque>
 #include <memory>
+#include <utility>
 
 #include "net/http_server.h"
 
 namespace beaconsill::api {
 
-// Answers requests that are still open `limit` after their arrival. All have the same limit, so one timer
-// serves them in the order in which they came.
+// Responds to requests that are still pending `limit` after their arrival. All have the same limit, so one
+// timer serves them in the order in which they came. Used on the thread of the io_context.
 class ReplyDeadline {
  public:
+  // `late`: the response at the deadline.
   ReplyDeadline(asio::io_context& io, Duration limit, net::Response late);
   ~ReplyDeadline();  // NOLINT(bugprone-exception-escape): see its definition
   ReplyDeadline(const ReplyDeadline&) = delete;
   ReplyDeadline& operator=(const ReplyDeadline&) = delete;
 
-  // The first answer goes through, from the caller or at the deadline; later ones are dropped.
+  // The first response goes through, from the caller or at the deadline; later ones are dropped.
   net::HttpServer::Reply guard(net::HttpServer::Reply reply);
 
  private:
-  struct Open {
+  struct PendingRequest {
     net::HttpServer::Reply reply;  // empty once it was called
     Instant deadline;
-    void answer(net::Response r);
+    void respond(net::Response response);
   };
   struct State {
     State(asio::io_context& io, Duration within, net::Response refusal)
@@ -34,7 +36,7 @@
     asio::steady_timer timer;
     Duration limit;
     net::Response late;
-    std::deque<std::shared_ptr<Open>> open;  // the oldest first, also some that were answered
+    std::deque<std::shared_ptr<PendingRequest>> pending;  // the oldest first, also some that have a response
     bool armed = false;
   };
   static void arm(const std::shared_ptr<State>& state);
--- /dev/null
+++ b/src/api/submission.cpp
@@ -0,0 +1,157 @@
+#include "api/submission.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "api/admission.h"
+#include "base/log.h"
+#include "state_store/txn_draft.h"
+
+namespace beaconsill::api {
+namespace {
+
+using state_store::RequestOutcome;
+using state_store::TxnResult;
+
+}  // namespace
+
+void Submission::handle(const net::Request& request, const Reply& reply) const {
+  protocol::JobSpec spec;
+  try {
+    spec = protocol::parse_job(protocol::parse_object(request.body));
+  } catch (const protocol::ProtocolError& error) {
+    return reply({400, protocol::render_error(error.what())});
+  }
+  if (!context_.reader->ready()) return reply(retry_later(kStarting));
+  // What was accepted once is never judged again.
+  if (auto state = status_.state(spec.id)) return handle_known(spec.id, *state, reply);
+  const auto result = admit(spec, context_.settings, context_.hooks.catalogue());
+  if (result.kind != AdmissionResult::Kind::kAccept)
+    return refuse(spec.id, result.reason, result.kind == AdmissionResult::Kind::kNever, reply);
+  if (first_unknown_dependency(spec)) return accept_after_read(spec, reply);
+  accept(std::move(spec), reply);
+}
+
+void Submission::handle_known(const JobId& id, protocol::JobState state, const Reply& reply) const {
+  if (state == protocol::JobState::kDone || state == protocol::JobState::kCancelled)
+    return reply_known(id, true, reply);
+  context_.read_now([this, id, reply](bool fresh) { reply_known(id, fresh, reply); });
+}
+
+// Another controller may have accepted it, before the catalogue changed say: only what was read can tell.
+void Submission::refuse(const JobId& id, const std::string& reason, bool for_good, const Reply& reply) const {
+  context_.read_now([this, id, reason, for_good, reply](bool fresh) {
+    if (!fresh) return reply(retry_later(kUnreachable));
+    if (auto state = status_.state(id)) return reply(status_.accepted_response(id, *state));
+    if (for_good) return reply({422, protocol::render_error(reason)});
+    reply(retry_later(reason, kRetryMuchLaterS));
+  });
+}
+
+// Another controller may just have accepted what it depends on: only what was read can tell.
+void Submission::accept_after_read(const protocol::JobSpec& spec, const Reply& reply) const {
+  context_.read_now([this, spec, reply](bool fresh) {
+    if (!fresh) return reply(retry_later(kUnreachable));
+    if (auto state = status_.state(spec.id)) return reply(status_.accepted_response(spec.id, *state));
+    if (const auto* unknown = first_unknown_dependency(spec))
+      return reply({422, protocol::render_error("awaits " + unknown->value() + ", no such job")});
+    accept(spec, reply);
+  });
+}
+
+const JobId* Submission::first_unknown_dependency(const protocol::JobSpec& spec) const {
+  return api::first_unknown_dependency(
+      spec, [this](const JobId& dependency) { return status_.state(dependency).has_value(); });
+}
+
+void Submission::reply_known(const JobId& id, bool fresh, const Reply& reply) const {
+  if (auto state = status_.state(id); fresh && state) return reply(status_.accepted_response(id, *state));
+  reply(retry_later(kStateUnknown));
+}
+
+// A job with a cancelled dependency is accepted and cancelled at once. The response must not call it queued
+// because this controller has yet to read of a cancellation that was acknowledged long ago.
+void Submission::reply_accepted(const JobId& id, const Reply& reply) const {
+  const auto* job = context_.view().job(id);
+  auto respond = [this, id, reply](bool fresh) {
+    auto state = status_.state(id);
+    if (!fresh || !state) return reply(retry_later(kStateUnknown));
+    auto response = status_.accepted_response(id, *state);
+    if (response.status == 200) response.status = 201;
+    reply(std::move(response));
+  };
+  const auto view_age = context_.clock.now() - context_.reader->as_of();
+  const bool recent = view_age < from_seconds(context_.settings.cancel_s / 4);
+  if (!job || job->record.spec->depends_on.empty() || recent) return respond(true);
+  context_.read_now(respond);
+}
+
+void Submission::accept(protocol::JobSpec spec, const Reply& reply) const {
+  if (!context_.reader->is_responsive()) return reply(retry_later(kUnreachable));
+  if (!spec.depends_on.empty() && !context_.hooks.all_support(state_store::kPipelinesSince))
+    return reply(retry_later("not all controllers know of jobs that await others", kRetryLaterS));
+  if (context_.overloaded()) return reply(retry_later("too many submissions", kRetryLaterS));
+  state_store::JobRecord record{std::make_shared<const protocol::JobSpec>(std::move(spec)),
+                                context_.clock.wall()};
+  const auto max_bytes = std::min(context_.settings.value_bytes(), state_store::kMaxValueBytes);
+  auto values = state_store::fit_job(std::move(record), max_bytes);
+  if (!values)
+    return reply({422, protocol::render_error("its record is larger than the state service takes")});
+  if (!values->depends_on.empty() && !context_.hooks.all_support(state_store::kUnboundedKeysSince))
+    return reply(retry_later("not all controllers know of so many awaited jobs", kRetryLaterS));
+  write_job(*values, reply);
+}
+
+void Submission::write_job(const state_store::JobValues& values, const Reply& reply) const {
+  const auto& id = values.record.spec->id;
+  const auto& written = context_.view().dependency_keys(id);
+  state_store::TxnDraft draft(context_.settings.txn_ops);
+  draft.require({state_store::job_key(id), Revision()});
+  draft.require({state_store::terminal_key(id), Revision()});
+  for (std::uint32_t i = 0; i < values.depends_on.size(); ++i) {
+    const auto& segment = values.depends_on[i];
+    auto key = written.find(i);
+    if (key != written.end() && key->second.value.depends_on == segment.depends_on) continue;
+    if (!draft.add({}, {{state_store::dependency_key(id, i), state_store::to_json(segment), std::nullopt}}))
+      break;
+  }
+  if (draft.empty()) return write_record(values, reply);
+  // What is written by now is there when the user repeats the request.
+  context_.commit(draft.txn(), [this, values, reply, txn = draft.txn()](const TxnResult& result) {
+    if (result.outcome != RequestOutcome::kOk) return reply(retry_later(kStateUnknown));
+    context_.reader->apply_own(txn, result.revision);
+    write_job(values, reply);
+  });
+}
+
+void Submission::write_record(const state_store::JobValues& values, const Reply& reply) const {
+  const auto& id = values.record.spec->id;
+  protocol::Txn txn;
+  txn.conditions = {{state_store::job_key(id), Revision()}, {state_store::terminal_key(id), Revision()}};
+  // These keys are deleted the first one first: then the record doesn't follow any more.
+  if (!values.depends_on.empty())
+    txn.conditions.push_back(
+        {state_store::dependency_key(id, 0), context_.view().dependency_keys(id).at(0).version});
+  txn.writes = {{state_store::job_key(id), state_store::to_json(values.record), std::nullopt}};
+  context_.commit(
+      txn, [this, txn, id, reply](const TxnResult& result) { on_record_result(txn, id, reply, result); });
+}
+
+void Submission::on_record_result(const protocol::Txn& txn, const JobId& id, const Reply& reply,
+                                  const TxnResult& result) const {
+  switch (result.outcome) {
+    case RequestOutcome::kOk:
+      context_.reader->apply_own(txn, result.revision);
+      spdlog::debug("job_accepted job={} revision={}", id.value(), result.revision.value());
+      context_.hooks.changed(result.revision);
+      return reply_accepted(id, reply);
+    case RequestOutcome::kConflict:
+    case RequestOutcome::kUnknown:
+      // Known already, or no response: what is stored decides.
+      return context_.read_now([this, id, reply](bool fresh) { reply_known(id, fresh, reply); });
+    default:
+      return reply(retry_later(kUnreachable));
+  }
+}
+
+}  // namespace beaconsill::api
--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "api/admission.h"
-#include "store_world.h"
+#include "state_store_fixture.h"
 
 namespace beaconsill::api {
 namespace {
@@ -57,43 +57,43 @@
   return std::chrono::milliseconds(n);
 }
 
-// The users' endpoints before a stand-in of the state store.
-struct ApiWorld : StoreWorld {
-  // Questions that still wait are answered while the endpoints are there, as controller::Controller does when
-  // it stops.
-  ~ApiWorld() { watch_cache->stop(); }
-  ApiWorld() {
+// The users' endpoints before a fake state store.
+struct ApiFixture : StateStoreFixture {
+  // Requests that still wait are responded to while the endpoints are there, as controller::Controller does
+  // when it stops.
+  ~ApiFixture() { watch_cache->stop(); }
+  ApiFixture() {
     settings.teams = {{Team("blue"), 0, 0, 0, 0}};
     catalogue[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, {Zone("a")}};
     Api::Hooks hooks{[this] { return &catalogue; },
                      [](Revision) {},
-                     [](const JobId&) { return true; },
+                     [this](const JobId&) { return may_acknowledge; },
                      [](const JobId&) { return 0u; },
                      [] { return true; },
-                     [this](std::uint32_t version) { return version <= known_by_all; }};
+                     [this](std::uint32_t version) { return version <= supported_by_all; }};
     api = std::make_unique<Api>(io, clock, settings, client, watch_cache, hooks);
   }
-  struct EstimateResponse {
+  struct TimedResponse {
     net::Response response;
     Duration after{};
   };
-  std::shared_ptr<std::optional<EstimateResponse>> send(const char* method, std::string path,
-                                                        std::string body = "") {
+  std::shared_ptr<std::optional<TimedResponse>> send(const char* method, std::string path,
+                                                     std::string body = "") {
     net::Request r;
     r.method = method;
     r.path = std::move(path);
     r.body = std::move(body);
-    auto answer = std::make_shared<std::optional<EstimateResponse>>();
-    api->handle(r, [this, answer, begun = clock.now()](net::Response x) {
-      ASSERT_FALSE(*answer) << "answered twice";
-      *answer = EstimateResponse{std::move(x), clock.now() - begun};
+    auto timed = std::make_shared<std::optional<TimedResponse>>();
+    api->handle(r, [this, timed, started = clock.now()](net::Response response) {
+      ASSERT_FALSE(*timed) << "responded to twice";
+      *timed = TimedResponse{std::move(response), clock.now() - started};
     });
-    return answer;
+    return timed;
   }
-  EstimateResponse call(const char* method, std::string path, std::string body = "") {
-    auto answer = send(method, std::move(path), std::move(body));
-    run_until([&] { return answer->has_value(); });
-    return answer->value_or(EstimateResponse{});
+  TimedResponse call(const char* method, std::string path, std::string body = "") {
+    auto timed = send(method, std::move(path), std::move(body));
+    run_until([&] { return timed->has_value(); });
+    return timed->value_or(TimedResponse{});
   }
   static std::string job(const std::string& id) {
     return protocol::Json{{"ref", id},        {"berth", "c"},         {"crew", "blue"},
@@ -107,135 +107,185 @@
 
   config::Settings settings;
   protocol::Catalogue catalogue;
-  std::uint32_t known_by_all = state_store::kFormatVersion;
+  bool may_acknowledge = true;
+  std::uint32_t supported_by_all = state_store::kFormatVersion;
   std::unique_ptr<Api> api;
 };
 
-// A job that awaits thousands goes into several values and transactions, also under the smallest limits. It's
-// accepted as a whole or not at all, and a repeat is answered as the first was.
-TEST(Api, AJobMayAwaitAsManyAsARequestCanName) {
+// A job with thousands of dependencies goes into several values and transactions, also under the smallest
+// limits. It's accepted as a whole or not at all, and a repeated submission gets the same response.
+TEST(Api, AJobMayDependOnAsManyAsARequestCanName) {
   constexpr std::size_t kMost = 4000;
-  ApiWorld w;
-  w.settings.value_kb = 2;
-  w.settings.txn_ops = w.state.max_ops = 6;
-  w.state.max_value = 2048;
+  ApiFixture fixture;
+  fixture.settings.value_kb = 2;
+  fixture.settings.txn_ops = fixture.state.max_ops = 6;
+  fixture.state.max_value = 2048;
   auto names = [](std::size_t n) {
     protocol::Json list = protocol::Json::array();
     for (std::size_t i = 0; i < n; ++i) list.push_back("run-" + std::to_string(100000 + i));
     return list;
   };
   for (std::size_t i = 0; i < kMost; ++i)
-    w.state.put(state_store::terminal_key(JobId("run-" + std::to_string(100000 + i))),
-                protocol::Json{{"end", "done"}, {"done", 1}});
+    fixture.state.put(state_store::terminal_key(JobId("run-" + std::to_string(100000 + i))),
+                      protocol::Json{{"end", "done"}, {"done", 1}});
   auto join = [&](const std::string& id, protocol::Json depends_on) {
-    auto j = protocol::Json::parse(ApiWorld::job(id));
+    auto j = protocol::Json::parse(ApiFixture::job(id));
     j["awaits"] = std::move(depends_on);
     return j.dump();
   };
   auto submit = [&](const std::string& body) {
     for (int i = 0; i < 20; ++i) {
-      auto a = w.call("POST", "/v1/jobs", body).response;
+      auto a = fixture.call("POST", "/v1/jobs", body).response;
       if (a.status != 503) return a.status;
       EXPECT_TRUE(a.retry_after_s);
-      EXPECT_EQ(w.state.keys.count(state_store::job_key(JobId("run-7"))), 0u);
-      w.io.run_for(ms(100));
+      EXPECT_EQ(fixture.state.keys.count(state_store::job_key(JobId("run-7"))), 0u);
+      fixture.io.run_for(ms(100));
     }
     return 503;
   };
   auto unknown = names(kMost);
   unknown.back() = "run-9";
   EXPECT_EQ(submit(join("run-7", unknown)), 422);
-  EXPECT_EQ(w.state.keys.count(state_store::dependency_key(JobId("run-7"), 0)), 0u);
-  // Until all controllers know of further keys only a list that fits into the record is taken.
-  w.known_by_all = 1;
+  EXPECT_EQ(fixture.state.keys.count(state_store::dependency_key(JobId("run-7"), 0)), 0u);
+  // Until all controllers support further keys only a list that fits into the record is taken.
+  fixture.supported_by_all = 1;
   EXPECT_EQ(submit(join("run-6", names(60))), 201);
-  EXPECT_EQ(w.call("POST", "/v1/jobs", join("run-7", names(kMost))).response.status, 503);
-  w.known_by_all = 0;
-  EXPECT_EQ(w.call("POST", "/v1/jobs", join("run-8", names(1))).response.status, 503);
-  w.known_by_all = state_store::kFormatVersion;
+  EXPECT_EQ(fixture.call("POST", "/v1/jobs", join("run-7", names(kMost))).response.status, 503);
+  fixture.supported_by_all = 0;
+  EXPECT_EQ(fixture.call("POST", "/v1/jobs", join("run-8", names(1))).response.status, 503);
+  fixture.supported_by_all = state_store::kFormatVersion;
   EXPECT_EQ(submit(join("run-7", names(kMost))), 201);
   EXPECT_EQ(submit(join("run-7", names(kMost))), 200);
-  ASSERT_TRUE(w.watch_cache->view().job(JobId("run-7")));
-  EXPECT_EQ(w.watch_cache->view().job(JobId("run-7"))->record.spec->depends_on.size(), kMost);
+  ASSERT_TRUE(fixture.watch_cache->view().job(JobId("run-7")));
+  EXPECT_EQ(fixture.watch_cache->view().job(JobId("run-7"))->record.spec->depends_on.size(), kMost);
   // What can't be stored however it's split can never run.
-  auto huge = protocol::Json::parse(ApiWorld::job("run-5"));
+  auto huge = protocol::Json::parse(ApiFixture::job("run-5"));
   huge["hulls"] = std::vector<std::string>(700, "t4");
   EXPECT_EQ(submit(huge.dump()), 422);
 }
 
 // Found on the day "gap": thousands of requests waited in vain at controllers that were up.
-TEST(Api, RequestsThatCannotBeAnsweredAreRefusedSoon) {
+TEST(Api, RequestsThatCannotBeServedAreRefusedSoon) {
   struct Case {
     const char* what;
     std::function<void(standin::State&)> fail;
   };
   const Case cases[] = {
       {"an outage", [](auto& s) { s.down = true; }},
-      {"this node alone is refused", [](auto& s) { s.shut[0] = true; }},
-      {"connections stay open with no answer", [](auto& s) { s.silent = true; }},
+      {"this controller alone is refused", [](auto& s) { s.shut[0] = true; }},
+      {"connections stay open with no response", [](auto& s) { s.silent = true; }},
   };
-  struct Question {
+  struct UserRequest {
     const char* method;
     std::string path, body;
   };
-  const Question questions[] = {
+  const UserRequest requests[] = {
       {"GET", "/v1/jobs/run-000001", ""},
       {"GET", "/v1/jobs/run-000009", ""},
       {"POST", "/v1/jobs/run-000001/withdraw", ""},
       {"POST", "/v1/jobs/run-000009/withdraw", ""},
-      {"POST", "/v1/jobs", ApiWorld::job("run-000001")},
-      {"POST", "/v1/jobs", ApiWorld::job("run-000002")},
+      {"POST", "/v1/jobs", ApiFixture::job("run-000001")},
+      {"POST", "/v1/jobs", ApiFixture::job("run-000002")},
   };
   for (const auto& c : cases) {
     SCOPED_TRACE(c.what);
-    ApiWorld w;
-    ASSERT_EQ(w.call("POST", "/v1/jobs", ApiWorld::job("run-000001")).response.status, 201);
-    c.fail(w.state);
+    ApiFixture fixture;
+    ASSERT_EQ(fixture.call("POST", "/v1/jobs", ApiFixture::job("run-000001")).response.status, 201);
+    c.fail(fixture.state);
     // All at once, before anything is known; then one by one, when it is.
-    std::vector<std::shared_ptr<std::optional<ApiWorld::EstimateResponse>>> first;
-    for (const auto& q : questions) first.push_back(w.send(q.method, q.path, q.body));
+    std::vector<std::shared_ptr<std::optional<ApiFixture::TimedResponse>>> first;
+    for (const auto& q : requests) first.push_back(fixture.send(q.method, q.path, q.body));
     for (auto& a : first) {
-      w.run_until([&] { return a->has_value(); });
+      fixture.run_until([&] { return a->has_value(); });
       EXPECT_EQ((*a)->response.status, 503);
       EXPECT_TRUE((*a)->response.retry_after_s);
       EXPECT_LT((*a)->after, ms(900));
     }
     for (int round = 0; round < 20; ++round) {
-      const auto& q = questions[round % std::size(questions)];
-      auto a = w.call(q.method, q.path, q.body);
+      const auto& q = requests[round % std::size(requests)];
+      auto a = fixture.call(q.method, q.path, q.body);
       EXPECT_EQ(a.response.status, 503);
       EXPECT_TRUE(a.response.retry_after_s);
       EXPECT_LT(a.after, ms(100)) << q.method << ' ' << q.path;
-      w.io.run_for(ms(50));
+      fixture.io.run_for(ms(50));
     }
   }
 }
 
 TEST(Api, ServesAgainSoonAfterAnOutage) {
-  ApiWorld w;
-  ASSERT_EQ(w.call("POST", "/v1/jobs", ApiWorld::job("run-000001")).response.status, 201);
-  w.state.down = true;
-  w.run_until([&] { return !w.watch_cache->is_responsive(); });
-  w.io.run_for(ms(2000));
-  w.state.down = false;
-  auto end = w.clock.now();
-  while (w.call("GET", "/v1/jobs/run-000001").response.status != 200 && w.clock.now() - end < ms(5000))
-    w.io.run_for(ms(10));
-  EXPECT_LT(w.clock.now() - end, ms(550));
+  ApiFixture fixture;
+  ASSERT_EQ(fixture.call("POST", "/v1/jobs", ApiFixture::job("run-000001")).response.status, 201);
+  fixture.state.down = true;
+  fixture.run_until([&] { return !fixture.watch_cache->is_responsive(); });
+  fixture.io.run_for(ms(2000));
+  fixture.state.down = false;
+  auto end = fixture.clock.now();
+  while (fixture.call("GET", "/v1/jobs/run-000001").response.status != 200 &&
+         fixture.clock.now() - end < ms(5000))
+    fixture.io.run_for(ms(10));
+  EXPECT_LT(fixture.clock.now() - end, ms(550));
 }
 
-// The answers to transactions are lost, the transactions are carried out.
-TEST(Api, LostAnswersAreReadBack) {
-  ApiWorld w;
-  w.state.txn_answers_lost = true;
-  auto a = w.call("POST", "/v1/jobs", ApiWorld::job("run-000001"));
+// A cancellation that another controller may not know of yet is shown to nobody: not in the response to the
+// cancellation, nor to a status request or a repeated submission after it.
+TEST(Api, ACancellationIsShownOnlyOnceItMayBeAcknowledged) {
+  struct Case {
+    const char* method;
+    std::string path, body;
+  };
+  const Case cases[] = {{"POST", "/v1/jobs/run-000001/withdraw", ""},
+                        {"GET", "/v1/jobs/run-000001", ""},
+                        {"POST", "/v1/jobs", ApiFixture::job("run-000001")},
+                        {"POST", "/v1/jobs/run-000001/withdraw", ""}};
+  ApiFixture fixture;
+  ASSERT_EQ(fixture.call("POST", "/v1/jobs", ApiFixture::job("run-000001")).response.status, 201);
+  for (bool may_acknowledge : {false, true}) {
+    fixture.may_acknowledge = may_acknowledge;
+    for (const auto& c : cases) {
+      const auto response = fixture.call(c.method, c.path, c.body).response;
+      EXPECT_EQ(response.status, may_acknowledge ? 200 : 503) << c.method << ' ' << c.path;
+      EXPECT_EQ(response.retry_after_s.has_value(), !may_acknowledge) << c.method << ' ' << c.path;
+      EXPECT_EQ(response.body.find("withdrawn") != std::string::npos, may_acknowledge) << response.body;
+    }
+  }
+}
+
+// What each path and method gets without a job.
+TEST(Api, RoutesByPathAndMethod) {
+  struct Case {
+    const char* method;
+    std::string path;
+    int status;
+  };
+  const Case cases[] = {{"GET", "/up", 200},
+                        {"POST", "/up", 405},
+                        {"GET", "/v1/jobs", 405},
+                        {"POST", "/v1/jobs", 400},
+                        {"GET", "/v1/jobs/run-000001", 404},
+                        {"POST", "/v1/jobs/run-000001", 405},
+                        {"GET", "/v1/jobs/run-000001/withdraw", 405},
+                        {"POST", "/v1/jobs/run-000001/withdraw", 404},
+                        {"GET", "/v1/jobs/run-000001/0", 404},
+                        {"GET", "/v1/jobs/", 404},
+                        {"GET", "/v1/jobsx", 404},
+                        {"GET", "/elsewhere", 404}};
+  ApiFixture fixture;
+  for (const auto& c : cases)
+    EXPECT_EQ(fixture.call(c.method, c.path).response.status, c.status) << c.method << ' ' << c.path;
+}
+
+// The responses to transactions are lost, the transactions are carried out.
+TEST(Api, LostResponsesAreReadBack) {
+  ApiFixture fixture;
+  fixture.state.txn_answers_lost = true;
+  auto a = fixture.call("POST", "/v1/jobs", ApiFixture::job("run-000001"));
   EXPECT_EQ(a.response.status, 201);
   EXPECT_LT(a.after, ms(300));
-  a = w.call("POST", "/v1/jobs/run-000001/withdraw");
+  a = fixture.call("POST", "/v1/jobs/run-000001/withdraw");
   EXPECT_EQ(a.response.status, 200);
   EXPECT_NE(a.response.body.find("withdrawn"), std::string::npos);
   EXPECT_LT(a.after, ms(300));
-  w.state.unanswered.clear();
+  fixture.state.unanswered.clear();
 }
 
 }  // namespace
