--- a/src/config/expr.cpp
+++ b/src/config/expr.cpp
@@ -4,223 +4,299 @@
 #include <cctype>
 #include <charconv>
 #include <cmath>
-#include <functional>
+#include <vector>
 
 namespace beaconsill::config {
 namespace {
 
-struct Controller {
+// An expression that was parsed and checked for its type.
+struct Expression {
   ExprType type;
-  std::function<double()> eval;  // no errors but division by zero are left for it to find
+  std::function<double()> evaluate;  // no errors but division by zero are left for it to find
 };
 
 constexpr int kMaxDepth = 64;
 
+Expression constant(ExprType type, double value) {
+  return {type, [value] { return value; }};
+}
+
+double truth(bool value) {
+  return value ? 1.0 : 0.0;
+}
+
+bool is_alphanumeric(char character) {
+  return std::isalnum(static_cast<unsigned char>(character)) || character == '_';
+}
+
+struct Comparison {
+  std::string_view symbol;
+  bool (*holds)(double, double);
+};
+
+// Longer symbols before those that they begin with.
+constexpr Comparison kComparisons[] = {{"==", [](double left, double right) { return left == right; }},
+                                       {"!=", [](double left, double right) { return left != right; }},
+                                       {"<=", [](double left, double right) { return left <= right; }},
+                                       {">=", [](double left, double right) { return left >= right; }},
+                                       {"<", [](double left, double right) { return left < right; }},
+                                       {">", [](double left, double right) { return left > right; }}};
+
+struct Unit {
+  std::string_view name;
+  double seconds;
+};
+
+constexpr Unit kUnits[] = {{"ms", 0.001}, {"s", 1}, {"m", 60}, {"h", 3600}};
+
+// A recursive-descent parser: a function for each level of precedence, the loosest first.
 class Parser {
  public:
   Parser(std::string_view text, const ExprNames& names) : text_(text), names_(names) {}
 
-  Controller parse() {
-    Controller n = choice();
-    space();
-    if (at_ != text_.size()) fail("something follows the expression");
-    return n;
+  Expression parse() {
+    auto expression = choice();
+    skip_space();
+    if (position_ != text_.size()) fail("something follows the expression");
+    return expression;
   }
 
  private:
   [[noreturn]] void fail(const std::string& reason) const {
-    throw ExprError("column " + std::to_string(at_ + 1) + ": " + reason);
+    throw ExprError("column " + std::to_string(position_ + 1) + ": " + reason);
   }
-  void space() {
-    while (at_ < text_.size() && std::isspace(static_cast<unsigned char>(text_[at_]))) ++at_;
+
+  void skip_space() {
+    while (position_ < text_.size() && std::isspace(static_cast<unsigned char>(text_[position_])))
+      ++position_;
   }
-  bool eat(std::string_view op) {
-    space();
-    if (!text_.substr(at_).starts_with(op)) return false;
-    at_ += op.size();
+
+  // Skips the symbol if it's next.
+  bool accept(std::string_view symbol) {
+    skip_space();
+    if (!text_.substr(position_).starts_with(symbol)) return false;
+    position_ += symbol.size();
     return true;
   }
-  void need(std::string_view op) {
-    if (!eat(op)) fail("expected '" + std::string(op) + "'");
+
+  void expect(std::string_view symbol) {
+    if (!accept(symbol)) fail("expected '" + std::string(symbol) + "'");
   }
-  void need_type(const Controller& n, ExprType t, std::string_view what) const {
-    if (n.type != t) fail(std::string(what) + " must be a " + type_name(t) + ", not a " + type_name(n.type));
+
+  void expect_type(const Expression& expression, ExprType type, std::string_view what) const {
+    if (expression.type == type) return;
+    fail(std::string(what) + " must be a " + type_name(type) + ", not a " + type_name(expression.type));
   }
 
-  // c ? a : b
-  Controller choice() {
+  void enter() {
     if (++depth_ > kMaxDepth) fail("nested too deeply");
-    Controller c = disjunction();
-    if (eat("?")) {
-      need_type(c, ExprType::kBool, "the condition before '?'");
-      Controller a = choice();
-      need(":");
-      Controller b = choice();
-      if (a.type != b.type) fail("both sides of ':' must be of one type");
-      c = {a.type, [c, a, b] { return c.eval() != 0 ? a.eval() : b.eval(); }};
+  }
+
+  void leave() { --depth_; }
+
+  // condition ? first : second
+  Expression choice() {
+    enter();
+    auto condition = disjunction();
+    if (accept("?")) {
+      expect_type(condition, ExprType::kBool, "the condition before '?'");
+      auto first = choice();
+      expect(":");
+      auto second = choice();
+      if (first.type != second.type) fail("both sides of ':' must be of one type");
+      condition = {first.type, [condition, first, second] {
+                     return condition.evaluate() != 0 ? first.evaluate() : second.evaluate();
+                   }};
     }
-    --depth_;
-    return c;
-  }
-  Controller disjunction() {
-    Controller l = conjunction();
-    while (eat("||")) {
-      Controller r = conjunction();
-      need_type(l, ExprType::kBool, "the left of '||'");
-      need_type(r, ExprType::kBool, "the right of '||'");
-      l = {ExprType::kBool, [l, r] { return l.eval() != 0 || r.eval() != 0 ? 1.0 : 0.0; }};
+    leave();
+    return condition;
+  }
+
+  Expression disjunction() {
+    auto left = conjunction();
+    while (accept("||")) {
+      auto right = conjunction();
+      expect_type(left, ExprType::kBool, "the left of '||'");
+      expect_type(right, ExprType::kBool, "the right of '||'");
+      left = {ExprType::kBool,
+              [left, right] { return truth(left.evaluate() != 0 || right.evaluate() != 0); }};
     }
-    return l;
-  }
-  Controller conjunction() {
-    Controller l = comparison();
-    while (eat("&&")) {
-      Controller r = comparison();
-      need_type(l, ExprType::kBool, "the left of '&&'");
-      need_type(r, ExprType::kBool, "the right of '&&'");
-      l = {ExprType::kBool, [l, r] { return l.eval() != 0 && r.eval() != 0 ? 1.0 : 0.0; }};
+    return left;
+  }
+
+  Expression conjunction() {
+    auto left = comparison();
+    while (accept("&&")) {
+      auto right = comparison();
+      expect_type(left, ExprType::kBool, "the left of '&&'");
+      expect_type(right, ExprType::kBool, "the right of '&&'");
+      left = {ExprType::kBool,
+              [left, right] { return truth(left.evaluate() != 0 && right.evaluate() != 0); }};
     }
-    return l;
-  }
-  Controller comparison() {
-    Controller l = sum();
-    static const std::vector<std::pair<std::string, std::function<bool(double, double)>>> kOps{
-        {"==", std::equal_to<>()},      {"!=", std::not_equal_to<>()}, {"<=", std::less_equal<>()},
-        {">=", std::greater_equal<>()}, {"<", std::less<>()},          {">", std::greater<>()}};
-    for (const auto& [op, holds] : kOps) {
-      if (!eat(op)) continue;
-      Controller r = sum();
-      if (l.type != r.type) fail("'" + op + "' compares values of one type");
-      return {ExprType::kBool, [l, r, &compare = holds] { return compare(l.eval(), r.eval()) ? 1.0 : 0.0; }};
+    return left;
+  }
+
+  Expression comparison() {
+    auto left = sum();
+    for (const auto& [symbol, holds] : kComparisons) {
+      if (!accept(symbol)) continue;
+      auto right = sum();
+      if (left.type != right.type) fail("'" + std::string(symbol) + "' compares values of one type");
+      return {ExprType::kBool,
+              [left, right, compare = holds] { return truth(compare(left.evaluate(), right.evaluate())); }};
     }
-    return l;
+    return left;
   }
-  Controller sum() {
-    Controller l = product();
+
+  Expression sum() {
+    auto left = product();
     for (;;) {
-      bool plus = eat("+");
-      if (!plus && !eat("-")) return l;
-      Controller r = product();
-      if (l.type != r.type || l.type == ExprType::kBool)
+      const bool plus = accept("+");
+      if (!plus && !accept("-")) return left;
+      auto right = product();
+      if (left.type != right.type || left.type == ExprType::kBool)
         fail("'+' and '-' take two numbers or two durations");
-      l = {l.type, [l, r, plus] { return plus ? l.eval() + r.eval() : l.eval() - r.eval(); }};
+      left = {left.type, [left, right, plus] {
+                return plus ? left.evaluate() + right.evaluate() : left.evaluate() - right.evaluate();
+              }};
     }
   }
-  Controller product() {
-    Controller l = unary();
+
+  Expression product() {
+    auto left = unary();
     for (;;) {
-      bool times = eat("*");
-      if (!times && !eat("/")) return l;
-      Controller r = unary();
-      if (l.type == ExprType::kBool || r.type == ExprType::kBool) fail("'*' and '/' take no truth values");
-      bool ld = l.type == ExprType::kDuration, rd = r.type == ExprType::kDuration;
-      if (times) {
-        if (ld && rd) fail("two durations can't be multiplied");
-        l = {ld || rd ? ExprType::kDuration : ExprType::kNumber, [l, r] { return l.eval() * r.eval(); }};
-      } else {
-        if (rd && !ld) fail("a number can't be divided by a duration");
-        l = {ld && !rd ? ExprType::kDuration : ExprType::kNumber, [l, r] {
-               double d = r.eval();
-               if (d == 0) throw ExprError("division by zero");
-               return l.eval() / d;
-             }};
-      }
+      const bool times = accept("*");
+      if (!times && !accept("/")) return left;
+      auto right = unary();
+      if (left.type == ExprType::kBool || right.type == ExprType::kBool)
+        fail("'*' and '/' take no truth values");
+      left = times ? multiplied(left, right) : divided(left, right);
     }
   }
-  Controller unary() {
-    if (++depth_ > kMaxDepth) fail("nested too deeply");
-    Controller n;
-    if (eat("!")) {
-      Controller x = unary();
-      need_type(x, ExprType::kBool, "the operand of '!'");
-      n = {ExprType::kBool, [x] { return x.eval() != 0 ? 0.0 : 1.0; }};
-    } else if (eat("-")) {
-      Controller x = unary();
-      if (x.type == ExprType::kBool) fail("'-' takes no truth value");
-      n = {x.type, [x] { return -x.eval(); }};
+
+  Expression multiplied(const Expression& left, const Expression& right) const {
+    const bool left_is_duration = left.type == ExprType::kDuration;
+    const bool right_is_duration = right.type == ExprType::kDuration;
+    if (left_is_duration && right_is_duration) fail("two durations can't be multiplied");
+    return {left_is_duration || right_is_duration ? ExprType::kDuration : ExprType::kNumber,
+            [left, right] { return left.evaluate() * right.evaluate(); }};
+  }
+
+  Expression divided(const Expression& left, const Expression& right) const {
+    const bool left_is_duration = left.type == ExprType::kDuration;
+    const bool right_is_duration = right.type == ExprType::kDuration;
+    if (right_is_duration && !left_is_duration) fail("a number can't be divided by a duration");
+    return {left_is_duration && !right_is_duration ? ExprType::kDuration : ExprType::kNumber, [left, right] {
+              const double divisor = right.evaluate();
+              if (divisor == 0) throw ExprError("division by zero");
+              return left.evaluate() / divisor;
+            }};
+  }
+
+  Expression unary() {
+    enter();
+    Expression result;
+    if (accept("!")) {
+      auto operand = unary();
+      expect_type(operand, ExprType::kBool, "the operand of '!'");
+      result = {ExprType::kBool, [operand] { return truth(operand.evaluate() == 0); }};
+    } else if (accept("-")) {
+      auto operand = unary();
+      if (operand.type == ExprType::kBool) fail("'-' takes no truth value");
+      result = {operand.type, [operand] { return -operand.evaluate(); }};
     } else {
-      n = primary();
+      result = primary();
     }
-    --depth_;
-    return n;
-  }
-  Controller primary() {
-    if (eat("(")) {
-      Controller n = choice();
-      need(")");
-      return n;
+    leave();
+    return result;
+  }
+
+  Expression primary() {
+    if (accept("(")) {
+      auto expression = choice();
+      expect(")");
+      return expression;
     }
-    space();
-    if (at_ >= text_.size()) fail("the expression ends too early");
-    char c = text_[at_];
-    if (std::isdigit(static_cast<unsigned char>(c)) || c == '.') return literal();
-    if (std::isalpha(static_cast<unsigned char>(c)) || c == '_') return name();
-    fail("unexpected '" + std::string(1, c) + "'");
-  }
-  std::string word() {
-    std::size_t b = at_;
-    while (at_ < text_.size() && (std::isalnum(static_cast<unsigned char>(text_[at_])) || text_[at_] == '_'))
-      ++at_;
-    return std::string(text_.substr(b, at_ - b));
-  }
-  Controller literal() {
-    double d = 0;
-    auto [p, ec] =
-        std::from_chars(text_.data() + at_, text_.data() + text_.size(), d, std::chars_format::fixed);
+    skip_space();
+    if (position_ >= text_.size()) fail("the expression ends too early");
+    const char next = text_[position_];
+    if (std::isdigit(static_cast<unsigned char>(next)) || next == '.') return literal();
+    if (std::isalpha(static_cast<unsigned char>(next)) || next == '_') return name();
+    fail("unexpected '" + std::string(1, next) + "'");
+  }
+
+  std::string identifier() {
+    const auto first = position_;
+    while (position_ < text_.size() && is_alphanumeric(text_[position_])) ++position_;
+    return std::string(text_.substr(first, position_ - first));
+  }
+
+  Expression literal() {
+    double value = 0;
+    const auto [parsed_to, ec] = std::from_chars(text_.data() + position_, text_.data() + text_.size(), value,
+                                                 std::chars_format::fixed);
     if (ec != std::errc()) fail("not a number");
-    at_ = static_cast<std::size_t>(p - text_.data());
-    std::string unit = word();
-    static const std::map<std::string, double> kUnits{{"ms", 0.001}, {"s", 1}, {"m", 60}, {"h", 3600}};
-    if (unit.empty()) return {ExprType::kNumber, [d] { return d; }};
-    auto u = kUnits.find(unit);
-    if (u == kUnits.end()) fail("unknown unit '" + unit + "' (ms, s, m, h)");
-    return {ExprType::kDuration, [v = d * u->second] { return v; }};
-  }
-  Controller name() {
-    std::string w = word();
-    if (w == "true" || w == "false") return {ExprType::kBool, [v = w == "true" ? 1.0 : 0.0] { return v; }};
-    if (eat("(")) return call(w);
-    auto it = names_.find(w);
-    if (it == names_.end()) fail("unknown name '" + w + "'");
-    return {it->second.type, [v = it->second.value] { return v; }};
-  }
-  Controller call(const std::string& f) {
-    std::vector<Controller> args;
-    if (!eat(")")) {
-      do args.push_back(choice());
-      while (eat(","));
-      need(")");
-    }
-    for (const auto& a : args)
-      if (a.type != args[0].type || a.type == ExprType::kBool)
-        fail(f + " takes numbers only, or durations only");
-    if (f == "min" || f == "max") {
-      if (args.empty()) fail(f + " needs an argument");
-      bool least = f == "min";
-      return {args[0].type, [args, least] {
-                double best = args[0].eval();
-                for (const auto& a : args) best = least ? std::min(best, a.eval()) : std::max(best, a.eval());
-                return best;
-              }};
-    }
-    if (f == "clamp") {
-      if (args.size() != 3) fail("clamp takes three arguments");
-      return {args[0].type,
-              [args] { return std::max(args[1].eval(), std::min(args[0].eval(), args[2].eval())); }};
-    }
-    fail("unknown function '" + f + "'");
+    position_ = static_cast<std::size_t>(parsed_to - text_.data());
+    const auto unit = identifier();
+    if (unit.empty()) return constant(ExprType::kNumber, value);
+    for (const auto& [unit_name, seconds] : kUnits)
+      if (unit == unit_name) return constant(ExprType::kDuration, value * seconds);
+    fail("unknown unit '" + unit + "' (ms, s, m, h)");
+  }
+
+  Expression name() {
+    const auto identifier_text = identifier();
+    if (identifier_text == "true" || identifier_text == "false")
+      return constant(ExprType::kBool, truth(identifier_text == "true"));
+    if (accept("(")) return call(identifier_text);
+    auto it = names_.find(identifier_text);
+    if (it == names_.end()) fail("unknown name '" + identifier_text + "'");
+    return constant(it->second.type, it->second.value);
+  }
+
+  std::vector<Expression> arguments() {
+    std::vector<Expression> list;
+    if (accept(")")) return list;
+    do list.push_back(choice());
+    while (accept(","));
+    expect(")");
+    return list;
+  }
+
+  Expression call(const std::string& function) {
+    const auto list = arguments();
+    for (const auto& argument : list)
+      if (argument.type != list[0].type || argument.type == ExprType::kBool)
+        fail(function + " takes numbers only, or durations only");
+    if (function == "min" || function == "max") return extremum(function, list);
+    if (function != "clamp") fail("unknown function '" + function + "'");
+    if (list.size() != 3) fail("clamp takes three arguments");
+    return {list[0].type, [list] {
+              return std::max(list[1].evaluate(), std::min(list[0].evaluate(), list[2].evaluate()));
+            }};
+  }
+
+  Expression extremum(const std::string& function, const std::vector<Expression>& list) const {
+    if (list.empty()) fail(function + " needs an argument");
+    const bool least = function == "min";
+    return {list[0].type, [list, least] {
+              double best = list[0].evaluate();
+              for (const auto& argument : list)
+                best = least ? std::min(best, argument.evaluate()) : std::max(best, argument.evaluate());
+              return best;
+            }};
   }
 
   std::string_view text_;
   const ExprNames& names_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   int depth_ = 0;
 };
 
 }  // namespace
 
-const char* type_name(ExprType t) {
-  switch (t) {
+const char* type_name(ExprType type) {
+  switch (type) {
     case ExprType::kNumber:
       return "number";
     case ExprType::kDuration:
@@ -232,10 +308,10 @@
 }
 
 ExprValue evaluate(std::string_view text, const ExprNames& names) {
-  Controller n = Parser(text, names).parse();
-  double v = n.eval();
-  if (!std::isfinite(v)) throw ExprError("the result is not finite");
-  return {n.type, v};
+  const auto expression = Parser(text, names).parse();
+  const double value = expression.evaluate();
+  if (!std::isfinite(value)) throw ExprError("the result is not finite");
+  return {expression.type, value};
 }
 
 }  // namespace beaconsill::config
--- a/src/config/expr.h
+++ b/src/config/expr.h
@@ -9,17 +9,16 @@
 // but not added, two durations divide to a number.
 #pragma once
 
+#include <functional>
 #include <map>
-#include <memory>
 #include <stdexcept>
 #include <string>
 #include <string_view>
-#include <vector>
 
 namespace beaconsill::config {
 
 enum class ExprType { kNumber, kDuration, kBool };
-const char* type_name(ExprType t);
+const char* type_name(ExprType type);
 
 struct ExprValue {
   ExprType type = ExprType::kNumber;
--- a/src/config/policy.cpp
+++ b/src/config/policy.cpp
@@ -1,7 +1,6 @@
 #include "config/policy.h"
 
 #include <algorithm>
-#include <cmath>
 #include <fstream>
 #include <functional>
 #include <map>
@@ -21,141 +20,169 @@
   std::function<void(Policy&, double)> set;
 };
 
-// Whatever the aims say, the largest jobs have to begin within four minutes.
-constexpr double kLongestAimOfAllSeconds = 240;
+// Whatever the objectives say, the largest jobs have to begin within four minutes.
+constexpr double kMaxObjectiveSeconds = 240;
 
-// The longest time that an aim leaves a job to start or to complete in: what waits beyond that has missed all
-// its aims. Deadlines don't count here, since they are each job's own.
-double longest_aim_s(const Settings& s) {
+// The longest time that an objective leaves a job to start or to complete in: what waits beyond that has
+// missed all its objectives. Deadlines don't count here, since they are each job's own.
+double longest_objective_s(const Settings& settings) {
   double longest = 0;
-  for (const auto& o : s.objectives)
-    if (o.kind == "wait" || o.kind == "finished") longest = std::max(longest, o.within_s);
-  return longest > 0 ? std::min(longest, kLongestAimOfAllSeconds) : kLongestAimOfAllSeconds;
+  for (const auto& objective : settings.objectives)
+    if (objective.kind == "wait" || objective.kind == "finished")
+      longest = std::max(longest, objective.within_s);
+  return longest > 0 ? std::min(longest, kMaxObjectiveSeconds) : kMaxObjectiveSeconds;
+}
+
+// Sets a duration of the policy, from seconds.
+std::function<void(Policy&, double)> duration_setter(Duration Policy::*member) {
+  return [member](Policy& policy, double seconds) { policy.*member = from_seconds(seconds); };
 }
 
 const std::vector<PolicyVariableSpec>& specs() {
   static const std::vector<PolicyVariableSpec> kSpecs{
       {"reply_wait", ExprType::kDuration, "2s", 0.01, 60,
-       "wait for a part's estimate before its summary is used",
-       [](Policy& p, double v) { p.reply_wait = from_seconds(v); }},
+       "wait for a shard's estimate before its summary is used", duration_setter(&Policy::reply_wait)},
       {"task_cap", ExprType::kNumber, "64", 1, 100000, "most tasks on one machine",
-       [](Policy& p, double v) { p.task_cap = static_cast<std::uint32_t>(v); }},
-      {"summary_period", ExprType::kDuration, "10s", 0.1, 600, "period of the free-room summaries",
-       [](Policy& p, double v) { p.summary_period = from_seconds(v); }},
+       [](Policy& policy, double value) { policy.task_cap = static_cast<std::uint32_t>(value); }},
+      {"summary_period", ExprType::kDuration, "10s", 0.1, 600, "period of the capacity summaries",
+       duration_setter(&Policy::summary_period)},
       {"reserve", ExprType::kNumber, "0", 0, 0.9, "share of a machine that arrays leave free for services",
-       [](Policy& p, double v) { p.reserve = v; }},
+       [](Policy& policy, double value) { policy.reserve = value; }},
       {"grace", ExprType::kDuration, "max(4 * report_period, lease / 2)", 0.5, 600,
-       "silence after which a machine is deleted, which proves it gone",
-       [](Policy& p, double v) { p.grace = from_seconds(v); }},
+       "silence after which a machine is deleted, which proves it terminated",
+       duration_setter(&Policy::grace)},
       {"idle_return", ExprType::kDuration, "120s", 1, 86400, "idle time after which a machine is returned",
-       [](Policy& p, double v) { p.idle_return = from_seconds(v); }},
+       duration_setter(&Policy::idle_return)},
       {"quiet_return", ExprType::kDuration, "40s", 1, 86400, "the same when no job is left at all",
-       [](Policy& p, double v) { p.quiet_return = from_seconds(v); }},
+       duration_setter(&Policy::quiet_return)},
       {"home_delay", ExprType::kDuration, "15s", 0, 86400,
-       "how long a part's home node is well before it gets it back",
-       [](Policy& p, double v) { p.home_delay = from_seconds(v); }},
+       "how long a shard's preferred controller is well before the shard fails back to it",
+       duration_setter(&Policy::home_delay)},
       // Within a minute the order by due times does better than the order by age. The head of the queue is no
-      // room yet: tasks have to end first, and until 1.3 times the wait work of higher priority goes before.
-      // That and a large job's share of rounds have to fit into the four minutes.
+      // capacity yet: tasks have to end first, and until 1.3 times the wait work of higher priority goes
+      // before. That and a large job's share of rounds have to fit into the four minutes.
       {"longest_wait", ExprType::kDuration, "clamp(longest_aim, 60s, 150s)", 1, 86400,
        "how long a job may get nothing before it goes to the head of the queue",
-       [](Policy& p, double v) { p.longest_wait = from_seconds(v); }},
+       duration_setter(&Policy::longest_wait)},
   };
   return kSpecs;
 }
 
-ExprNames names_for(const Settings& s) {
-  auto number = [](double v) { return ExprValue{ExprType::kNumber, v}; };
-  auto duration = [](double v) { return ExprValue{ExprType::kDuration, v}; };
-  return {{"report_period", duration(s.report_s)},
-          {"lease", duration(s.lease_s)},
-          {"cancel_limit", duration(s.cancel_s)},
-          {"list_lag", duration(s.list_lag_s)},
-          {"longest_aim", duration(longest_aim_s(s))},
-          {"controllers", number(static_cast<double>(s.controllers()))},
-          {"zones", number(static_cast<double>(s.zones.size()))},
-          {"teams", number(static_cast<double>(s.teams.size()))},
-          {"state_rate", number(s.state_rps)},
-          {"state_write_rate", number(s.state_write_rps)},
-          {"cloud_rate", number(s.cloud_rps)},
-          {"cpu_share", number(s.cpu_share)},
-          {"memory_mb", number(s.memory_mb)},
-          {"connections", number(static_cast<double>(s.max_connections))}};
+const PolicyVariableSpec* find_spec(std::string_view name) {
+  for (const auto& spec : specs())
+    if (name == spec.name) return &spec;
+  return nullptr;
+}
+
+ExprNames names_for(const Settings& settings) {
+  auto number = [](double value) { return ExprValue{ExprType::kNumber, value}; };
+  auto duration = [](double seconds) { return ExprValue{ExprType::kDuration, seconds}; };
+  return {{"report_period", duration(settings.report_s)},
+          {"lease", duration(settings.lease_s)},
+          {"cancel_limit", duration(settings.cancel_s)},
+          {"list_lag", duration(settings.list_lag_s)},
+          {"longest_aim", duration(longest_objective_s(settings))},
+          {"controllers", number(static_cast<double>(settings.controllers()))},
+          {"zones", number(static_cast<double>(settings.zones.size()))},
+          {"teams", number(static_cast<double>(settings.teams.size()))},
+          {"state_rate", number(settings.state_rps)},
+          {"state_write_rate", number(settings.state_write_rps)},
+          {"cloud_rate", number(settings.cloud_rps)},
+          {"cpu_share", number(settings.cpu_share)},
+          {"memory_mb", number(settings.memory_mb)},
+          {"connections", number(static_cast<double>(settings.max_connections))}};
+}
+
+std::string_view trim(std::string_view text) {
+  const auto first = text.find_first_not_of(" \t\r");
+  if (first == std::string_view::npos) return {};
+  return text.substr(first, text.find_last_not_of(" \t\r") - first + 1);
 }
 
-std::string_view trim(std::string_view s) {
-  auto b = s.find_first_not_of(" \t\r");
-  if (b == std::string_view::npos) return {};
-  return s.substr(b, s.find_last_not_of(" \t\r") - b + 1);
+// Sets one variable. Throws ConfigError, whose text begins with `where`.
+class PolicyBuilder {
+ public:
+  explicit PolicyBuilder(const Settings& settings) : names_(names_for(settings)) {}
+
+  void set(const PolicyVariableSpec& spec, std::string_view expression, const std::string& where) {
+    try {
+      spec.set(policy_, checked_value(spec, expression));
+    } catch (const ExprError& error) {
+      throw ConfigError(where + spec.name + ": " + error.what());
+    }
+  }
+  const Policy& policy() const { return policy_; }
+
+ private:
+  double checked_value(const PolicyVariableSpec& spec, std::string_view expression) const {
+    const auto result = evaluate(expression, names_);
+    if (result.type != spec.type)
+      throw ExprError(std::string("must be a ") + type_name(spec.type) + ", not a " + type_name(result.type));
+    if (result.value < spec.low || result.value > spec.high) {
+      std::ostringstream reason;
+      reason << "is " << result.value << ", must lie between " << spec.low << " and " << spec.high;
+      throw ExprError(reason.str());
+    }
+    return result.value;
+  }
+
+  ExprNames names_;
+  Policy policy_{};
+};
+
+// Takes the next line off the text, without its comment.
+std::string_view take_line(std::string_view& text) {
+  const auto end = text.find('\n');
+  const auto line = text.substr(0, end);
+  text.remove_prefix(end == std::string_view::npos ? text.size() : end + 1);
+  return trim(line.substr(0, line.find('#')));
 }
 
 }  // namespace
 
 std::vector<PolicyVariable> default_variables() {
-  std::vector<PolicyVariable> v;
-  for (const auto& k : specs()) v.push_back({k.name, type_name(k.type), k.expression, k.meaning});
-  return v;
+  std::vector<PolicyVariable> variables;
+  for (const auto& spec : specs())
+    variables.push_back({spec.name, type_name(spec.type), spec.expression, spec.meaning});
+  return variables;
 }
 
-std::string describe_names(const Settings& s) {
-  std::ostringstream os;
-  for (const auto& [name, v] : names_for(s))
-    os << "  " << name << " (" << type_name(v.type) << ") = " << v.value << '\n';
-  return os.str();
+std::string describe_names(const Settings& settings) {
+  std::ostringstream text;
+  for (const auto& [name, value] : names_for(settings))
+    text << "  " << name << " (" << type_name(value.type) << ") = " << value.value << '\n';
+  return text.str();
 }
 
-Policy parse_policy(std::string_view text, const std::string& path, const Settings& s) {
-  Policy policy{};
-  auto names = names_for(s);
-  auto apply = [&](const PolicyVariableSpec& k, std::string_view expression, const std::string& where) {
-    try {
-      auto v = evaluate(expression, names);
-      if (v.type != k.type)
-        throw ExprError(std::string("must be a ") + type_name(k.type) + ", not a " + type_name(v.type));
-      if (v.value < k.low || v.value > k.high) {
-        std::ostringstream os;
-        os << "is " << v.value << ", must lie between " << k.low << " and " << k.high;
-        throw ExprError(os.str());
-      }
-      k.set(policy, v.value);
-    } catch (const ExprError& e) {
-      throw ConfigError(where + k.name + ": " + e.what());
-    }
-  };
-  for (const auto& k : specs()) apply(k, k.expression, "defaults: ");
-  std::map<std::string, int, std::less<>> seen;
-  int line_number = 0;
-  while (!text.empty()) {
-    ++line_number;
-    auto end = text.find('\n');
-    auto line = text.substr(0, end);
-    text.remove_prefix(end == std::string_view::npos ? text.size() : end + 1);
-    line = trim(line.substr(0, line.find('#')));
+Policy parse_policy(std::string_view text, const std::string& path, const Settings& settings) {
+  PolicyBuilder builder(settings);
+  for (const auto& spec : specs()) builder.set(spec, spec.expression, "defaults: ");
+  std::map<std::string, int, std::less<>> first_lines;  // by the variable that is set there
+  for (int line_number = 1; !text.empty(); ++line_number) {
+    const auto line = take_line(text);
     if (line.empty()) continue;
-    auto where = path + ":" + std::to_string(line_number) + ": ";
-    auto eq = line.find('=');
-    if (eq == std::string_view::npos) throw ConfigError(where + "expected name = expression");
-    auto name = trim(line.substr(0, eq));
-    const PolicyVariableSpec* spec = nullptr;
-    for (const auto& k : specs())
-      if (name == k.name) spec = &k;
+    const auto where = path + ":" + std::to_string(line_number) + ": ";
+    const auto equals = line.find('=');
+    if (equals == std::string_view::npos) throw ConfigError(where + "expected name = expression");
+    const auto name = trim(line.substr(0, equals));
+    const auto* spec = find_spec(name);
     if (!spec) throw ConfigError(where + "unknown setting '" + std::string(name) + "'");
-    auto [it, fresh] = seen.emplace(name, line_number);
-    if (!fresh)
+    const auto [it, inserted] = first_lines.emplace(name, line_number);
+    if (!inserted)
       throw ConfigError(where + std::string(name) + ": is set twice, first in line " +
                         std::to_string(it->second));
-    apply(*spec, trim(line.substr(eq + 1)), where);
+    builder.set(*spec, trim(line.substr(equals + 1)), where);
   }
-  return policy;
+  return builder.policy();
 }
 
-Policy load_policy(const std::string& path, const Settings& s) {
-  if (path.empty()) return parse_policy("", "defaults", s);
-  std::ifstream in(path);
-  if (!in) throw ConfigError(path + ": cannot be read");
+Policy load_policy(const std::string& path, const Settings& settings) {
+  if (path.empty()) return parse_policy("", "defaults", settings);
+  std::ifstream file(path);
+  if (!file) throw ConfigError(path + ": cannot be read");
   std::ostringstream text;
-  text << in.rdbuf();
-  return parse_policy(text.str(), path, s);
+  text << file.rdbuf();
+  return parse_policy(text.str(), path, settings);
 }
 
 }  // namespace beaconsill::config
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,4 +1,4 @@
-// The parts of HTTP/1.1 that server and client share.
+// What the HTTP/1.1 server and client share.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -21,12 +21,12 @@
 
 struct Response {
   int status = 200;
-  std::string body;
+  std::string body;  // JSON
   std::optional<int> retry_after_s;
-  bool close = false;
+  bool close = false;  // close the connection after it
 };
 
-// "10.0.0.1:8080"; addresses are IP numbers, there are no name look-ups.
+// "10.0.0.1:8080"; addresses are IP numbers, there are no name look-ups. None: the text is no such address.
 std::optional<Tcp::endpoint> parse_endpoint(std::string_view text);
 
 }  // namespace beaconsill::net
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -3,6 +3,7 @@
 
 #include <asio/io_context.hpp>
 #include <asio/steady_timer.hpp>
+#include <cstddef>
 #include <deque>
 #include <functional>
 #include <memory>
@@ -13,43 +14,50 @@
 
 namespace beaconsill::net {
 
+// The result of a request.
 struct Result {
-  // No status: there was no answer. `sent` then tells whether the request may have been executed, or may
-  // still be.
-  int status = 0;
-  bool sent = false;
+  int status = 0;     // 0: there was no response
+  bool sent = false;  // without a response: it may have been executed, or may still be
   std::string body;
   std::optional<int> retry_after_s;
   bool answered() const { return status != 0; }
 };
 
+// Used on the thread of the io_context.
 class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
   using Callback = std::function<void(Result)>;
   HttpClient(asio::io_context& io, Tcp::endpoint to, std::size_t max_connections);
   ~HttpClient();
+  // `target`: path and query. `done` is called once, within `timeout`, and never before this returns.
   void request(const std::string& method, const std::string& target, const std::string& body,
                Duration timeout, Callback done);
-  // Closes everything; requests under way are called back with no answer.
+  // Closes everything; requests under way are called back without a response.
   void stop();
 
  private:
   class Connection;
-  struct Job {
+  struct PendingRequest {
     std::string text;
     Instant deadline;
     Callback done;
-    bool head = false;
   };
-  void pump();
-  void release(Connection* c);
+  std::string format(const std::string& method, const std::string& target, const std::string& body) const;
+  // Gives queued requests to connections, as far as there are free ones.
+  void dispatch();
+  // A connection that is free; null: all are in use.
+  std::shared_ptr<Connection> free_connection();
+  // Queued requests expire by themselves, all in one timer.
+  void arm_expiry();
   void expire();
+  // The connection is free, or closed.
+  void release(Connection* connection);
 
   asio::io_context& io_;
   Tcp::endpoint to_;
-  std::size_t max_;
-  asio::steady_timer timer_;
-  std::deque<Job> queue_;
+  std::size_t max_connections_;
+  asio::steady_timer expiry_timer_;
+  std::deque<PendingRequest> queue_;
   std::vector<std::shared_ptr<Connection>> connections_;
   bool stopped_ = false;
 };
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -1,37 +1,44 @@
 #include "net/http_server.h"
 
-#include <http_parser.h>
-
 #include <array>
-#include <asio/read.hpp>
+#include <asio/steady_timer.hpp>
 #include <asio/write.hpp>
-#include <charconv>
+#include <utility>
 
-#include "base/log.h"
+#include "net/message_parser.h"
 
 namespace beaconsill::net {
-
-std::optional<Tcp::endpoint> parse_endpoint(std::string_view text) {
-  auto colon = text.rfind(':');
-  if (colon == std::string_view::npos) return std::nullopt;
-  std::error_code ec;
-  auto address = asio::ip::make_address(std::string(text.substr(0, colon)), ec);
-  std::uint16_t port = 0;
-  const char* end = text.data() + text.size();
-  auto [p, err] = std::from_chars(text.data() + colon + 1, end, port);
-  if (ec || err != std::errc() || p != end) return std::nullopt;
-  return Tcp::endpoint(address, port);
+namespace {
+
+constexpr std::size_t kReadBufferBytes = 4096;
+constexpr int kBadRequest = 400;
+constexpr int kBodyTooLarge = 413;
+constexpr int kHeaderTooLarge = 431;
+
+std::string format(const Response& response, bool keep_alive) {
+  std::string text =
+      "HTTP/1.1 " + std::to_string(response.status) + ' ' +
+      http_status_str(static_cast<http_status>(response.status)) +
+      "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(response.body.size()) +
+      "\r\n";
+  if (response.retry_after_s) text += "Retry-After: " + std::to_string(*response.retry_after_s) + "\r\n";
+  if (!keep_alive) text += "Connection: close\r\n";
+  text += "\r\n";
+  text += response.body;
+  return text;
 }
 
-class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
+}  // namespace
+
+class HttpServer::Connection : public MessageParser::Sink, public std::enable_shared_from_this<Connection> {
  public:
   Connection(std::shared_ptr<HttpServer> server, Tcp::socket socket)
-      : server_(std::move(server)), socket_(std::move(socket)), timer_(server_->io_) {
-    http_parser_init(&parser_, HTTP_REQUEST);
-    parser_.data = this;
-  }
+      : server_(std::move(server)),
+        socket_(std::move(socket)),
+        phase_timer_(server_->io_),
+        parser_(HTTP_REQUEST, *this) {}
 
-  void start(std::list<std::shared_ptr<Connection>>::iterator place) {
+  void start(Connections::iterator place) {
     place_ = place;
     std::error_code ec;
     socket_.set_option(Tcp::no_delay(true), ec);
@@ -44,126 +51,112 @@
     closed_ = true;
     std::error_code ec;
     socket_.close(ec);
-    timer_.cancel();
-    if (user_) --server_->users_;
-    server_->open_.erase(place_);
+    phase_timer_.cancel();
+    if (is_user_) --server_->user_connections_;
+    server_->connections_.erase(place_);
   }
 
   bool idle() const { return phase_ == Phase::kIdle; }
 
+  bool on_target(std::string_view text) override {
+    target_.append(text);
+    return count_header(text);
+  }
+  bool on_header_field(std::string_view text) override { return count_header(text); }
+  bool on_header_value(std::string_view text) override { return count_header(text); }
+  bool on_body(std::string_view text) override {
+    if (request_.body.size() + text.size() > server_->limits_.max_body) {
+      refusal_ = kBodyTooLarge;
+      return false;
+    }
+    request_.body.append(text);
+    return true;
+  }
+
  private:
   enum class Phase { kIdle, kReceiving, kHandling, kSending };
 
-  static Connection& self(http_parser* p) { return *static_cast<Connection*>(p->data); }
-
-  static const http_parser_settings& settings() {
-    static const http_parser_settings kSettings = [] {
-      http_parser_settings t;
-      http_parser_settings_init(&t);
-      t.on_url = [](http_parser* p, const char* at, size_t n) {
-        self(p).target_.append(at, n);
-        return self(p).header_ok(n);
-      };
-      t.on_header_field = [](http_parser* p, const char*, size_t n) { return self(p).header_ok(n); };
-      t.on_header_value = [](http_parser* p, const char*, size_t n) { return self(p).header_ok(n); };
-      t.on_body = [](http_parser* p, const char* at, size_t n) {
-        auto& c = self(p);
-        if (c.request_.body.size() + n > c.server_->limits_.max_body) {
-          c.refusal_ = 413;
-          return 1;
-        }
-        c.request_.body.append(at, n);
-        return 0;
-      };
-      t.on_message_complete = [](http_parser* p) {
-        self(p).complete_ = true;
-        // Whatever follows waits for the answer: requests are served one at a time.
-        http_parser_pause(p, 1);
-        return 0;
-      };
-      return t;
-    }();
-    return kSettings;
-  }
-
-  int header_ok(std::size_t n) {
-    header_bytes_ += n;
-    if (header_bytes_ <= server_->limits_.max_header) return 0;
-    refusal_ = 431;
-    return 1;
+  bool count_header(std::string_view text) {
+    header_bytes_ += text.size();
+    if (header_bytes_ <= server_->limits_.max_header) return true;
+    refusal_ = kHeaderTooLarge;
+    return false;
   }
 
-  void arm(Duration d) {
-    timer_.expires_after(d);
-    timer_.async_wait([me = shared_from_this()](std::error_code ec) {
-      if (!ec && me->timer_.expiry() <= std::chrono::steady_clock::now()) me->close();
+  // Closes the connection unless the phase ends within this time.
+  void arm(Duration limit) {
+    phase_timer_.expires_after(limit);
+    phase_timer_.async_wait([self = shared_from_this()](std::error_code ec) {
+      if (!ec && self->phase_timer_.expiry() <= std::chrono::steady_clock::now()) self->close();
     });
   }
 
   void read() {
     socket_.async_read_some(asio::buffer(buffer_),
-                            [me = shared_from_this()](std::error_code ec, std::size_t n) {
-                              if (me->closed_) return;
-                              if (ec) return me->close();
-                              if (me->phase_ == Phase::kIdle) {
-                                me->phase_ = Phase::kReceiving;
-                                me->arm(me->server_->limits_.receive);
-                              }
-                              me->pending_.append(me->buffer_.data(), n);
-                              me->parse();
+                            [self = shared_from_this()](std::error_code ec, std::size_t size) {
+                              if (self->closed_) return;
+                              if (ec) return self->close();
+                              self->on_bytes({self->buffer_.data(), size});
                             });
   }
 
-  void parse() {
-    std::size_t used = http_parser_execute(&parser_, &settings(), pending_.data(), pending_.size());
-    auto err = HTTP_PARSER_ERRNO(&parser_);
-    if (err == HPE_PAUSED) {
-      // A paused parser has not consumed the byte that it stopped at.
-      http_parser_pause(&parser_, 0);
-    } else if (err != HPE_OK || parser_.upgrade) {
-      return send({refusal_ ? refusal_ : 400, R"({"error":"malformed request"})", std::nullopt, true});
+  void on_bytes(std::string_view bytes) {
+    if (phase_ == Phase::kIdle) {
+      phase_ = Phase::kReceiving;
+      arm(server_->limits_.receive);
     }
-    pending_.erase(0, used);
-    if (complete_) return handle();
+    received_.append(bytes);
+    parse();
+  }
+
+  void parse() {
+    const auto progress = parser_.parse(received_);
+    if (progress.status == MessageParser::Status::kMalformed)
+      return send({refusal_.value_or(kBadRequest), R"({"error":"malformed request"})", std::nullopt, true});
+    received_.erase(0, progress.consumed);
+    if (progress.status == MessageParser::Status::kComplete) return handle();
     read();
   }
 
   void handle() {
     phase_ = Phase::kHandling;
-    timer_.cancel();
-    keep_alive_ = http_should_keep_alive(&parser_) != 0;
-    request_.method = http_method_str(static_cast<http_method>(parser_.method));
-    auto q = target_.find('?');
-    request_.path = target_.substr(0, q);
-    if (q != std::string::npos) request_.query = target_.substr(q + 1);
-    if (server_->is_user_(request_) && !user_) {
-      if (server_->users_ >= server_->limits_.max_user_connections)
-        return send({503, R"({"error":"too many connections"})", 1, true});
-      user_ = true;
-      ++server_->users_;
-    }
-    server_->handler_(std::move(request_), [weak = weak_from_this(), once = ++serial_](Response r) {
-      auto me = weak.lock();
-      if (me && !me->closed_ && me->serial_ == once && me->phase_ == Phase::kHandling) me->send(std::move(r));
-    });
+    phase_timer_.cancel();
+    keep_alive_ = parser_.keep_alive();
+    request_.method = parser_.method();
+    const auto query = target_.find('?');
+    request_.path = target_.substr(0, query);
+    if (query != std::string::npos) request_.query = target_.substr(query + 1);
+    if (!count_user()) return send({503, R"({"error":"too many connections"})", 1, true});
+    server_->handler_(std::move(request_),
+                      [weak = weak_from_this(), serial = ++request_serial_](Response response) {
+                        auto self = weak.lock();
+                        if (self && self->awaits_response(serial)) self->send(std::move(response));
+                      });
+  }
+
+  // Counts the connection against the users' limit if its request is a user's. False: there are too many.
+  bool count_user() {
+    if (is_user_ || !server_->is_user_(request_)) return true;
+    if (server_->user_connections_ >= server_->limits_.max_user_connections) return false;
+    is_user_ = true;
+    ++server_->user_connections_;
+    return true;
   }
 
-  void send(Response r) {
+  bool awaits_response(std::uint64_t serial) const {
+    return !closed_ && request_serial_ == serial && phase_ == Phase::kHandling;
+  }
+
+  void send(const Response& response) {
     phase_ = Phase::kSending;
-    if (r.close) keep_alive_ = false;
-    out_ = "HTTP/1.1 " + std::to_string(r.status) + ' ' +
-           http_status_str(static_cast<http_status>(r.status)) +
-           "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(r.body.size()) + "\r\n";
-    if (r.retry_after_s) out_ += "Retry-After: " + std::to_string(*r.retry_after_s) + "\r\n";
-    if (!keep_alive_) out_ += "Connection: close\r\n";
-    out_ += "\r\n";
-    out_ += r.body;
+    if (response.close) keep_alive_ = false;
+    out_ = format(response, keep_alive_);
     arm(server_->limits_.send);
     asio::async_write(socket_, asio::buffer(out_),
-                      [me = shared_from_this()](std::error_code ec, std::size_t) {
-                        if (me->closed_) return;
-                        if (ec || !me->keep_alive_) return me->close();
-                        me->next();
+                      [self = shared_from_this()](std::error_code ec, std::size_t) {
+                        if (self->closed_) return;
+                        if (ec || !self->keep_alive_) return self->close();
+                        self->next();
                       });
   }
 
@@ -173,10 +166,9 @@
     out_.clear();
     out_.shrink_to_fit();
     header_bytes_ = 0;
-    complete_ = false;
-    // The queue of connections is kept by the time of their last answer.
-    server_->open_.splice(server_->open_.end(), server_->open_, place_);
-    if (pending_.empty()) {
+    // The list of connections is kept by the time of their last response.
+    server_->connections_.splice(server_->connections_.end(), server_->connections_, place_);
+    if (received_.empty()) {
       phase_ = Phase::kIdle;
       arm(server_->limits_.idle);
       return read();
@@ -188,89 +180,61 @@
 
   std::shared_ptr<HttpServer> server_;
   Tcp::socket socket_;
-  asio::steady_timer timer_;
-  std::list<std::shared_ptr<Connection>>::iterator place_;
-  http_parser parser_;
-  std::array<char, 4096> buffer_;
-  std::string pending_;
+  asio::steady_timer phase_timer_;
+  Connections::iterator place_;
+  MessageParser parser_;
+  std::array<char, kReadBufferBytes> buffer_;
+  std::string received_;  // and not parsed yet
   std::string target_;
   std::string out_;
   Request request_;
   std::size_t header_bytes_ = 0;
-  std::uint64_t serial_ = 0;
-  int refusal_ = 0;
+  std::uint64_t request_serial_ = 0;
+  std::optional<int> refusal_;  // the status for a request that exceeds a limit
   Phase phase_ = Phase::kIdle;
-  bool complete_ = false;
   bool keep_alive_ = true;
-  bool user_ = false;
+  bool is_user_ = false;
   bool closed_ = false;
 };
 
 HttpServer::HttpServer(asio::io_context& io, const Tcp::endpoint& at, ServerLimits limits, IsUser is_user,
                        Handler handler)
     : io_(io),
-      acceptor_(io),
-      pause_(io),
+      listener_(io, at),
       limits_(limits),
       is_user_(std::move(is_user)),
-      handler_(std::move(handler)) {
-  acceptor_.open(at.protocol());
-  acceptor_.set_option(Tcp::acceptor::reuse_address(true));
-  acceptor_.bind(at);
-  acceptor_.listen();
-}
+      handler_(std::move(handler)) {}
 
 HttpServer::~HttpServer() = default;
 
-Tcp::endpoint HttpServer::local() const {
-  return acceptor_.local_endpoint();
-}
-
 void HttpServer::start() {
-  accept();
+  listener_.start([self = shared_from_this()](Tcp::socket socket) { self->on_accept(std::move(socket)); });
 }
 
 void HttpServer::stop() {
-  stopped_ = true;
-  std::error_code ec;
-  acceptor_.close(ec);
-  pause_.cancel();
-  while (!open_.empty()) {
-    auto c = open_.front();
-    c->close();
+  listener_.stop();
+  while (!connections_.empty()) {
+    auto connection = connections_.front();
+    connection->close();
   }
 }
 
-bool HttpServer::make_room() {
-  if (open_.size() < limits_.max_connections) return true;
-  for (auto& c : open_) {
-    if (!c->idle()) continue;
-    auto victim = c;
-    victim->close();
+bool HttpServer::evict_idle() {
+  if (connections_.size() < limits_.max_connections) return true;
+  for (auto& connection : connections_) {
+    if (!connection->idle()) continue;
+    auto evicted = connection;
+    evicted->close();
     return true;
   }
   return false;
 }
 
-void HttpServer::accept() {
-  acceptor_.async_accept([me = shared_from_this()](std::error_code ec, Tcp::socket socket) {
-    if (me->stopped_) return;
-    if (ec) {
-      // Out of sockets, most likely: accepting again at once would only spin.
-      spdlog::debug("accept failed: {}", ec.message());
-      me->pause_.expires_after(std::chrono::milliseconds(50));
-      me->pause_.async_wait([me](std::error_code e) {
-        if (!e) me->accept();
-      });
-      return;
-    }
-    if (me->make_room()) {
-      auto c = std::make_shared<Connection>(me, std::move(socket));
-      me->open_.push_back(c);
-      c->start(std::prev(me->open_.end()));
-    }
-    me->accept();
-  });
+void HttpServer::on_accept(Tcp::socket socket) {
+  if (!evict_idle()) return;
+  auto connection = std::make_shared<Connection>(shared_from_this(), std::move(socket));
+  connections_.push_back(connection);
+  connection->start(std::prev(connections_.end()));
 }
 
 }  // namespace beaconsill::net
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -3,24 +3,38 @@
 #include <algorithm>
 #include <asio/read.hpp>
 #include <asio/write.hpp>
+#include <utility>
 
 #include "base/log.h"
 
 namespace beaconsill::net {
 namespace {
+
 constexpr Duration kFirstBackoff = std::chrono::milliseconds(100);
 constexpr Duration kMaxBackoff = std::chrono::milliseconds(800);
-constexpr Duration kConnectWait = std::chrono::seconds(1);
+constexpr Duration kConnectTimeout = std::chrono::seconds(1);
 // A connection over which nothing moves for this long is given up; heartbeats flow far more often.
-constexpr Duration kStall = std::chrono::seconds(3);
-
-std::string frame(const std::string& message) {
-  auto n = static_cast<std::uint32_t>(message.size());
-  std::string f;
-  f.reserve(n + 4);
-  for (int i = 0; i < 4; ++i) f.push_back(static_cast<char>(n >> (8 * i) & 0xff));
-  return f += message;
+constexpr Duration kStallTimeout = std::chrono::seconds(3);
+
+constexpr std::size_t kFrameHeaderBytes = 4;
+constexpr unsigned kBitsPerByte = 8;
+
+std::string make_frame(const std::string& message) {
+  const auto size = static_cast<std::uint32_t>(message.size());
+  std::string frame;
+  frame.reserve(size + kFrameHeaderBytes);
+  for (unsigned i = 0; i < kFrameHeaderBytes; ++i)
+    frame.push_back(static_cast<char>(size >> (kBitsPerByte * i) & 0xff));
+  return frame += message;
+}
+
+std::uint32_t message_size(const std::array<unsigned char, kFrameHeaderBytes>& header) {
+  std::uint32_t size = 0;
+  for (unsigned i = 0; i < kFrameHeaderBytes; ++i)
+    size |= static_cast<std::uint32_t>(header[i]) << (kBitsPerByte * i);
+  return size;
 }
+
 }  // namespace
 
 PeerSender::PeerSender(asio::io_context& io, Tcp::endpoint to, std::size_t max_queued)
@@ -45,155 +59,146 @@
 }
 
 void PeerSender::reset() {
-  if (connected_) again();
+  if (connected_) reconnect();
 }
 
 void PeerSender::connect() {
   if (stopped_) return;
-  auto epoch = ++epoch_;
+  const auto epoch = ++epoch_;
   socket_ = Tcp::socket(io_);
-  timer_.expires_after(kConnectWait);
-  timer_.async_wait([me = shared_from_this(), epoch](std::error_code ec) {
-    if (!ec && epoch == me->epoch_ && !me->connected_) me->again();
+  timer_.expires_after(kConnectTimeout);
+  timer_.async_wait([self = shared_from_this(), epoch](std::error_code ec) {
+    if (!ec && epoch == self->epoch_ && !self->connected_) self->reconnect();
   });
-  socket_.async_connect(to_, [me = shared_from_this(), epoch](std::error_code ec) {
-    if (epoch != me->epoch_ || me->stopped_) return;
-    if (ec) return me->again();
-    me->timer_.cancel();
-    me->connected_ = true;
-    me->backoff_ = kFirstBackoff;
-    std::error_code ignored;
-    me->socket_.set_option(Tcp::no_delay(true), ignored);
-    // Nothing is ever received here; the read notices that the other side is gone.
-    me->socket_.async_read_some(asio::buffer(me->sink_), [me, epoch](std::error_code, std::size_t) {
-      if (epoch == me->epoch_) me->again();
-    });
-    me->write();
+  socket_.async_connect(to_, [self = shared_from_this(), epoch](std::error_code ec) {
+    if (epoch != self->epoch_ || self->stopped_) return;
+    if (ec) return self->reconnect();
+    self->on_connected();
   });
 }
 
-void PeerSender::again() {
+void PeerSender::on_connected() {
+  timer_.cancel();
+  connected_ = true;
+  backoff_ = kFirstBackoff;
+  std::error_code ignored;
+  socket_.set_option(Tcp::no_delay(true), ignored);
+  // Nothing is ever received here; the read notices that the other side has closed the connection.
+  socket_.async_read_some(asio::buffer(sink_),
+                          [self = shared_from_this(), epoch = epoch_](std::error_code, std::size_t) {
+                            if (epoch == self->epoch_) self->reconnect();
+                          });
+  write();
+}
+
+void PeerSender::reconnect() {
   if (stopped_) return;
-  auto epoch = ++epoch_;
+  const auto epoch = ++epoch_;
   connected_ = false;
-  std::error_code ec;
-  socket_.close(ec);
+  std::error_code ignored;
+  socket_.close(ignored);
   queue_.clear();
   queued_bytes_ = 0;
   timer_.expires_after(backoff_);
   backoff_ = std::min(backoff_ * 2, kMaxBackoff);
-  timer_.async_wait([me = shared_from_this(), epoch](std::error_code e) {
-    if (!e && epoch == me->epoch_) me->connect();
+  timer_.async_wait([self = shared_from_this(), epoch](std::error_code ec) {
+    if (!ec && epoch == self->epoch_) self->connect();
   });
 }
 
 void PeerSender::send(const std::string& message) {
   if (!connected_ || message.size() > kMaxFrame || queued_bytes_ + message.size() > max_queued_) return;
-  queued_bytes_ += message.size() + 4;
-  queue_.push_back(frame(message));
+  queued_bytes_ += message.size() + kFrameHeaderBytes;
+  queue_.push_back(make_frame(message));
   if (queue_.size() == 1) write();
 }
 
 void PeerSender::write() {
   if (queue_.empty() || !connected_) return;
-  auto epoch = epoch_;
-  timer_.expires_after(kStall);
-  timer_.async_wait([me = shared_from_this(), epoch](std::error_code ec) {
-    if (!ec && epoch == me->epoch_) me->again();
+  const auto epoch = epoch_;
+  timer_.expires_after(kStallTimeout);
+  timer_.async_wait([self = shared_from_this(), epoch](std::error_code ec) {
+    if (!ec && epoch == self->epoch_) self->reconnect();
   });
   asio::async_write(socket_, asio::buffer(queue_.front()),
-                    [me = shared_from_this(), epoch](std::error_code ec, std::size_t) {
-                      if (epoch != me->epoch_) return;
-                      if (ec) return me->again();
-                      me->timer_.cancel();
-                      me->queued_bytes_ -= me->queue_.front().size();
-                      me->queue_.pop_front();
-                      me->write();
+                    [self = shared_from_this(), epoch](std::error_code ec, std::size_t) {
+                      if (epoch != self->epoch_) return;
+                      if (ec) return self->reconnect();
+                      self->timer_.cancel();
+                      self->queued_bytes_ -= self->queue_.front().size();
+                      self->queue_.pop_front();
+                      self->write();
                     });
 }
 
 class PeerReceiver::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(std::shared_ptr<PeerReceiver> owner, Tcp::socket s)
-      : owner_(std::move(owner)), socket_(std::move(s)) {}
-  void read() {
-    asio::async_read(
-        socket_, asio::buffer(head_), [me = shared_from_this()](std::error_code ec, std::size_t) {
-          if (ec) return me->close();
-          std::uint32_t n = 0;
-          for (int i = 0; i < 4; ++i) n |= static_cast<std::uint32_t>(me->head_[i]) << (8 * i);
-          if (n > kMaxFrame) {
-            spdlog::info("a peer sent a frame of {} bytes: connection closed", n);
-            return me->close();
-          }
-          me->body_.resize(n);
-          asio::async_read(me->socket_, asio::buffer(me->body_), [me](std::error_code e, std::size_t) {
-            if (e) return me->close();
-            if (!me->closed_) me->owner_->handler_(me->body_);
-            if (!me->closed_) me->read();
-          });
-        });
+  Connection(std::shared_ptr<PeerReceiver> receiver, Tcp::socket socket)
+      : receiver_(std::move(receiver)), socket_(std::move(socket)) {}
+
+  void read_header() {
+    asio::async_read(socket_, asio::buffer(header_),
+                     [self = shared_from_this()](std::error_code ec, std::size_t) {
+                       if (ec) return self->close();
+                       self->read_message(message_size(self->header_));
+                     });
   }
+
   void close() {
     if (closed_) return;
     closed_ = true;
     std::error_code ec;
     socket_.close(ec);
-    std::erase_if(owner_->open_, [this](auto& c) { return c.get() == this; });
+    std::erase_if(receiver_->connections_, [this](const auto& other) { return other.get() == this; });
   }
 
  private:
-  std::shared_ptr<PeerReceiver> owner_;
+  void read_message(std::uint32_t size) {
+    if (size > kMaxFrame) {
+      spdlog::info("peer_frame_too_large count={}", size);
+      return close();
+    }
+    message_.resize(size);
+    asio::async_read(socket_, asio::buffer(message_),
+                     [self = shared_from_this()](std::error_code ec, std::size_t) {
+                       if (ec) return self->close();
+                       if (!self->closed_) self->receiver_->handler_(self->message_);
+                       if (!self->closed_) self->read_header();
+                     });
+  }
+
+  std::shared_ptr<PeerReceiver> receiver_;
   Tcp::socket socket_;
-  std::array<unsigned char, 4> head_;
-  std::string body_;
+  std::array<unsigned char, kFrameHeaderBytes> header_;
+  std::string message_;
   bool closed_ = false;
 };
 
 PeerReceiver::PeerReceiver(asio::io_context& io, const Tcp::endpoint& at, std::size_t max_connections,
                            Handler handler)
-    : acceptor_(io), pause_(io), max_(max_connections), handler_(std::move(handler)) {
-  acceptor_.open(at.protocol());
-  acceptor_.set_option(Tcp::acceptor::reuse_address(true));
-  acceptor_.bind(at);
-  acceptor_.listen();
-}
+    : listener_(io, at), max_connections_(max_connections), handler_(std::move(handler)) {}
 
 void PeerReceiver::start() {
-  accept();
+  listener_.start([self = shared_from_this()](Tcp::socket socket) { self->on_accept(std::move(socket)); });
 }
 
 void PeerReceiver::stop() {
-  stopped_ = true;
-  std::error_code ec;
-  acceptor_.close(ec);
-  pause_.cancel();
-  while (!open_.empty()) {
-    auto c = open_.front();
-    c->close();
+  listener_.stop();
+  while (!connections_.empty()) {
+    auto connection = connections_.front();
+    connection->close();
   }
 }
 
-void PeerReceiver::accept() {
-  acceptor_.async_accept([me = shared_from_this()](std::error_code ec, Tcp::socket socket) {
-    if (me->stopped_) return;
-    if (ec) {
-      me->pause_.expires_after(std::chrono::milliseconds(50));
-      me->pause_.async_wait([me](std::error_code e) {
-        if (!e) me->accept();
-      });
-      return;
-    }
-    // A peer that came back leaves its old connection half open: the oldest makes room.
-    while (me->open_.size() >= me->max_) {
-      auto oldest = me->open_.front();
-      oldest->close();
-    }
-    auto c = std::make_shared<Connection>(me, std::move(socket));
-    me->open_.push_back(c);
-    c->read();
-    me->accept();
-  });
+void PeerReceiver::on_accept(Tcp::socket socket) {
+  // A peer that connects again leaves its old connection half open: the oldest makes way.
+  while (connections_.size() >= max_connections_) {
+    auto oldest = connections_.front();
+    oldest->close();
+  }
+  auto connection = std::make_shared<Connection>(shared_from_this(), std::move(socket));
+  connections_.push_back(connection);
+  connection->read_header();
 }
 
 }  // namespace beaconsill::net
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -61,7 +61,7 @@
   EXPECT_EQ(s.team(Team("red")), nullptr);
 }
 
-TEST(Settings, AimsOfUnknownKindsAreIgnoredWithALineInTheLog) {
+TEST(Settings, ObjectivesOfUnknownKindsAreIgnoredWithALineInTheLog) {
   std::ostringstream log;
   auto before = spdlog::default_logger();
   spdlog::set_default_logger(
@@ -183,32 +183,35 @@
   EXPECT_EQ(p.idle_return, d.idle_return);
 }
 
-// A job that waits beyond all aims goes to the head of the queue, though in time for the largest to begin
-// within four minutes, and not so soon that age would rule instead of the due times.
-TEST(Policy, TheLongestWaitFollowsFromTheAims) {
+// A job that waits beyond all objectives goes to the head of the queue, though in time for the largest to
+// begin within four minutes, and not so soon that age would rule instead of the due times.
+TEST(Policy, TheLongestWaitFollowsFromTheObjectives) {
   struct Case {
     const char* what;
-    std::vector<Objective> aims;
+    std::vector<Objective> objectives;
     const char* policy;
     double longest_wait_s;
   };
   const Case cases[] = {
-      {"no aims", {}, "", 150},
+      {"no objectives", {}, "", 150},
       {"the longest counts",
        {{"wait", "web", 0.9, 1}, {"finished", "a", 0.9, 90}, {"wait", "b", 0.9, 70}},
        "",
        90},
-      {"an aim on completion", {{"finished", "a", 0.9, 120}}, "", 120},
+      {"an objective on completion", {{"finished", "a", 0.9, 120}}, "", 120},
       {"beyond the four minutes", {{"finished", "a", 0.9, 600}}, "", 150},
       {"services only", {{"wait", "web", 0.9, 1}}, "", 60},
       {"deadlines are each job's own", {{"deadline", "a", 0.9, 0, 1.5}}, "", 150},
-      {"other aims have times too", {{"up", "web", 0.9, 80}}, "", 150},
+      {"other objectives have times too", {{"up", "web", 0.9, 80}}, "", 150},
       {"operators decide", {{"finished", "a", 0.9, 90}}, "longest_wait = 200s", 200},
-      {"operators build on the aims", {{"finished", "a", 0.9, 90}}, "longest_wait = longest_aim * 2", 180},
+      {"operators build on the objectives",
+       {{"finished", "a", 0.9, 90}},
+       "longest_wait = longest_aim * 2",
+       180},
   };
   for (const auto& c : cases) {
     auto s = parse_settings(good(), "s.toml");
-    s.objectives = c.aims;
+    s.objectives = c.objectives;
     EXPECT_EQ(parse_policy(c.policy, "p", s).longest_wait, from_seconds(c.longest_wait_s)) << c.what;
   }
 }
--- /dev/null
+++ b/tests/message_parser_test.cpp
@@ -0,0 +1,103 @@
+// The HTTP parser of server and client.
+#include "net/message_parser.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+namespace beaconsill::net {
+namespace {
+
+using Status = MessageParser::Status;
+
+// Collects what the parser finds, and refuses bodies that are too large.
+struct CollectingSink : MessageParser::Sink {
+  bool on_target(std::string_view text) override {
+    target.append(text);
+    return true;
+  }
+  bool on_header_field(std::string_view text) override {
+    headers.append(text);
+    return true;
+  }
+  bool on_header_value(std::string_view text) override {
+    headers.append(text);
+    return true;
+  }
+  bool on_body(std::string_view text) override {
+    body.append(text);
+    return body.size() <= max_body;
+  }
+
+  std::string target, headers, body;
+  std::size_t max_body = 10;
+};
+
+TEST(MessageParser, FindsRequestsHoweverTheirBytesCome) {
+  struct Case {
+    const char* what;
+    std::string bytes;
+    Status status;
+    std::string target, body;
+    bool keep_alive;
+  };
+  const Case cases[] = {
+      {"without a body", "GET /a?b HTTP/1.1\r\nHost: x\r\n\r\n", Status::kComplete, "/a?b", "", true},
+      {"with a body", "POST /p HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz", Status::kComplete, "/p", "xyz",
+       true},
+      {"the last one", "GET /z HTTP/1.1\r\nConnection: close\r\n\r\n", Status::kComplete, "/z", "", false},
+      {"cut off", "POST /p HTTP/1.1\r\nContent-Length: 9\r\n\r\nxyz", Status::kIncomplete, "/p", "xyz", true},
+      {"refused by the sink", "POST /p HTTP/1.1\r\nContent-Length: 11\r\n\r\nxyzxyzxyzxy", Status::kMalformed,
+       "/p", "xyzxyzxyzxy", true},
+      {"not HTTP", "hello\r\n\r\n", Status::kMalformed, "", "", true},
+  };
+  for (const auto& c : cases) {
+    for (std::size_t step : {std::size_t{1}, std::size_t{7}, c.bytes.size()}) {
+      CollectingSink sink;
+      MessageParser parser(HTTP_REQUEST, sink);
+      auto status = Status::kIncomplete;
+      for (std::size_t i = 0; i < c.bytes.size() && status == Status::kIncomplete; i += step)
+        status = parser.parse(std::string_view(c.bytes).substr(i, step)).status;
+      EXPECT_EQ(status, c.status) << c.what << ", " << step;
+      EXPECT_EQ(sink.target, c.target) << c.what << ", " << step;
+      if (c.status != Status::kMalformed) {
+        EXPECT_EQ(sink.body, c.body) << c.what << ", " << step;
+      }
+      if (c.status == Status::kComplete) {
+        EXPECT_EQ(parser.keep_alive(), c.keep_alive) << c.what;
+        EXPECT_EQ(parser.method(), c.bytes.substr(0, c.bytes.find(' '))) << c.what;
+      }
+    }
+  }
+}
+
+TEST(MessageParser, LeavesWhatFollowsACompleteMessage) {
+  const std::string first = "POST /1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nab";
+  const std::string second = "GET /2 HTTP/1.1\r\n\r\n";
+  CollectingSink sink;
+  MessageParser parser(HTTP_REQUEST, sink);
+  std::string bytes = first + second;
+  auto progress = parser.parse(bytes);
+  EXPECT_EQ(progress.status, Status::kComplete);
+  EXPECT_EQ(sink.target, "/1");
+  bytes.erase(0, progress.consumed);
+  progress = parser.parse(bytes);
+  EXPECT_EQ(progress.status, Status::kComplete);
+  EXPECT_EQ(sink.target, "/1/2");
+  EXPECT_EQ(sink.body, "ab");
+}
+
+TEST(MessageParser, KnowsTheStatusOfAResponse) {
+  CollectingSink sink;
+  MessageParser parser(HTTP_RESPONSE, sink);
+  for (int status : {200, 409, 503}) {
+    const auto bytes = "HTTP/1.1 " + std::to_string(status) + " X\r\nContent-Length: 0\r\n\r\n";
+    EXPECT_EQ(parser.parse(bytes).status, Status::kComplete);
+    EXPECT_EQ(parser.status_code(), status);
+    parser.reset();
+  }
+}
+
+}  // namespace
+}  // namespace beaconsill::net
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -111,15 +111,15 @@
   }
 }
 
-TEST(HttpServer, UsersBeyondTheirCapAreToldToComeBack) {
+TEST(HttpServer, UsersBeyondTheirLimitAreRefusedForNow) {
   ServerLimits limits;
   limits.max_user_connections = 1;
   Echo e(limits);
   auto client = [&] { return std::make_shared<HttpClient>(e.io, e.server->local(), 1); };
-  auto a = client(), b = client(), w = client();
+  auto first_user = client(), second_user = client(), agent = client();
   std::vector<int> statuses;
   std::optional<int> retry;
-  auto estimate_request = [&](auto& c, const char* path) {
+  auto request = [&](auto& c, const char* path) {
     bool got = false;
     c->request("GET", path, "", std::chrono::seconds(5), [&](Result r) {
       statuses.push_back(r.status);
@@ -128,16 +128,16 @@
     });
     run_until(e.io, [&] { return got; });
   };
-  estimate_request(a, "/user");
-  estimate_request(b, "/user");
-  estimate_request(w, "/worker");
-  estimate_request(a, "/user");
+  request(first_user, "/user");
+  request(second_user, "/user");
+  request(agent, "/worker");
+  request(first_user, "/user");
   EXPECT_EQ(statuses, (std::vector{200, 503, 200, 200}));
   EXPECT_EQ(retry, 1);
-  for (auto& c : {a, b, w}) c->stop();
+  for (auto& connection : {first_user, second_user, agent}) connection->stop();
 }
 
-TEST(HttpServer, TheLongestIdleMakesRoom) {
+TEST(HttpServer, TheLongestIdleIsEvicted) {
   ServerLimits limits;
   limits.max_connections = 2;
   Echo e(limits);
@@ -153,21 +153,21 @@
   for (auto& c : clients) c->stop();
 }
 
-TEST(HttpClient, TellsWhatMayHaveBeenExecuted) {
+TEST(HttpClient, ReportsWhatMayHaveBeenExecuted) {
   asio::io_context io;
   // Nobody listens: not sent.
   Tcp::acceptor closed(io, any_port());
   auto nobody = closed.local_endpoint();
   closed.close();
-  // Accepts and never answers: sent, no answer.
-  Tcp::acceptor own_heartbeat_timeout(io, any_port());
+  // Accepts and never responds: sent, no response.
+  Tcp::acceptor silent(io, any_port());
   std::vector<Tcp::socket> held;
-  own_heartbeat_timeout.async_accept([&](std::error_code, Tcp::socket s) { held.push_back(std::move(s)); });
+  silent.async_accept([&](std::error_code, Tcp::socket s) { held.push_back(std::move(s)); });
   struct Case {
     Tcp::endpoint to;
     bool sent;
   };
-  for (const auto& c : {Case{nobody, false}, Case{own_heartbeat_timeout.local_endpoint(), true}}) {
+  for (const auto& c : {Case{nobody, false}, Case{silent.local_endpoint(), true}}) {
     auto client = std::make_shared<HttpClient>(io, c.to, 1);
     std::optional<Result> result;
     client->request("POST", "/x", "{}", std::chrono::milliseconds(200), [&](Result r) { result = r; });
@@ -180,8 +180,8 @@
 
 TEST(HttpClient, QueuedRequestsExpireOnTheirOwn) {
   asio::io_context io;
-  Tcp::acceptor own_heartbeat_timeout(io, any_port());
-  auto client = std::make_shared<HttpClient>(io, own_heartbeat_timeout.local_endpoint(), 1);
+  Tcp::acceptor silent(io, any_port());
+  auto client = std::make_shared<HttpClient>(io, silent.local_endpoint(), 1);
   int over = 0;
   for (int i = 0; i < 3; ++i)
     client->request("GET", "/x", "", std::chrono::milliseconds(100 + 100 * i), [&](Result r) {
