--- a/src/api/context.h
+++ b/src/api/context.h
@@ -20,7 +20,7 @@
   std::function<void(Revision)> changed;
   // Whether a user may see now that the job, which is known to be cancelled, is. The response follows in the
   // same callback.
-  std::function<bool(const JobId&)> may_acknowledge_cancellation;
+  std::function<bool(const JobId&)> may_reveal_cancellation;
   // How many tasks of the job run.
   std::function<std::uint32_t(const JobId&)> running;
   std::function<bool()> healthy;
--- a/src/api/job_status.cpp
+++ b/src/api/job_status.cpp
@@ -31,7 +31,7 @@
 }
 
 bool JobStatus::acknowledgement_pending(const JobId& id, JobState state) const {
-  return state == JobState::kCancelled && !context_.hooks.may_acknowledge_cancellation(id);
+  return state == JobState::kCancelled && !context_.hooks.may_reveal_cancellation(id);
 }
 
 net::Response JobStatus::accepted_response(const JobId& id, JobState state) const {
--- a/src/api/job_status.h
+++ b/src/api/job_status.h
@@ -9,7 +9,7 @@
 namespace beaconsill::api {
 
 // A cancellation is shown to nobody before every controller that might still show the job as running knows of
-// it (Hooks::may_acknowledge_cancellation): until then the responses ask the user to repeat the request.
+// it (Hooks::may_reveal_cancellation): until then the responses ask the user to repeat the request.
 class JobStatus {
  public:
   explicit JobStatus(const Context& context) : context_(context) {}
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -90,9 +90,7 @@
   api::Api::Hooks hooks;
   hooks.catalogue = [this] { return ctx_.catalogue.get(); };
   hooks.changed = [this](Revision revision) { peers_->broadcast(protocol::ChangeNotification{revision}); };
-  hooks.may_acknowledge_cancellation = [this](const JobId& id) {
-    return peers_->may_acknowledge_cancellation(id);
-  };
+  hooks.may_reveal_cancellation = [this](const JobId& id) { return peers_->may_reveal_cancellation(id); };
   hooks.running = [this](const JobId& id) { return summaries_->running(id); };
   hooks.healthy = [this] { return healthy(); };
   hooks.all_support = [this](std::uint32_t version) {
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -18,9 +18,9 @@
   const auto& role = ctx_.view().shard_role(shard);
   std::optional<ControllerName> leader;
   if (role.exists() && ctx_.view().alive(role.value.controller)) leader = role.value.controller;
-  auto claimed = peers_.shard_leader(shard);
-  if (claimed && claimed->term > role.value.term && peers_.reachable(claimed->controller))
-    leader = claimed->controller;
+  auto advertised = peers_.shard_leader(shard);
+  if (advertised && advertised->term > role.value.term && peers_.reachable(advertised->controller))
+    leader = advertised->controller;
   if (leader == ctx_.settings.controller) leader.reset();
   return leader;
 }
--- a/src/controller/leadership.h
+++ b/src/controller/leadership.h
@@ -32,12 +32,12 @@
 
   // Reads the ledger unless that was done or is under way; `on_read` is called once it was read.
   void read_ledger(std::function<void()> on_read);
-  // The condition that each transaction of the leader carries, so that it holds only while this controller is
-  // the leader. None: it isn't the leader, as far as the view shows, or hasn't read the ledger.
+  // The condition that each transaction of the leader carries, so that it is applied only while this
+  // controller is the leader. None: it isn't the leader, as far as the view shows, or hasn't read the ledger.
   std::optional<protocol::Condition> still_leader() const;
   // The terms of all shards that have a leader, as the view shows them.
   std::map<ShardId, Term> shard_terms() const;
-  // For how many jobs one transaction may hold a change.
+  // The number of jobs that one transaction may change.
   std::size_t max_changes_per_txn() const;
 
  private:
--- a/src/controller/led_shards.h
+++ b/src/controller/led_shards.h
@@ -37,7 +37,7 @@
   auto begin() const { return shards_.begin(); }
   auto end() const { return shards_.end(); }
 
-  // Begins a new term of the shard; what was under way under an earlier one is dropped.
+  // Begins a new term of the shard; the state of an earlier one is discarded.
   LedShard& add(ShardId id) {
     auto& shard = shards_[id];
     shard = {};
--- a/src/controller/peer_service.cpp
+++ b/src/controller/peer_service.cpp
@@ -186,9 +186,9 @@
 }
 
 void PeerService::note_shard_leaders(const ControllerName& from, const protocol::Heartbeat& heartbeat) {
-  for (const auto& claimed : heartbeat.terms) {
-    auto& leader = shard_leaders_[claimed.shard];
-    if (claimed.term > leader.term) leader = {from, claimed.term};
+  for (const auto& advertised : heartbeat.terms) {
+    auto& leader = shard_leaders_[advertised.shard];
+    if (advertised.term > leader.term) leader = {from, advertised.term};
   }
 }
 
@@ -218,14 +218,14 @@
       schedule_heartbeat(peer);
 }
 
-bool PeerService::may_acknowledge_cancellation(const JobId& id) {
+bool PeerService::may_reveal_cancellation(const JobId& id) {
   auto revision = ctx_.view().terminal_revision(id);
   const auto& cancelled = ctx_.view().cancelled();
   // One transaction may have cancelled several jobs.
   auto first = cancelled.lower_bound({revision, JobId(), 0});
   auto last = first;
   for (; last != cancelled.end() && last->revision == revision; ++last)
-    if (!cancellation_barrier_.may_acknowledge(*last, known_cancellations(), ctx_.now())) return false;
+    if (!cancellation_barrier_.may_reveal(*last, known_cancellations(), ctx_.now())) return false;
   if (first == last) return false;
   acknowledged_until_ = std::max(acknowledged_until(), revision);
   return true;
--- a/src/controller/peer_service.h
+++ b/src/controller/peer_service.h
@@ -22,7 +22,7 @@
  public:
   using MessageHandler = std::function<void(const protocol::PeerMessage&)>;
   using LedTerms = std::function<std::vector<protocol::ShardTerm>()>;
-  // A controller that claims to lead a shard.
+  // A controller that leads a shard, as it says in its heartbeats.
   struct ShardLeader {
     ControllerName controller;
     Term term;
@@ -40,7 +40,7 @@
   bool reachable(const ControllerName& controller) const;
   // Some reachable peer says that the state store answers it.
   bool others_reach_state_store() const;
-  // The controller under the highest term that any peer has claimed for the shard.
+  // The controller under the highest term that any peer has advertised for the shard.
   std::optional<ShardLeader> shard_leader(ShardId shard) const;
 
   // Cancellations that have become known here are sent to the peers that may lack them.
@@ -48,7 +48,7 @@
   // Whether a user may be notified that the job, whose end is known here, is cancelled. If so, the caller
   // notifies in the same callback; if not, the peers are being asked to acknowledge it, and a retry of the
   // request will succeed.
-  bool may_acknowledge_cancellation(const JobId& id);
+  bool may_reveal_cancellation(const JobId& id);
   // All cancellations that users were notified of before this time are known here: by the state store, or by
   // what every peer has sent.
   Instant cancellations_known_until() const;
--- a/src/scheduler/indeterminate_grants.h
+++ b/src/scheduler/indeterminate_grants.h
@@ -16,7 +16,8 @@
 // would then exceed its quota (found by the simulation, seed 24).
 class IndeterminateGrants {
  public:
-  // The transaction of these grants ended without an answer, or with a refusal that can't be told from one.
+  // The transaction of these grants ended without an answer, or with a refusal that can't be distinguished
+  // from one.
   void add(const std::vector<JobGrant>& grants);
   // Forgets transactions that can't be committed any more: a grant in them has another version by now, or one
   // of their jobs is over.
--- a/src/scheduler/offered_capacity.h
+++ b/src/scheduler/offered_capacity.h
@@ -23,7 +23,7 @@
 
 class OfferedCapacity {
  public:
-  // `by_zone`: the job's rules need to know the zones; capacity where the image is isn't told apart then.
+  // `by_zone`: the job's rules need to know the zones; capacity where the image is isn't distinguished then.
   explicit OfferedCapacity(bool by_zone) : by_zone_(by_zone) {}
 
   // `reserved_tasks`: how many tasks of this job fit into what is granted on the shard already, but not yet
--- a/src/scheduler/round_selection.cpp
+++ b/src/scheduler/round_selection.cpp
@@ -33,9 +33,9 @@
     std::stable_sort(others.begin(), others.end(), [&](std::size_t left, std::size_t right) {
       return jobs_.at(queue_[left].id).last_considered < jobs_.at(queue_[right].id).last_considered;
     });
-    for (auto i : others) {
+    for (auto position : others) {
       if (selected_ >= kJobsPerRound) break;
-      select(i, kRequestsPerRound);
+      select(position, kRequestsPerRound);
     }
   }
 
--- a/src/shard/cancellation_barrier.cpp
+++ b/src/shard/cancellation_barrier.cpp
@@ -121,8 +121,8 @@
   peer.complete_until = all_read ? echoed_sent_at : std::min(peer.complete_until, echoed_sent_at);
 }
 
-bool CancellationBarrier::may_acknowledge(const protocol::CancelledJob& job, const Known& known,
-                                          Instant now) const {
+bool CancellationBarrier::may_reveal(const protocol::CancelledJob& job, const Known& known,
+                                     Instant now) const {
   if (!known.ready) return false;
   return std::all_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     return has(entry.second, job) || now > entry.second.read_lease_until;
--- a/src/shard/cancellation_barrier.h
+++ b/src/shard/cancellation_barrier.h
@@ -57,9 +57,9 @@
   // Forgets which heartbeats were sent, for a new connection: their echoes no longer count.
   void forget_sent(const ControllerName& peer) { peers_.at(peer).sent.clear(); }
 
-  // Whether a user may be told now that the job is cancelled. The answer has to be written in the same
+  // Whether the cancellation may be revealed to a user now. The answer has to be written in the same
   // callback.
-  bool may_acknowledge(const protocol::CancelledJob& job, const Known& known, Instant now) const;
+  bool may_reveal(const protocol::CancelledJob& job, const Known& known, Instant now) const;
   // Whether the peer is ready and not known to have all cancellations.
   bool lacks_cancellations(const ControllerName& peer, const Known& known) const;
 
--- a/src/shard/shard_manager.h
+++ b/src/shard/shard_manager.h
@@ -61,7 +61,7 @@
   // The state of a job changed. None: it was removed.
   void on_job(const JobId& id, const state_store::Job* job, std::optional<state_store::TerminalState> end,
               Instant now);
-  // Lets time pass and places tasks. `cancellations_known_until`: all cancellations that users were told of
+  // Lets time pass and places tasks. `cancellations_known_until`: all cancellations revealed to users
   // before this time are known here. `read_until`: the state store was read as of this time, the shard's role
   // included.
   void tick(Instant now, Instant cancellations_known_until, Instant read_until);
--- a/src/state_store/records.h
+++ b/src/state_store/records.h
@@ -31,9 +31,10 @@
   ShardId shard;
   Term term;  // of the shard, as the leader knew it: to a shard leader of a higher term it's an earlier grant
   Ranges tasks;
-  std::optional<Zone> zone;  // the only zone for these tasks (jobs that set together or scatter)
-  bool preempt = false;      // capacity for them is to be made by preempting work of lower priority
-  Attempt gang_attempt;      // gangs: the attempt number shared by all tasks
+  std::optional<Zone>
+      zone;              // the only zone for these tasks (jobs that keep to one zone or spread over zones)
+  bool preempt = false;  // capacity for them is to be made by preempting work of lower priority
+  Attempt gang_attempt;  // gangs: the attempt number shared by all tasks
   // That of a job which depends on this one, if it's higher than its own.
   std::optional<Priority> priority;
   bool operator==(const Chunk&) const = default;
--- a/src/state_store/watch_cache.cpp
+++ b/src/state_store/watch_cache.cpp
@@ -144,7 +144,7 @@
 }
 
 void WatchCache::schedule_next_read(bool ok) {
-  // A read that fails may be bad luck: those who wait needn't wait for a whole period.
+  // A single read may fail by chance: those who wait needn't wait for a whole period.
   if (loaded_ && (!waiting_syncs_.empty() || (ok && announced_revision_ > revision_))) {
     read_soon();
   } else {
--- a/tests/api_concurrent_faults_test.cpp
+++ b/tests/api_concurrent_faults_test.cpp
@@ -1,6 +1,5 @@
 // Concurrent faults at the view of the state store and the users' API: answers that come late or not at all,
-// and requests of users at that moment. docs/meetings-controllers.md lists them.
-#include <algorithm>
+// and requests of users at that moment. docs/fault-scenarios.md lists them.
 
 #include "api/api.h"
 #include "controller_fixture.h"
@@ -10,19 +9,12 @@
 namespace {
 
 using fakes::Json;
-using Trouble = fakes::StateStore::RequestFault;
+using RequestFault = fakes::StateStore::RequestFault;
 
 std::string job(const std::string& id) {
   return job_json(id, "batch", 4, "standard");
 }
 
-bool writes(const fakes::Request& request, std::string_view key) {
-  if (request.path != "/txn") return false;
-  auto txn = Json::parse(request.body);
-  return std::any_of(txn["writes"].begin(), txn["writes"].end(),
-                     [&](const Json& write) { return write.value("set", "").starts_with(key); });
-}
-
 // A controller's view of the state store, without the rest of the controller.
 struct Viewer : EventLoopFixture {
   Viewer() {
@@ -83,7 +75,7 @@
   ASSERT_TRUE(viewer.read_to(viewer.state.revision()));
   viewer.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
   viewer.state.fault = [](const fakes::Request& request) {
-    return request.path == "/watch" ? Trouble::kAnswerKept : Trouble::kNone;
+    return request.path == "/watch" ? RequestFault::kAnswerKept : RequestFault::kNone;
   };
   ASSERT_TRUE(viewer.run_until([&] { return viewer.state.kept() > 0; }));
   viewer.state.fault = nullptr;
@@ -149,7 +141,7 @@
     Users users;
     ASSERT_TRUE(users.ready);
     users.state.fault = [](const fakes::Request& request) {
-      return writes(request, "beaconsill/jobs/") ? Trouble::kAnswerKept : Trouble::kNone;
+      return is_txn_that_sets(request, "beaconsill/jobs/") ? RequestFault::kAnswerKept : RequestFault::kNone;
     };
     auto answer = users.send("POST", "/v1/jobs", job("run-000001"));
     ASSERT_TRUE(users.run_until([&] { return users.state.kept() == 1; }));
@@ -249,7 +241,7 @@
   users.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
   ASSERT_TRUE(users.read_to(users.state.revision()));
   users.state.fault = [](const fakes::Request& request) {
-    return writes(request, "beaconsill/ends/") ? Trouble::kAnswerKept : Trouble::kNone;
+    return is_txn_that_sets(request, "beaconsill/ends/") ? RequestFault::kAnswerKept : RequestFault::kNone;
   };
   auto answer = users.send("POST", "/v1/jobs/run-000001/withdraw");
   ASSERT_TRUE(users.run_until([&] { return answer->has_value(); }));
--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -67,7 +67,7 @@
     catalogue[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, {Zone("a")}};
     Api::Hooks hooks{[this] { return &catalogue; },
                      [](Revision) {},
-                     [this](const JobId&) { return may_acknowledge; },
+                     [this](const JobId&) { return may_reveal; },
                      [](const JobId&) { return 0u; },
                      [] { return true; },
                      [this](std::uint32_t version) { return version <= supported_by_all; }};
@@ -107,7 +107,7 @@
 
   config::Settings settings;
   protocol::Catalogue catalogue;
-  bool may_acknowledge = true;
+  bool may_reveal = true;
   std::uint32_t supported_by_all = state_store::kFormatVersion;
   std::unique_ptr<Api> api;
 };
@@ -239,13 +239,13 @@
                         {"POST", "/v1/jobs/run-000001/withdraw", ""}};
   ApiFixture fixture;
   ASSERT_EQ(fixture.call("POST", "/v1/jobs", ApiFixture::job("run-000001")).response.status, 201);
-  for (bool may_acknowledge : {false, true}) {
-    fixture.may_acknowledge = may_acknowledge;
+  for (bool may_reveal : {false, true}) {
+    fixture.may_reveal = may_reveal;
     for (const auto& c : cases) {
       const auto response = fixture.call(c.method, c.path, c.body).response;
-      EXPECT_EQ(response.status, may_acknowledge ? 200 : 503) << c.method << ' ' << c.path;
-      EXPECT_EQ(response.retry_after_s.has_value(), !may_acknowledge) << c.method << ' ' << c.path;
-      EXPECT_EQ(response.body.find("withdrawn") != std::string::npos, may_acknowledge) << response.body;
+      EXPECT_EQ(response.status, may_reveal ? 200 : 503) << c.method << ' ' << c.path;
+      EXPECT_EQ(response.retry_after_s.has_value(), !may_reveal) << c.method << ' ' << c.path;
+      EXPECT_EQ(response.body.find("withdrawn") != std::string::npos, may_reveal) << response.body;
     }
   }
 }
--- a/tests/cancellation_barrier_model.h
+++ b/tests/cancellation_barrier_model.h
@@ -333,7 +333,7 @@
   void ask(std::size_t i, Asked& a) {
     auto& n = controllers_[i];
     if (!serves(i) || !n.view.contains(a.job)) return;
-    bool may = n.barrier->may_acknowledge(a.job, known(n), clock(n));
+    bool may = n.barrier->may_reveal(a.job, known(n), clock(n));
     if (options_.mistake == Mistake::kAcknowledgedAtOnce) may = n.ready;
     ++(may ? result_.acknowledged : result_.refused);
     if (!may) return;
--- a/tests/cancellation_barrier_test.cpp
+++ b/tests/cancellation_barrier_test.cpp
@@ -45,7 +45,7 @@
     send(at);  // with a read lease, now that the peer is known to be there
   }
   bool may(std::uint64_t revision, Duration at) const {
-    return barrier.may_acknowledge(cancelled(revision), known(), kStart + at);
+    return barrier.may_reveal(cancelled(revision), known(), kStart + at);
   }
   Duration known_until(Duration at) const { return barrier.known_until(ready, kStart + at) - kStart; }
 
--- a/tests/controller_concurrent_faults_test.cpp
+++ b/tests/controller_concurrent_faults_test.cpp
@@ -1,6 +1,5 @@
 // Concurrent faults at a controller and its state store: transactions that are carried out late or whose
-// answer is lost. docs/meetings-controllers.md lists them.
-#include <algorithm>
+// answer is lost. docs/fault-scenarios.md lists them.
 #include <thread>
 
 #include "controller/controller.h"
@@ -10,7 +9,7 @@
 namespace {
 
 using fakes::Json;
-using Trouble = fakes::StateStore::RequestFault;
+using RequestFault = fakes::StateStore::RequestFault;
 
 constexpr double kQuotaCpus = 4;  // of the team
 
@@ -18,13 +17,6 @@
   return job_json(id, "batch", 4, priority);
 }
 
-bool writes(const fakes::Request& request, std::string_view key) {
-  if (request.path != "/txn") return false;
-  auto txn = Json::parse(request.body);
-  return std::any_of(txn["writes"].begin(), txn["writes"].end(),
-                     [&](const Json& write) { return write.value("set", "").starts_with(key); });
-}
-
 // One controller with two workers, each of which has capacity for the team's whole quota.
 struct OneController : EventLoopFixture {
   OneController() {
@@ -43,7 +35,7 @@
     controller->start();
     for (const char* name : {"host-0", "host-1"}) {
       workers.push_back(std::make_unique<fakes::Worker>(io, name, "east", std::vector{endpoint},
-                                                          std::vector<std::string>{"n0"}));
+                                                        std::vector<std::string>{"n0"}));
       workers.back()->run_reports = 1000000;
     }
   }
@@ -76,8 +68,9 @@
   OneController cluster;
   ASSERT_TRUE(cluster.wait_until_healthy());
   cluster.state.fault = [&](const fakes::Request& request) {
-    return writes(request, "beaconsill/grants/run-000001") && cluster.state.late() == 0 ? Trouble::kLate
-                                                                                        : Trouble::kNone;
+    return is_txn_that_sets(request, "beaconsill/grants/run-000001") && cluster.state.late() == 0
+               ? RequestFault::kLate
+               : RequestFault::kNone;
   };
   ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000001", "standard")), 201);
   ASSERT_TRUE(cluster.run_until([&] { return cluster.state.late() == 1; }));
@@ -100,9 +93,9 @@
   ASSERT_TRUE(cluster.wait_until_healthy());
   int lost = 0;
   cluster.state.fault = [&](const fakes::Request& request) {
-    if (!writes(request, "beaconsill/grants/") || lost > 0) return Trouble::kNone;
+    if (!is_txn_that_sets(request, "beaconsill/grants/") || lost > 0) return RequestFault::kNone;
     ++lost;
-    return Trouble::kAnswerKept;
+    return RequestFault::kAnswerKept;
   };
   ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000001", "standard")), 201);
   EXPECT_TRUE(cluster.run_until([&] { return cluster.started() == 4; }));
@@ -120,8 +113,9 @@
     ASSERT_TRUE(cluster.wait_until_healthy());
     int writes_of_first = 0;
     cluster.state.fault = [&](const fakes::Request& request) {
-      if (!writes(request, "beaconsill/grants/run-000001") || ++writes_of_first > 2) return Trouble::kNone;
-      return writes_of_first == 2 && carried_out ? Trouble::kAnswerKept : Trouble::kLate;
+      if (!is_txn_that_sets(request, "beaconsill/grants/run-000001") || ++writes_of_first > 2)
+        return RequestFault::kNone;
+      return writes_of_first == 2 && carried_out ? RequestFault::kAnswerKept : RequestFault::kLate;
     };
     ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000001", "standard")), 201);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.state.late() >= 1; }));
--- a/tests/controller_end_to_end_test.cpp
+++ b/tests/controller_end_to_end_test.cpp
@@ -26,9 +26,9 @@
     controllers.resize(2);
     for (std::size_t i = 0; i < 2; ++i) start(i);
     for (std::size_t i = 0; i < 2; ++i)
-      workers.push_back(std::make_unique<fakes::Worker>(
-          io, "host-" + std::to_string(i), i ? "west" : "east", std::vector{ports[0], ports[2]},
-          std::vector<std::string>{"n0", "n1"}));
+      workers.push_back(std::make_unique<fakes::Worker>(io, "host-" + std::to_string(i), i ? "west" : "east",
+                                                        std::vector{ports[0], ports[2]},
+                                                        std::vector<std::string>{"n0", "n1"}));
   }
   ~TwoControllers() {
     for (auto& worker : workers) worker->stop();
@@ -37,19 +37,19 @@
     io.poll();
   }
   void start(std::size_t i) {
-    auto s = controller_settings(state, cloud, i);
-    s.zone = Zone(i ? "west" : "east");
-    s.listen = fakes::text(ports[2 * i]);
-    s.peer_listen = fakes::text(ports[2 * i + 1]);
-    s.peers = {{ControllerName("n" + std::to_string(1 - i)), Zone(i ? "east" : "west"),
-                fakes::text(ports[2 * (1 - i) + 1])}};
-    s.zones = {Zone("east"), Zone("west")};
-    s.teams = {{Team("blue"), 0, 0, 0, 0}};
-    s.lease_s = settings.lease_s;
-    s.cancel_s = settings.cancel_s;
-    s.value_kb = settings.value_kb;
-    auto policy = config::parse_policy("home_delay = 500ms", "test", s);
-    controllers[i] = std::make_unique<controller::Controller>(io, clock, s, policy);
+    auto config = controller_settings(state, cloud, i);
+    config.zone = Zone(i ? "west" : "east");
+    config.listen = fakes::text(ports[2 * i]);
+    config.peer_listen = fakes::text(ports[2 * i + 1]);
+    config.peers = {{ControllerName("n" + std::to_string(1 - i)), Zone(i ? "east" : "west"),
+                     fakes::text(ports[2 * (1 - i) + 1])}};
+    config.zones = {Zone("east"), Zone("west")};
+    config.teams = {{Team("blue"), 0, 0, 0, 0}};
+    config.lease_s = settings.lease_s;
+    config.cancel_s = settings.cancel_s;
+    config.value_kb = settings.value_kb;
+    auto policy = config::parse_policy("home_delay = 500ms", "test", config);
+    controllers[i] = std::make_unique<controller::Controller>(io, clock, config, policy);
     controllers[i]->start();
   }
   void run_until(const std::function<bool()>& done, const char* what) {
@@ -215,9 +215,9 @@
   EXPECT_EQ(submit(0, step("run-9", {"run-404"})).status, 503);
   cluster.state.down = false;
   auto started = [&](const std::string& job) {
-    for (auto& x : cluster.workers)
-      for (auto& t : x->tasks)
-        if (t.id.starts_with(job + "/")) return true;
+    for (auto& worker : cluster.workers)
+      for (auto& task : worker->tasks)
+        if (task.id.starts_with(job + "/")) return true;
     return false;
   };
   bool too_early = false;
@@ -441,11 +441,11 @@
   TwoControllers cluster;
   cluster.wait_until_healthy();
   cluster.workers[0]->stop();
-  std::uint64_t tally = 0, first = 0, seen = 0;
+  std::uint64_t sequence = 0, first = 0, seen = 0;
   auto heartbeat = [&] {
     Json r{{"beacon", "host-9"},    {"address", "nowhere"}, {"hull", "t4"},
            {"harbour", "east"},     {"driftwood", false},   {"watch", 1},
-           {"tally", ++tally},      {"helm", seen},         {"recallS", nullptr},
+           {"tally", ++sequence},   {"helm", seen},         {"recallS", nullptr},
            {"lamps", Json::array()}};
     auto answer = cluster.call(0, "POST", "/hello", r.dump());
     if (answer.status != 200) return;
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -3,19 +3,21 @@
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <chrono>
 #include <functional>
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "base/log.h"
 #include "config/settings.h"
-#include "net/http_client.h"
 #include "fakes/cloud.h"
 #include "fakes/state_store.h"
 #include "fakes/worker.h"
+#include "net/http_client.h"
 
 namespace beaconsill {
 
@@ -45,25 +47,33 @@
 // A submission as users send it. `kind`: batch or daemon.
 inline std::string job_json(const std::string& id, const char* kind, int tasks, const char* priority) {
   return fakes::Json{{"ref", id},
-                       {"berth", "c"},
-                       {"crew", "blue"},
-                       {"shape", kind},
-                       {"precedence", priority},
-                       {"lamps", tasks},
-                       {"vcpus", 1.0},
-                       {"cards", 0.0},
-                       {"memoryGb", 1.0},
-                       {"cargo", "img"},
-                       {"sizeGb", 0.5},
-                       {"together", false},
-                       {"scatter", false},
-                       {"driftwood", false},
-                       {"reckonS", 1.0},
-                       {"markS", 0.0},
-                       {"stowS", 0.0}}
+                     {"berth", "c"},
+                     {"crew", "blue"},
+                     {"shape", kind},
+                     {"precedence", priority},
+                     {"lamps", tasks},
+                     {"vcpus", 1.0},
+                     {"cards", 0.0},
+                     {"memoryGb", 1.0},
+                     {"cargo", "img"},
+                     {"sizeGb", 0.5},
+                     {"together", false},
+                     {"scatter", false},
+                     {"driftwood", false},
+                     {"reckonS", 1.0},
+                     {"markS", 0.0},
+                     {"stowS", 0.0}}
       .dump();
 }
 
+// Whether this is a transaction that sets a key which begins with `prefix`.
+inline bool is_txn_that_sets(const fakes::Request& request, std::string_view prefix) {
+  if (request.path != "/txn") return false;
+  auto txn = fakes::Json::parse(request.body);
+  return std::any_of(txn["writes"].begin(), txn["writes"].end(),
+                     [&](const fakes::Json& write) { return write.value("set", "").starts_with(prefix); });
+}
+
 struct HttpAnswer {
   int status = 0;  // 0: there was none
   std::optional<int> retry_after_s;
--- a/tests/sim/controller.cpp
+++ b/tests/sim/controller.cpp
@@ -24,7 +24,7 @@
       api::Api::Hooks{
           [this] { return env_.catalogue.get(); },
           [this](Revision) { broadcast([](Controller& c) { c.process_.watch_cache->sync([](bool) {}); }); },
-          [this](const JobId& id) { return may_acknowledge_cancellation(id); },
+          [this](const JobId& id) { return may_reveal_cancellation(id); },
           [this](const JobId& id) { return running(id); },
           [] { return true; },
           [](std::uint32_t) { return true; },
--- a/tests/sim/controller.h
+++ b/tests/sim/controller.h
@@ -96,7 +96,7 @@
   Heartbeats::Known known() const;
   void send_heartbeat(int to);
   void share_cancellations(const state_store::StateView::ChangeSet& t);
-  bool may_acknowledge_cancellation(const JobId& id) const;
+  bool may_reveal_cancellation(const JobId& id) const;
   void send_summaries();
   void on_summary(const protocol::Summary& s);
   std::optional<int> owner_of(ShardId id) const;
--- a/tests/sim/controller_peers.cpp
+++ b/tests/sim/controller_peers.cpp
@@ -43,11 +43,11 @@
       send_heartbeat(to);
 }
 
-bool Controller::may_acknowledge_cancellation(const JobId& id) const {
+bool Controller::may_reveal_cancellation(const JobId& id) const {
   if (has_bug(SeededBug::kCancellationAcknowledgedAtOnce)) return true;
   const auto& end = view().terminal_record(id);
-  return process_.heartbeats->cancellation_sync().may_acknowledge({end.version, id, end.value.done}, known(),
-                                                                  instant());
+  return process_.heartbeats->cancellation_sync().may_reveal({end.version, id, end.value.done}, known(),
+                                                             instant());
 }
 
 Instant Controller::cancellations_known_until() const {
