--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -167,8 +167,8 @@
   bool closed_ = false;
 };
 
-HttpClient::HttpClient(asio::io_context& io, Tcp::endpoint to, std::size_t max_connections)
-    : io_(io), to_(std::move(to)), max_connections_(max_connections), expiry_timer_(io) {}
+HttpClient::HttpClient(asio::io_context& io, Tcp::endpoint remote, std::size_t max_connections)
+    : io_(io), to_(std::move(remote)), max_connections_(max_connections), expiry_timer_(io) {}
 
 HttpClient::~HttpClient() = default;
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -27,7 +27,7 @@
 class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
   using Callback = std::function<void(Result)>;
-  HttpClient(asio::io_context& io, Tcp::endpoint to, std::size_t max_connections);
+  HttpClient(asio::io_context& io, Tcp::endpoint remote, std::size_t max_connections);
   ~HttpClient();
   // `target`: path and query. `done` is called once, within `timeout`, and never before this returns.
   void request(const std::string& method, const std::string& target, const std::string& body,
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -128,9 +128,9 @@
     if (query != std::string::npos) request_.query = target_.substr(query + 1);
     if (!count_user()) return send({503, R"({"error":"too many connections"})", 1, true});
     server_->handler_(std::move(request_),
-                      [weak = weak_from_this(), serial = ++request_serial_](Response response) {
+                      [weak = weak_from_this(), serial = ++request_serial_](const Response& response) {
                         auto self = weak.lock();
-                        if (self && self->awaits_response(serial)) self->send(std::move(response));
+                        if (self && self->awaits_response(serial)) self->send(response);
                       });
   }
 
--- a/src/net/message_parser.cpp
+++ b/src/net/message_parser.cpp
@@ -12,9 +12,9 @@
   complete_ = false;
 }
 
-template <bool (MessageParser::Sink::*function)(std::string_view)>
+template <bool (MessageParser::Sink::*Function)(std::string_view)>
 int MessageParser::forward(http_parser* parser, const char* data, std::size_t size) {
-  return (self(parser).sink_.*function)({data, size}) ? 0 : 1;
+  return (self(parser).sink_.*Function)({data, size}) ? 0 : 1;
 }
 
 int MessageParser::on_complete(http_parser* parser) {
--- a/src/net/message_parser.h
+++ b/src/net/message_parser.h
@@ -50,7 +50,7 @@
   static const http_parser_settings& settings();
   static MessageParser& self(http_parser* parser) { return *static_cast<MessageParser*>(parser->data); }
   // The library's callback for one of the sink's functions.
-  template <bool (Sink::*function)(std::string_view)>
+  template <bool (Sink::*Function)(std::string_view)>
   static int forward(http_parser* parser, const char* data, std::size_t size);
   static int on_complete(http_parser* parser);
 
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -37,9 +37,9 @@
 
 }  // namespace
 
-PeerSender::PeerSender(asio::io_context& io, Tcp::endpoint to, std::size_t max_queued)
+PeerSender::PeerSender(asio::io_context& io, Tcp::endpoint remote, std::size_t max_queued)
     : io_(io),
-      to_(std::move(to)),
+      to_(std::move(remote)),
       socket_(io),
       timer_(io),
       max_queued_(std::max(max_queued, kLeastQueued)),
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -28,7 +28,7 @@
 class PeerSender : public std::enable_shared_from_this<PeerSender> {
  public:
   // `max_queued`: bytes that may wait to be sent; what comes beyond is dropped.
-  PeerSender(asio::io_context& io, Tcp::endpoint to, std::size_t max_queued = kLeastQueued);
+  PeerSender(asio::io_context& io, Tcp::endpoint remote, std::size_t max_queued = kLeastQueued);
   // Connects, and again after each failure.
   void start();
   void send(const std::string& message);
--- a/src/state_store/state_view.cpp
+++ b/src/state_store/state_view.cpp
@@ -64,7 +64,7 @@
 // The protocol promises no order within a response, and its example lists a deletion after a newer change.
 void StateView::apply_all(std::vector<protocol::Change> changes) {
   std::stable_sort(changes.begin(), changes.end(),
-                   [](const auto& a, const auto& b) { return a.version < b.version; });
+                   [](const auto& left, const auto& right) { return left.version < right.version; });
   for (const auto& change : changes) apply(change);
 }
 
