--- a/tests/machine_deletion_test.cpp
+++ b/tests/machine_deletion_test.cpp
@@ -2,25 +2,15 @@
 #include <gtest/gtest.h>
 
 #include "shard/failure_detector.h"
+#include "shard_test_data.h"
 
 namespace beaconsill::shard {
 namespace {
 
+using fixture::at;
+using fixture::params;
 using Machines = FailureDetector::Machines;
 
-Instant at(double seconds) {
-  return Instant{} + from_seconds(1000 + seconds);
-}
-
-ShardParams params() {
-  ShardParams out;
-  out.heartbeat_period = std::chrono::seconds(1);
-  out.lease = std::chrono::seconds(10);
-  out.cancel_limit = std::chrono::seconds(40);
-  out.grace = std::chrono::seconds(5);
-  return out;
-}
-
 // A machine of zone "a" whose last heartbeat came at that time.
 Machine machine(const std::string& name, double last_heartbeat) {
   Machine out;
--- a/tests/periodic_checks_test.cpp
+++ b/tests/periodic_checks_test.cpp
@@ -3,25 +3,18 @@
 
 #include <gtest/gtest.h>
 
+#include "shard_test_data.h"
+
 namespace beaconsill::shard {
 namespace {
 
+using fixture::at;
+using fixture::params;
 using protocol::TaskState;
 
 const JobId kJob("run-1");
 const TaskKey kTask{{kJob, 0}, Attempt(1)};
 
-Instant at(double seconds) {
-  return Instant{} + from_seconds(1000 + seconds);
-}
-
-ShardParams params() {
-  ShardParams out;
-  out.heartbeat_period = std::chrono::seconds(1);
-  out.lease = std::chrono::seconds(10);
-  return out;
-}
-
 // A shard with one machine that runs one task since 0 s, its last contact.
 struct PeriodicChecksTest : testing::Test {
   PeriodicChecksTest() { reset(); }
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -3,24 +3,17 @@
 
 #include <gtest/gtest.h>
 
+#include "shard_test_data.h"
+
 namespace beaconsill::shard {
 namespace {
 
+using fixture::at;
+using fixture::params;
 using protocol::TaskState;
 
 const JobId kUrgentJob("run-urgent");
 
-Instant at(double seconds) {
-  return Instant{} + from_seconds(1000 + seconds);
-}
-
-ShardParams params() {
-  ShardParams out;
-  out.heartbeat_period = std::chrono::seconds(1);
-  out.lease = std::chrono::seconds(10);
-  return out;
-}
-
 std::shared_ptr<const protocol::JobSpec> spec(const JobId& id, Priority priority, JobKind kind) {
   protocol::JobSpec out;
   out.id = id;
--- a/tests/shard_fixture.h
+++ b/tests/shard_fixture.h
@@ -14,32 +14,18 @@
 
 #include "shard/partitioning.h"
 #include "shard/shard_manager.h"
+#include "shard_test_data.h"
 
 namespace beaconsill::shard {
 
+using fixture::at;
+using fixture::params;
 using protocol::EndCause;
 using protocol::TaskState;
 using state_store::TerminalState;
 
-inline Instant at(double s) {
-  return Instant{} + from_seconds(1000 + s);
-}
-
-constexpr Duration kHeartbeatPeriod = std::chrono::seconds(1);
-
-inline ShardParams params() {
-  ShardParams p;
-  p.heartbeat_period = kHeartbeatPeriod;
-  p.lease = std::chrono::seconds(10);
-  p.cancel_limit = std::chrono::seconds(40);
-  p.grace = std::chrono::seconds(5);
-  return p;
-}
-
 inline std::shared_ptr<const protocol::Catalogue> catalogue() {
-  auto c = std::make_shared<protocol::Catalogue>();
-  (*c)[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, {Zone("a"), Zone("b")}};
-  return c;
+  return fixture::catalogue({Zone("a"), Zone("b")});
 }
 
 inline std::shared_ptr<const protocol::JobSpec> spec(const char* id, std::uint32_t tasks,
@@ -64,13 +50,7 @@
 
   protocol::WorkerHeartbeat& worker(const char* name) {
     auto& w = workers[name];
-    if (w.machine.value().empty()) {
-      w.machine = MachineName(name);
-      w.address = "127.0.0.1:1";
-      w.type = MachineType("t4");
-      w.zone = Zone("a");
-      w.incarnation = Incarnation(1);
-    }
+    if (w.machine.value().empty()) w = fixture::new_worker(name, Zone("a"));
     return w;
   }
   // Adds the workers, registers all and has these send a heartbeat, all at 0 s.
