--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -19,9 +19,9 @@
 bool fits_type(const protocol::JobSpec& spec, const protocol::TypeInfo& info, const MachineType& type) {
   const auto request = shard::request_of(spec, 1);
   const bool allowed = std::any_of(info.zones.begin(), info.zones.end(), [&](const Zone& zone) {
-    return shard::allowed(request, type, zone, false);
+    return shard::is_allowed(request, type, zone, false);
   });
-  return allowed && shard::fits(info.total, spec.each) > 0;
+  return allowed && shard::tasks_that_fit(info.total, spec.each) > 0;
 }
 
 }  // namespace
--- a/src/api/cancellation.cpp
+++ b/src/api/cancellation.cpp
@@ -5,14 +5,14 @@
 void Cancellation::handle(const JobId& id, const net::HttpServer::Reply& reply) const {
   if (!context_.reader->ready()) return reply(retry_later(kStarting));
   if (auto state = status_.state(id)) {
-    if (context_.view().end(id)) return reply(status_.status_response(id, *state));
+    if (context_.view().terminal_state(id)) return reply(status_.status_response(id, *state));
     return write_terminal_record(id, reply);
   }
   context_.read_now([this, id, reply](bool fresh) {
     if (!fresh) return reply(retry_later(kUnreachable));
     auto state = status_.state(id);
     if (!state) return reply({404, protocol::render_error(kNoSuchJob)});
-    if (context_.view().end(id)) return reply(status_.status_response(id, *state));
+    if (context_.view().terminal_state(id)) return reply(status_.status_response(id, *state));
     write_terminal_record(id, reply);
   });
 }
@@ -43,7 +43,8 @@
   // Done or cancelled by now, or no response: what is stored decides.
   context_.read_now([this, id, reply](bool fresh) {
     auto state = status_.state(id);
-    if (fresh && state && context_.view().end(id)) return reply(status_.status_response(id, *state));
+    if (fresh && state && context_.view().terminal_state(id))
+      return reply(status_.status_response(id, *state));
     reply(retry_later(kStateUnknown));
   });
 }
--- a/src/api/job_status.cpp
+++ b/src/api/job_status.cpp
@@ -18,13 +18,13 @@
   if (!context_.reader->ready()) return reply(retry_later(kStarting));
   // A final state is final; everything else is read anew, since another controller may have shown something
   // newer.
-  if (context_.view().end(id)) return respond(true);
+  if (context_.view().terminal_state(id)) return respond(true);
   context_.read_now(respond);
 }
 
 std::optional<JobState> JobStatus::state(const JobId& id) const {
   const auto& view = context_.view();
-  if (auto terminal_state = view.end(id))
+  if (auto terminal_state = view.terminal_state(id))
     return *terminal_state == state_store::TerminalState::kDone ? JobState::kDone : JobState::kCancelled;
   if (!view.job(id)) return std::nullopt;
   return context_.hooks.running(id) > 0 ? JobState::kRunning : JobState::kQueued;
--- a/src/api/submission.cpp
+++ b/src/api/submission.cpp
@@ -80,7 +80,7 @@
     if (response.status == 200) response.status = 201;
     reply(std::move(response));
   };
-  const auto view_age = context_.clock.now() - context_.reader->as_of();
+  const auto view_age = context_.clock.now() - context_.reader->up_to_date_at();
   const bool recent = view_age < from_seconds(context_.settings.cancel_s / 4);
   if (!job || job->record.spec->depends_on.empty() || recent) return respond(true);
   context_.read_now(respond);
@@ -88,7 +88,7 @@
 
 void Submission::accept(protocol::JobSpec spec, const Reply& reply) const {
   if (!context_.reader->is_responsive()) return reply(retry_later(kUnreachable));
-  if (!spec.depends_on.empty() && !context_.hooks.all_support(state_store::kPipelinesSince))
+  if (!spec.depends_on.empty() && !context_.hooks.all_support(state_store::kDependenciesSince))
     return reply(retry_later("not all controllers know of jobs that await others", kRetryLaterS));
   if (context_.overloaded()) return reply(retry_later("too many submissions", kRetryLaterS));
   state_store::JobRecord record{std::make_shared<const protocol::JobSpec>(std::move(spec)),
@@ -131,7 +131,7 @@
   // These keys are deleted the first one first: then the record doesn't follow any more.
   if (!values.depends_on.empty())
     txn.conditions.push_back(
-        {state_store::dependency_key(id, 0), context_.view().dependency_keys(id).at(0).version});
+        {state_store::dependency_key(id, 0), context_.view().dependency_keys(id).at(0).revision});
   txn.writes = {{state_store::job_key(id), state_store::to_json(values.record), std::nullopt}};
   context_.commit(
       txn, [this, txn, id, reply](const TxnResult& result) { on_record_result(txn, id, reply, result); });
--- a/src/api/submission.h
+++ b/src/api/submission.h
@@ -3,7 +3,7 @@
 
 #include "api/context.h"
 #include "api/job_status.h"
-#include "state_store/sizes.h"
+#include "state_store/value_sizes.h"
 
 namespace beaconsill::api {
 
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -43,16 +43,16 @@
 
 // What entitles a controller to command a worker: the shard's term, and below it a fence that the owner can
 // raise for one worker without a state write.
-class Token {
+class FencingToken {
  public:
   static constexpr unsigned kFenceBits = 20;
-  constexpr Token() = default;
-  constexpr explicit Token(std::uint64_t v) : v_(v) {}
-  static constexpr Token first_of(Term t) { return Token(t.value() << kFenceBits); }
+  constexpr FencingToken() = default;
+  constexpr explicit FencingToken(std::uint64_t v) : v_(v) {}
+  static constexpr FencingToken first_of(Term t) { return FencingToken(t.value() << kFenceBits); }
   constexpr std::uint64_t value() const { return v_; }
   constexpr Term term() const { return Term(v_ >> kFenceBits); }
-  constexpr Token raised() const { return Token(v_ + 1); }
-  auto operator<=>(const Token&) const = default;
+  constexpr FencingToken raised() const { return FencingToken(v_ + 1); }
+  auto operator<=>(const FencingToken&) const = default;
 
  private:
   std::uint64_t v_ = 0;
--- a/src/config/policy.cpp
+++ b/src/config/policy.cpp
@@ -57,7 +57,7 @@
        duration_setter(&Policy::quiet_return)},
       {"home_delay", ExprType::kDuration, "15s", 0, 86400,
        "how long a shard's preferred controller is well before the shard fails back to it",
-       duration_setter(&Policy::home_delay)},
+       duration_setter(&Policy::fail_back_delay)},
       // Within a minute the order by due times does better than the order by age. The head of the queue is no
       // capacity yet: tasks have to end first, and until 1.3 times the wait work of higher priority goes
       // before. That and a large job's share of rounds have to fit into the four minutes.
--- a/src/config/policy.h
+++ b/src/config/policy.h
@@ -19,7 +19,8 @@
   Duration grace;           // silence after which a machine is deleted, which proves it terminated
   Duration idle_return;     // how long a machine is idle before it is returned
   Duration quiet_return;    // the same when no job is left at all
-  Duration home_delay;    // how long a shard's preferred controller is well before the shard fails back to it
+  Duration
+      fail_back_delay;    // how long a shard's preferred controller is well before the shard fails back to it
   Duration longest_wait;  // how long a job may get nothing before it goes to the head of the queue
 };
 
--- a/src/controller/autoscaler_service.cpp
+++ b/src/controller/autoscaler_service.cpp
@@ -70,7 +70,7 @@
                                         const std::vector<MachineName>& names) {
   switch (outcome) {
     case cloud::CloudClient::RentOutcome::kRented:
-      autoscaler_->on_rented(request, names, ctx_.now());
+      autoscaler_->on_scale_out_result(request, names, ctx_.now());
       rent();  // the next at once: machines take long enough to come up
       return;
     case cloud::CloudClient::RentOutcome::kNoCapacity:
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -16,7 +16,7 @@
 // What the worker made of the commands; `heartbeat` is set if the answer holds its state.
 CommandResult parse_answer(const MachineName& machine, const net::Result& result,
                            std::optional<protocol::WorkerHeartbeat>& heartbeat) {
-  if (!result.answered()) {
+  if (!result.has_response()) {
     spdlog::debug("commands_unanswered machine={}", machine.value());
     return CommandResult::kNoAnswer;
   }
@@ -50,7 +50,7 @@
   if (!endpoint) {
     spdlog::error("worker_address_invalid machine={} reason=\"{}\"", batch.machine.value(), batch.address);
     // Otherwise the shard would wait for an answer for good, and so would the tasks that it placed there.
-    shard.manager->on_commands(batch, CommandResult::kNoAnswer, std::nullopt, ctx_.now());
+    shard.manager->on_command_result(batch, CommandResult::kNoAnswer, std::nullopt, ctx_.now());
     return;
   }
   auto client = connections_.acquire(batch.machine, batch.address, *endpoint, ctx_.now()).client;
@@ -70,7 +70,7 @@
   if (!shard) return;
   std::optional<protocol::WorkerHeartbeat> heartbeat;
   auto outcome = parse_answer(batch.machine, result, heartbeat);
-  shard->manager->on_commands(batch, outcome, heartbeat, ctx_.now());
+  shard->manager->on_command_result(batch, outcome, heartbeat, ctx_.now());
   on_answer_();
 }
 
--- a/src/controller/command_sender.h
+++ b/src/controller/command_sender.h
@@ -9,8 +9,8 @@
 
 namespace beaconsill::controller {
 
-// Part of the ShardService. Every batch ends in one call of ShardManager::on_commands, unless the shard's
-// term has ended; a batch without an answer isn't repeated here. Throws nothing; one thread.
+// Part of the ShardService. Every batch ends in one call of ShardManager::on_command_result, unless the
+// shard's term has ended; a batch without an answer isn't repeated here. Throws nothing; one thread.
 class CommandSender {
  public:
   // `on_answer` is called after the shard was notified of an answer, or that there was none.
--- a/src/controller/controller_context.h
+++ b/src/controller/controller_context.h
@@ -41,7 +41,7 @@
   // conditional on a role's version, as transactions are, needs that: renting and deleting machines.
   bool roles_read_since_pause() {
     pause_detector.observe(now());
-    return watch_cache->as_of() > pause_detector.last_pause_end().value_or(Instant{});
+    return watch_cache->up_to_date_at() > pause_detector.last_pause_end().value_or(Instant{});
   }
   const state_store::StateView& view() const { return watch_cache->view(); }
   Instant now() const { return clock.now(); }
--- a/src/controller/garbage_collector.cpp
+++ b/src/controller/garbage_collector.cpp
@@ -53,9 +53,9 @@
   if (!job || !ctx_.view().terminal_record(id).exists()) return true;
   // The job's record last: if not all go at once, what is left is still known to be of a job that is over.
   std::vector<protocol::Condition> keys;
-  if (job->grants.exists()) keys.push_back({state_store::grants_key(id), job->grants.version});
+  if (job->grants.exists()) keys.push_back({state_store::grants_key(id), job->grants.revision});
   for (const auto& [shard, progress] : job->progress)
-    keys.push_back({state_store::progress_key(shard, id), progress.version});
+    keys.push_back({state_store::progress_key(shard, id), progress.revision});
   keys.push_back({state_store::job_key(id), job->created});
   keys.resize(std::min(keys.size(), ctx_.store->sizes().txn_ops()));
   std::vector<protocol::Write> deletions;
@@ -78,7 +78,7 @@
   if (!view.terminal_record(id).exists() && age < kAbandonedSubmissionAge) return true;
   for (const auto& [piece, value] : keys) {
     auto key = state_store::dependency_key(id, piece);
-    if (!draft.add({{key, value.version}, {state_store::job_key(id), Revision()}},
+    if (!draft.add({{key, value.revision}, {state_store::job_key(id), Revision()}},
                    {{key, std::nullopt, std::nullopt}}))
       return false;
   }
--- a/src/controller/grant_writer.cpp
+++ b/src/controller/grant_writer.cpp
@@ -5,8 +5,8 @@
 #include <utility>
 
 #include "base/log.h"
-#include "state_store/sizes.h"
 #include "state_store/txn_draft.h"
+#include "state_store/value_sizes.h"
 
 namespace beaconsill::controller {
 namespace {
@@ -108,7 +108,7 @@
   for (const auto& grant : grants)
     depends_on_shards.insert(grant.depends_on_shards.begin(), grant.depends_on_shards.end());
   for (auto shard : depends_on_shards)
-    txn.conditions.push_back({state_store::shard_role_key(shard), ctx_.view().shard_role(shard).version});
+    txn.conditions.push_back({state_store::shard_role_key(shard), ctx_.view().shard_role(shard).revision});
   for (const auto& grant : grants) {
     txn.conditions.push_back({state_store::grants_key(grant.job), grant.expected});
     txn.conditions.push_back({state_store::terminal_key(grant.job), Revision()});
--- a/src/controller/heartbeat_endpoint.cpp
+++ b/src/controller/heartbeat_endpoint.cpp
@@ -45,7 +45,7 @@
     reply({kHttpBadRequest, protocol::render_error(error.what())});
     return;
   }
-  auto id = ctx_.partitioning.of(heartbeat.zone, heartbeat.machine);
+  auto id = ctx_.partitioning.shard_of(heartbeat.zone, heartbeat.machine);
   auto* shard = find_current(id);
   if (!shard) {
     relay_.relay(id, request.body, reply);
@@ -71,7 +71,7 @@
   }
   // A stale heartbeat is answered as well: its worker is there, and commands may have overtaken it.
   if (!manager.find_machine(heartbeat.machine)) return unavailable("machine is gone");
-  auto response = manager.answer(heartbeat.machine, ctx_.now());
+  auto response = manager.heartbeat_response(heartbeat.machine, ctx_.now());
   return {kHttpOk, protocol::render_heartbeat_response(response.token, response.commands)};
 }
 
@@ -85,7 +85,7 @@
                                protocol::render_redirect(ctx_.settings.controller)};
   try {
     auto heartbeat = protocol::parse_worker_heartbeat(protocol::parse_object(relayed.heartbeat));
-    auto id = ctx_.partitioning.of(heartbeat.zone, heartbeat.machine);
+    auto id = ctx_.partitioning.shard_of(heartbeat.zone, heartbeat.machine);
     auto* shard = find_current(id);
     if (!shard) {
       reply.body = protocol::render_redirect(relay_.shard_leader(id));
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -17,7 +17,7 @@
 
 LeaderElection::LeaderElection(ControllerContext& ctx, Hooks hooks)
     : ctx_(ctx), hooks_(std::move(hooks)), liveness_(ctx), check_timer_(ctx.io, [this] { on_view(); }) {
-  for (std::uint32_t number = 0; number < ctx.partitioning.shards(); ++number) {
+  for (std::uint32_t number = 0; number < ctx.partitioning.shard_count(); ++number) {
     ShardId shard(number);
     shards_[shard].key = state_store::shard_role_key(shard);
     shards_[shard].shard = shard;
@@ -99,8 +99,8 @@
     return;
   }
   auto alive_for = now - *state.preferred_alive_since;
-  if (alive_for <= ctx_.policy.home_delay) return;
-  if (!hooks_.is_stable(shard) && alive_for <= kMaxFailBackDelayFactor * ctx_.policy.home_delay) return;
+  if (alive_for <= ctx_.policy.fail_back_delay) return;
+  if (!hooks_.is_stable(shard) && alive_for <= kMaxFailBackDelayFactor * ctx_.policy.fail_back_delay) return;
   state.preferred_alive_since.reset();
   fail_back(state, role, shard);
 }
@@ -141,11 +141,11 @@
   state.writing = true;
   Term term(role.value.term.value() + 1);
   protocol::Txn txn;
-  txn.conditions = {{state.key, role.version}};
+  txn.conditions = {{state.key, role.revision}};
   // Only a holder that isn't alive, or is this very controller, may be replaced.
   if (role.exists() && role.value.controller != ctx_.settings.controller)
     txn.conditions.push_back({state_store::alive_key(role.value.controller), Revision()});
-  state_store::Role acquired{ctx_.settings.controller, term, role.value.readable_since};
+  state_store::Role acquired{ctx_.settings.controller, term, role.value.min_reader_version};
   txn.writes = {{state.key, state_store::to_json(acquired), std::nullopt}};
   auto done = [this, &state, txn, term](state_store::TxnResult result) {
     if (result.outcome == state_store::RequestOutcome::kOk) {
@@ -175,14 +175,15 @@
 void LeaderElection::fail_back(RoleState& state, const RoleRecord& role, ShardId shard) {
   const auto& preferred = ctx_.partitioning.preferred_controller(shard);
   // A process of an earlier version there couldn't read the role, and the shard would have no leader.
-  if (ctx_.view().advertised_version(preferred).value_or(0) < role.value.readable_since) return;
+  if (ctx_.view().advertised_version(preferred).value_or(0) < role.value.min_reader_version) return;
   spdlog::info("shard_fail_back shard={} controller={}", shard.value(), preferred.value());
   // This controller goes on as the shard leader until it sees that the change was applied, as any that is
   // replaced does. If it stopped here and the state store did not answer, the leases of all the shard's
   // workers would expire. (Found when the state store failed at that moment.)
   protocol::Txn txn;
-  txn.conditions = {{state.key, role.version}};
-  state_store::Role transferred{preferred, Term(state.acquired_term->value() + 1), role.value.readable_since};
+  txn.conditions = {{state.key, role.revision}};
+  state_store::Role transferred{preferred, Term(state.acquired_term->value() + 1),
+                                role.value.min_reader_version};
   txn.writes = {{state.key, state_store::to_json(transferred), std::nullopt}};
   state.writing = true;
   auto done = [this, &state, txn](state_store::TxnResult result) {
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -39,12 +39,12 @@
 std::optional<protocol::Condition> Leadership::still_leader() const {
   const auto& role = ctx_.view().leader();
   if (!is_leader() || !ledger_read_ || !role.exists() || role.value.term != term_) return std::nullopt;
-  return protocol::Condition{state_store::leader_role_key(), role.version};
+  return protocol::Condition{state_store::leader_role_key(), role.revision};
 }
 
 std::map<ShardId, Term> Leadership::shard_terms() const {
   std::map<ShardId, Term> terms;
-  for (std::uint32_t number = 0; number < ctx_.partitioning.shards(); ++number) {
+  for (std::uint32_t number = 0; number < ctx_.partitioning.shard_count(); ++number) {
     const auto& role = ctx_.view().shard_role(ShardId(number));
     if (role.exists()) terms[ShardId(number)] = role.value.term;
   }
--- a/src/controller/peer_service.cpp
+++ b/src/controller/peer_service.cpp
@@ -112,8 +112,8 @@
   protocol::Heartbeat heartbeat;
   heartbeat.acknowledged_until = acknowledged_until();
   heartbeat.terms = led_terms_();
-  heartbeat.state_ok =
-      ctx_.watch_cache->ready() && ctx_.now() - ctx_.watch_cache->as_of() < kStateStoreTimeout;
+  heartbeat.reaches_state_store =
+      ctx_.watch_cache->ready() && ctx_.now() - ctx_.watch_cache->up_to_date_at() < kStateStoreTimeout;
   return heartbeat;
 }
 
@@ -182,7 +182,7 @@
   auto echoed = cancellation_barrier_.echoed(from);
   if (cancellation_barrier_.on_heartbeat(from, heartbeat, known_cancellations(), ctx_.now()))
     schedule_heartbeat(peer);
-  if (cancellation_barrier_.echoed(from) >= echoed) peer.reaches_state_store = heartbeat.state_ok;
+  if (cancellation_barrier_.echoed(from) >= echoed) peer.reaches_state_store = heartbeat.reaches_state_store;
 }
 
 void PeerService::note_shard_leaders(const ControllerName& from, const protocol::Heartbeat& heartbeat) {
@@ -210,7 +210,7 @@
 
 void PeerService::on_view(const state_store::StateView::ChangeSet& changes) {
   bool cancelled = std::any_of(changes.jobs.begin(), changes.jobs.end(), [&](const JobId& id) {
-    return ctx_.view().end(id) == state_store::TerminalState::kCancelled;
+    return ctx_.view().terminal_state(id) == state_store::TerminalState::kCancelled;
   });
   if (!cancelled) return;
   for (auto& [name, peer] : peers_)
@@ -232,7 +232,7 @@
 }
 
 Instant PeerService::cancellations_known_until() const {
-  return std::max(ctx_.watch_cache->as_of(),
+  return std::max(ctx_.watch_cache->up_to_date_at(),
                   cancellation_barrier_.known_until(ctx_.watch_cache->ready(), ctx_.now()));
 }
 
--- a/src/controller/progress_writer.cpp
+++ b/src/controller/progress_writer.cpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <utility>
 
-#include "state_store/sizes.h"
+#include "state_store/value_sizes.h"
 
 namespace beaconsill::controller {
 namespace {
@@ -44,7 +44,7 @@
                                          leader_notified ? ctx_.store->spare_writes() : SIZE_MAX});
   if (max_jobs == 0) return;
   state_store::TxnDraft draft(max_jobs);
-  draft.require({state_store::shard_role_key(id), role.version});
+  draft.require({state_store::shard_role_key(id), role.revision});
   for (const auto& [job, progress] : unwritten) {
     auto since = shard.unwritten_since.try_emplace(job, now).first->second;
     if (now - since < batch_delay(leader_notified, progress)) continue;
@@ -66,7 +66,7 @@
   // Written under a higher limit: it gets shorter as the rest of the tasks end.
   if (value == recorded.value || state_store::value_bytes(json) > max_bytes) return true;
   auto key = state_store::progress_key(id, job);
-  return draft.add({{key, recorded.version}}, {{key, std::move(json), std::nullopt}});
+  return draft.add({{key, recorded.revision}}, {{key, std::move(json), std::nullopt}});
 }
 
 void ProgressWriter::commit(ShardId id, LedShard& shard, const protocol::Txn& txn) {
--- a/src/controller/registry_sync.cpp
+++ b/src/controller/registry_sync.cpp
@@ -38,7 +38,7 @@
   if (!shard.registry_read || !role.exists() || role.value.term != term) return;
   const auto& sizes = ctx_.store->sizes();
   auto txn =
-      state_store::registry_txn(ctx_.view(), id, shard.manager->unregistered_machines(),
+      state_store::registry_txn(ctx_.view(), id, shard.manager->registry_buckets_to_write(),
                                 ctx_.partitioning.controllers(), {sizes.txn_ops(), sizes.value_bytes()});
   if (!txn) return;
   shard.writing_registry = true;
--- a/src/controller/scheduler_service.cpp
+++ b/src/controller/scheduler_service.cpp
@@ -70,7 +70,7 @@
   auto ready_since = view.dependencies().ready_since(id);
   // Versions before pipelines don't record when a job ended: it counts from when that is seen.
   if (ready_since && ready_since->value() == 0) ready_since = ctx_.clock.wall();
-  leadership_.scheduler().on_job(id, job, view.end(id), ctx_.now(), ready_since);
+  leadership_.scheduler().on_job(id, job, view.terminal_state(id), ctx_.now(), ready_since);
 }
 
 void SchedulerService::on_progress_report(const protocol::ProgressReport& report) {
--- a/src/controller/shard_service.cpp
+++ b/src/controller/shard_service.cpp
@@ -46,7 +46,7 @@
   shard.manager = std::make_unique<shard::ShardManager>(id, term, params, ctx_.now());
   shard.manager->set_catalogue(ctx_.catalogue);
   for (const auto& [job, record] : ctx_.view().jobs())
-    shard.manager->on_job(job, &record, ctx_.view().end(job), ctx_.now());
+    shard.manager->on_job(job, &record, ctx_.view().terminal_state(job), ctx_.now());
   schedule_run();
 }
 
@@ -75,7 +75,7 @@
   for (auto& [id, shard] : shards_) {
     if (changes.machines.contains(id)) registry_.on_view(id, shard);
     for (const auto& job : changes.jobs)
-      shard.manager->on_job(job, ctx_.view().job(job), ctx_.view().end(job), ctx_.now());
+      shard.manager->on_job(job, ctx_.view().job(job), ctx_.view().terminal_state(job), ctx_.now());
   }
   if (!changes.jobs.empty() || !changes.machines.empty()) schedule_run();
 }
@@ -91,14 +91,14 @@
     protocol::EstimateResponse response{
         request.round, id, shard.manager->term(), ctx_.watch_cache->revision(), {}};
     for (const auto& resource_request : request.resource_requests)
-      response.rooms.push_back(shard.manager->estimate(resource_request, ctx_.now()));
+      response.capacities.push_back(shard.manager->estimate(resource_request, ctx_.now()));
     respond(std::move(response));
   }
 }
 
 void ShardService::on_machines_terminated(const std::vector<MachineName>& machines) {
   for (auto& [id, shard] : shards_)
-    for (const auto& machine : machines) shard.manager->on_deleted(machine, ctx_.now());
+    for (const auto& machine : machines) shard.manager->on_machine_terminated(machine, ctx_.now());
   for (const auto& machine : machines) commands_.on_machine_terminated(machine);
   schedule_run();
 }
@@ -133,7 +133,7 @@
   heartbeats_.redirect_expired();
   for (auto& [id, shard] : shards_) {
     registry_.read(id, shard);
-    shard.manager->tick(ctx_.now(), peers_.cancellations_known_until(), ctx_.watch_cache->as_of());
+    shard.manager->tick(ctx_.now(), peers_.cancellations_known_until(), ctx_.watch_cache->up_to_date_at());
     for (auto& batch : shard.manager->take_command_batches(ctx_.now()))
       commands_.send(id, shard, std::move(batch));
   }
--- a/src/controller/version_recorder.cpp
+++ b/src/controller/version_recorder.cpp
@@ -35,12 +35,12 @@
   auto versions = advertised_versions();
   if (versions == view.versions().value) return;
   protocol::Txn txn;
-  txn.conditions = {*leader, {state_store::versions_key(), view.versions().version}};
+  txn.conditions = {*leader, {state_store::versions_key(), view.versions().revision}};
   txn.writes = {{state_store::versions_key(), state_store::to_json(versions), std::nullopt}};
   const auto known_by_all = min_version(versions, ctx_.partitioning.controllers());
   auto role = view.leader().value;
-  if (known_by_all > role.readable_since) {
-    role.readable_since = known_by_all;
+  if (known_by_all > role.min_reader_version) {
+    role.min_reader_version = known_by_all;
     txn.writes.push_back({state_store::leader_role_key(), state_store::to_json(role), std::nullopt});
   }
   write(txn, known_by_all);
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -20,7 +20,7 @@
   bool sent = false;  // without a response: it may have been executed, or may still be
   std::string body;
   std::optional<int> retry_after_s;
-  bool answered() const { return status != 0; }
+  bool has_response() const { return status != 0; }
 };
 
 // Used on the thread of the io_context.
--- a/src/protocol/peer.capnp
+++ b/src/protocol/peer.capnp
@@ -36,7 +36,7 @@
   sequence @2 :UInt64;
   echo @3 :UInt64;
   # The sender's own requests to the state store succeed.
-  stateOk @4 :Bool;
+  reachesStateStore @4 :Bool;
   # Absent in heartbeats of versions before it: their senders acknowledge cancellations to users without asking
   # anybody, so such a heartbeat proves nothing beyond the time of what it echoes.
   cancellationSync @5 :CancellationSync;
@@ -102,11 +102,11 @@
   zone @0 :Text;
   free @1 :UInt32;
   # Of the free, on machines that hold the image already.
-  warm @2 :UInt32;
+  imageCached @2 :UInt32;
   # Further capacity if work of lower priority were preempted.
   preemptible @3 :UInt32;
   # Of the preemptible, on machines that hold the image already.
-  warmPreemptible @4 :UInt32;
+  imageCachedPreemptible @4 :UInt32;
 }
 
 struct EstimateResponse {
--- a/src/protocol/peer.h
+++ b/src/protocol/peer.h
@@ -37,7 +37,7 @@
   std::vector<ShardTerm> terms;
   std::uint64_t sequence = 0;
   std::uint64_t echo = 0;
-  bool state_ok = false;
+  bool reaches_state_store = false;
   std::optional<CancellationSync> cancellation_sync;  // none: the sender is of a version without it
 };
 
@@ -68,9 +68,9 @@
 struct ZoneCapacity {
   Zone zone;
   std::uint32_t free = 0;
-  std::uint32_t warm = 0;              // of the free, on machines that hold the image
-  std::uint32_t preemptible = 0;       // further ones, if work of lower priority were preempted
-  std::uint32_t warm_preemptible = 0;  // of the preemptible, on machines that hold the image
+  std::uint32_t image_cached = 0;              // of the free, on machines that hold the image
+  std::uint32_t preemptible = 0;               // further ones, if work of lower priority were preempted
+  std::uint32_t image_cached_preemptible = 0;  // of the preemptible, on machines that hold the image
   bool operator==(const ZoneCapacity&) const = default;
 };
 using CapacityByZone = std::vector<ZoneCapacity>;
@@ -79,8 +79,8 @@
   std::uint64_t round = 0;
   ShardId shard;
   Term term;
-  Revision seen;                      // grants up to it were known
-  std::vector<CapacityByZone> rooms;  // one for each resource request
+  Revision seen;                           // grants up to it were known
+  std::vector<CapacityByZone> capacities;  // one for each resource request
 };
 
 // A machine of a shard and what is free there.
@@ -145,7 +145,7 @@
   JobId job;
   Ranges done;
   std::vector<ReleasedTasks> released;
-  JobHealth verdict = JobHealth::kNone;
+  JobHealth health = JobHealth::kNone;
 };
 
 // What became of tasks granted to a shard, as far as its record may not hold it yet.
--- a/src/protocol/peer_reader.cpp
+++ b/src/protocol/peer_reader.cpp
@@ -63,7 +63,7 @@
   heartbeat.acknowledged_until = Revision(reader.getAcknowledgedRevision());
   heartbeat.sequence = reader.getSequence();
   heartbeat.echo = reader.getEcho();
-  heartbeat.state_ok = reader.getStateOk();
+  heartbeat.reaches_state_store = reader.getReachesStateStore();
   if (reader.hasCancellationSync())
     heartbeat.cancellation_sync = read_cancellation_sync(reader.getCancellationSync());
   for (auto term : reader.getTerms())
@@ -82,8 +82,8 @@
 CapacityByZone read_zones(peer::CapacityByZone::Reader reader) {
   CapacityByZone capacity;
   for (auto zone : reader.getZones())
-    capacity.push_back({Zone(read_text(zone.getZone())), zone.getFree(), zone.getWarm(),
-                        zone.getPreemptible(), zone.getWarmPreemptible()});
+    capacity.push_back({Zone(read_text(zone.getZone())), zone.getFree(), zone.getImageCached(),
+                        zone.getPreemptible(), zone.getImageCachedPreemptible()});
   return capacity;
 }
 
@@ -93,7 +93,7 @@
   response.shard = ShardId(reader.getShard());
   response.term = Term(reader.getTerm());
   response.seen = Revision(reader.getSeenRevision());
-  for (auto capacity : reader.getCapacities()) response.rooms.push_back(read_zones(capacity));
+  for (auto capacity : reader.getCapacities()) response.capacities.push_back(read_zones(capacity));
   return response;
 }
 
@@ -126,7 +126,7 @@
   JobProgress progress;
   progress.job = JobId(read_text(reader.getJob()));
   progress.done = read_ranges(reader.getDone());
-  progress.verdict = from_peer_health(reader.getHealth());
+  progress.health = from_peer_health(reader.getHealth());
   for (auto released : reader.getReleased())
     progress.released.push_back({Generation(released.getGeneration()), read_ranges(released.getTasks())});
   return progress;
--- a/src/protocol/peer_writer.cpp
+++ b/src/protocol/peer_writer.cpp
@@ -55,9 +55,9 @@
   for (std::size_t i = 0; i < capacity.size(); ++i) {
     zones[i].setZone(capacity[i].zone.value());
     zones[i].setFree(capacity[i].free);
-    zones[i].setWarm(capacity[i].warm);
+    zones[i].setImageCached(capacity[i].image_cached);
     zones[i].setPreemptible(capacity[i].preemptible);
-    zones[i].setWarmPreemptible(capacity[i].warm_preemptible);
+    zones[i].setImageCachedPreemptible(capacity[i].image_cached_preemptible);
   }
 }
 
@@ -76,7 +76,7 @@
 void write_job_progress(peer::JobProgress::Builder builder, const JobProgress& progress) {
   builder.setJob(progress.job.value());
   builder.setDone(progress.done.str());
-  builder.setHealth(to_peer_health(progress.verdict));
+  builder.setHealth(to_peer_health(progress.health));
   auto released = builder.initReleased(progress.released.size());
   for (std::size_t i = 0; i < progress.released.size(); ++i) {
     released[i].setGeneration(progress.released[i].generation.value());
@@ -94,7 +94,7 @@
     builder.setAcknowledgedRevision(heartbeat.acknowledged_until.value());
     builder.setSequence(heartbeat.sequence);
     builder.setEcho(heartbeat.echo);
-    builder.setStateOk(heartbeat.state_ok);
+    builder.setReachesStateStore(heartbeat.reaches_state_store);
     if (heartbeat.cancellation_sync)
       write_cancellation_sync(builder.initCancellationSync(), *heartbeat.cancellation_sync);
     auto terms = builder.initTerms(heartbeat.terms.size());
@@ -119,8 +119,8 @@
     builder.setShard(response.shard.value());
     builder.setTerm(response.term.value());
     builder.setSeenRevision(response.seen.value());
-    auto list = builder.initCapacities(response.rooms.size());
-    for (std::size_t i = 0; i < response.rooms.size(); ++i) write_zones(list[i], response.rooms[i]);
+    auto list = builder.initCapacities(response.capacities.size());
+    for (std::size_t i = 0; i < response.capacities.size(); ++i) write_zones(list[i], response.capacities[i]);
   }
   void operator()(const Summary& summary) {
     auto builder = builder_.initSummary();
--- a/src/protocol/state_store.cpp
+++ b/src/protocol/state_store.cpp
@@ -15,7 +15,7 @@
   } else {
     change.key = get_string(json, field::kDelete);
   }
-  change.version = Revision(get_count(json, field::kVersion));
+  change.revision = Revision(get_count(json, field::kVersion));
   return change;
 }
 
@@ -61,7 +61,7 @@
 std::string render_txn(const Txn& txn) {
   Json conditions = Json::array();
   for (const auto& condition : txn.conditions)
-    conditions.push_back({{field::kKey, condition.key}, {field::kVersion, condition.version.value()}});
+    conditions.push_back({{field::kKey, condition.key}, {field::kVersion, condition.revision.value()}});
   Json writes = Json::array();
   for (const auto& write : txn.writes) writes.push_back(write_to_json(write));
   return dump(Json{{field::kConditions, std::move(conditions)}, {field::kWrites, std::move(writes)}});
--- a/src/protocol/state_store.h
+++ b/src/protocol/state_store.h
@@ -17,14 +17,14 @@
 struct Item {
   std::string key;
   Json value;
-  Revision version;
+  Revision revision;
 };
 
 // A change of a key; no value: the key was deleted.
 struct Change {
   std::string key;
   std::optional<Json> value;
-  Revision version;
+  Revision revision;
 };
 
 // A page of keys, and the revision of the store when it was read.
@@ -43,7 +43,7 @@
 // A key has this version.
 struct Condition {
   std::string key;
-  Revision version;  // 0: the key doesn't exist
+  Revision revision;  // 0: the key doesn't exist
 };
 
 // A put or a delete.
--- a/src/protocol/worker.cpp
+++ b/src/protocol/worker.cpp
@@ -78,7 +78,7 @@
   heartbeat.spot = get_bool(json, field::kSpot);
   heartbeat.incarnation = Incarnation(get_count(json, field::kIncarnation));
   heartbeat.sequence = Sequence(get_count(json, field::kSequence));
-  heartbeat.token = Token(get_count(json, field::kFencingToken));
+  heartbeat.token = FencingToken(get_count(json, field::kFencingToken));
   if (find(json, field::kTerminationNoticeS))
     heartbeat.notice_s = get_amount(json, field::kTerminationNoticeS);
   const Json& tasks = get_list(json, field::kTasks);
@@ -87,11 +87,12 @@
   return heartbeat;
 }
 
-std::string render_heartbeat_response(Token token, const std::vector<Command>& commands) {
+std::string render_heartbeat_response(FencingToken token, const std::vector<Command>& commands) {
   return dump(Json{{field::kFencingToken, token.value()}, {field::kCommands, commands_to_json(commands)}});
 }
 
-std::string render_commands(Token token, Incarnation incarnation, const std::vector<Command>& commands) {
+std::string render_commands(FencingToken token, Incarnation incarnation,
+                            const std::vector<Command>& commands) {
   return dump(Json{{field::kFencingToken, token.value()},
                    {field::kIncarnation, incarnation.value()},
                    {field::kCommands, commands_to_json(commands)}});
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -32,7 +32,7 @@
   bool spot = false;
   Incarnation incarnation;
   Sequence sequence;               // within the incarnation
-  Token token;                     // the highest fencing token that the agent has seen
+  FencingToken token;              // the highest fencing token that the agent has seen
   std::optional<double> notice_s;  // of a spot machine: time until the cloud terminates it
   std::vector<TaskStatus> tasks;
 
@@ -55,9 +55,10 @@
 };
 
 // The response to a heartbeat.
-std::string render_heartbeat_response(Token token, const std::vector<Command>& commands);
+std::string render_heartbeat_response(FencingToken token, const std::vector<Command>& commands);
 // A call of the agent by the controller.
-std::string render_commands(Token token, Incarnation incarnation, const std::vector<Command>& commands);
+std::string render_commands(FencingToken token, Incarnation incarnation,
+                            const std::vector<Command>& commands);
 // The response to a heartbeat by a controller that doesn't lead the machine's shard. None: the shard has no
 // leader.
 std::string render_redirect(const std::optional<ControllerName>& shard_leader);
--- a/src/scheduler/autoscaler.cpp
+++ b/src/scheduler/autoscaler.cpp
@@ -92,8 +92,8 @@
   for (const auto& [name, instance] : pending_instances_) {
     const auto& kind = instance.kind;
     auto type = catalogue_->find(kind.type);
-    if (type == catalogue_->end() || !shard::allowed(request, kind.type, kind.zone, kind.spot)) continue;
-    auto tasks = std::min(shard::fits(type->second.total, request.each), params_.task_cap);
+    if (type == catalogue_->end() || !shard::is_allowed(request, kind.type, kind.zone, kind.spot)) continue;
+    auto tasks = std::min(shard::tasks_that_fit(type->second.total, request.each), params_.task_cap);
     (is_boot_late(instance, now) ? capacity.late : capacity.on_time) += tasks;
   }
   return capacity;
@@ -126,12 +126,12 @@
                                                                     Instant now) const {
   std::optional<RentalOption> best;
   for (const auto& [name, type] : *catalogue_) {
-    auto tasks = std::min(shard::fits(type.total, request.each), params_.task_cap);
+    auto tasks = std::min(shard::tasks_that_fit(type.total, request.each), params_.task_cap);
     if (tasks == 0) continue;
     for (const auto& zone : type.zones) {
       for (bool spot : {false, true}) {
         InstanceKind kind{name, zone, spot};
-        if (!shard::allowed(request, name, zone, spot) || is_refused(kind, now)) continue;
+        if (!shard::is_allowed(request, name, zone, spot) || is_refused(kind, now)) continue;
         RentalOption option{(spot ? type.spot_price : type.price) / tasks, count_owned(kind), kind, tasks};
         if (!best ||
             std::tie(option.price_per_task, option.owned) < std::tie(best->price_per_task, best->owned))
@@ -169,7 +169,7 @@
   double cpus_each = counted_cpus(demand[index].resource_request);
   for (std::size_t i = index + 1; i < demand.size(); ++i) {
     const auto& other = demand[i].resource_request;
-    if (demand[i].waited >= kMinDemandAge && shard::allowed(other, kind.type, kind.zone, kind.spot))
+    if (demand[i].waited >= kMinDemandAge && shard::is_allowed(other, kind.type, kind.zone, kind.spot))
       tasks += other.wanted * other.each.cpus / cpus_each;
   }
   auto count = static_cast<std::uint32_t>(
@@ -180,8 +180,8 @@
   return *open_request_;
 }
 
-void Autoscaler::on_rented(const protocol::RentRequest& request, const std::vector<MachineName>& names,
-                           Instant now) {
+void Autoscaler::on_scale_out_result(const protocol::RentRequest& request,
+                                     const std::vector<MachineName>& names, Instant now) {
   request_sent_ = false;
   open_request_.reset();
   InstanceKind kind{request.type, request.zone, request.spot};
--- a/src/scheduler/autoscaler.h
+++ b/src/scheduler/autoscaler.h
@@ -44,7 +44,8 @@
   // answered, which makes it idempotent.
   std::optional<protocol::RentRequest> rent(const std::vector<Demand>& demand, Instant now);
   // The request was carried out; fewer instances than requested mean that the cloud has no more of the kind.
-  void on_rented(const protocol::RentRequest& request, const std::vector<MachineName>& names, Instant now);
+  void on_scale_out_result(const protocol::RentRequest& request, const std::vector<MachineName>& names,
+                           Instant now);
   // The cloud has no instance of the kind.
   void on_refused(const protocol::RentRequest& request, Instant now);
   // No answer: the request may have been, or may yet be, carried out.
--- a/src/scheduler/estimation_round.cpp
+++ b/src/scheduler/estimation_round.cpp
@@ -12,9 +12,10 @@
     : id_(id), began_(began), asked_(std::move(reachable)), selection_(std::move(selection)) {}
 
 bool EstimationRound::on_response(const protocol::EstimateResponse& response) {
-  if (response.round != id_ || response.rooms.size() != selection_.resource_requests.size()) return false;
+  if (response.round != id_ || response.capacities.size() != selection_.resource_requests.size())
+    return false;
   if (!asked_.contains(response.shard)) return false;
-  responses_[response.shard] = response.rooms;
+  responses_[response.shard] = response.capacities;
   return true;
 }
 
--- a/src/scheduler/grant_builder.cpp
+++ b/src/scheduler/grant_builder.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 JobGrant rewritten_grant(const JobId& id, const JobEntry& entry, const QuotaLedger& quota) {
-  JobGrant grant{id, {}, entry.grants_version, quota.required_terms(entry)};
+  JobGrant grant{id, {}, entry.grants_revision, quota.required_terms(entry)};
   grant.grants.last = entry.grants.last;
   for (const auto& retained : entry.retained_chunks) grant.grants.chunks.push_back(retained.chunk);
   return grant;
@@ -37,7 +37,7 @@
 
 std::optional<JobGrant> GrantBuilder::build(const RoundCandidate& candidate) {
   const auto* entry = in_.jobs.find(candidate.job);
-  if (!entry || entry->end || entry->pending.empty()) return std::nullopt;
+  if (!entry || entry->terminal_state || entry->pending.empty()) return std::nullopt;
   auto wanted = in_.waiting.grantable_tasks(candidate.job, *entry, usage_, in_.now);
   if (wanted == 0 || yields_to_gang(*entry)) return std::nullopt;
   if (entry->is_gang()) {
--- a/src/scheduler/indeterminate_grants.cpp
+++ b/src/scheduler/indeterminate_grants.cpp
@@ -16,7 +16,7 @@
 bool IndeterminateGrants::may_still_commit(const Transaction& transaction, const JobTable& jobs) {
   return std::all_of(transaction.begin(), transaction.end(), [&](const auto& write) {
     const auto* entry = jobs.find(write.first);
-    return entry && !entry->end && entry->grants_version == write.second;
+    return entry && !entry->terminal_state && entry->grants_revision == write.second;
   });
 }
 
--- a/src/scheduler/job_entry.cpp
+++ b/src/scheduler/job_entry.cpp
@@ -25,9 +25,9 @@
 void JobEntry::update(const state_store::Job& job, std::optional<state_store::TerminalState> terminal,
                       const ProgressByShard* reported) {
   record = job.record;
-  end = terminal;
+  terminal_state = terminal;
   grants = job.grants.value;
-  grants_version = job.grants.version;
+  grants_revision = job.grants.revision;
   // The key of the grants may exist without any grant: see IndeterminateGrants.
   granted_before = grants.last.value() > 0;
   const Ranges recorded = job.done();
@@ -43,9 +43,9 @@
   // Tasks released by message only stay charged: the shard's next leader doesn't know of the release and may
   // start them. Not so for a job that is over, see QuotaLedger::required_terms. Done tasks aren't charged,
   // recorded or not: if one is started again, it ends as soon as it has its image.
-  charged_tasks = outstanding_tasks + (end ? 0 : released_by_message_tasks);
+  charged_tasks = outstanding_tasks + (terminal_state ? 0 : released_by_message_tasks);
   pending = Ranges();
-  if (end) return;
+  if (terminal_state) return;
   pending = Ranges::span(0, spec().tasks);
   pending.remove(done);
   pending.remove(outstanding);
--- a/src/scheduler/job_entry.h
+++ b/src/scheduler/job_entry.h
@@ -23,9 +23,9 @@
 
 struct JobEntry {
   state_store::JobRecord record;
-  std::optional<state_store::TerminalState> end;
+  std::optional<state_store::TerminalState> terminal_state;
   state_store::Grants grants;
-  Revision grants_version;
+  Revision grants_revision;
   Ranges pending;  // tasks to grant: neither outstanding nor done; empty once the job is over
   Ranges done;     // recorded or reported
   // Also holds tasks that a shard leader reported as done until it has recorded that.
--- a/src/scheduler/job_table.cpp
+++ b/src/scheduler/job_table.cpp
@@ -13,7 +13,7 @@
 }
 
 void JobTable::index(const JobId& id, const JobEntry& entry) {
-  if (entry.end) {
+  if (entry.terminal_state) {
     if (entry.outstanding_tasks == 0) collectable_.insert(id);
     return;
   }
--- a/src/scheduler/offered_capacity.cpp
+++ b/src/scheduler/offered_capacity.cpp
@@ -67,15 +67,15 @@
                                 std::uint32_t reserved_tasks) {
   protocol::ZoneCapacity sum;
   for (const auto& zone : zones) {
-    sum.warm += zone.warm;
+    sum.image_cached += zone.image_cached;
     sum.free += zone.free;
     sum.preemptible += zone.preemptible;
-    sum.warm_preemptible += zone.warm_preemptible;
+    sum.image_cached_preemptible += zone.image_cached_preemptible;
   }
-  add(warm_, shard, std::nullopt, minus(sum.warm, reserved_tasks));
+  add(image_cached_, shard, std::nullopt, minus(sum.image_cached, reserved_tasks));
   add(free_, shard, std::nullopt, minus(sum.free, reserved_tasks));
   add(preemptible_, shard, std::nullopt, sum.preemptible);
-  add(warm_preemptible_, shard, std::nullopt, sum.warm_preemptible);
+  add(image_cached_preemptible_, shard, std::nullopt, sum.image_cached_preemptible);
 }
 
 void OfferedCapacity::restrict_to_one_zone(const TasksByZone& placed) {
@@ -97,7 +97,7 @@
 }
 
 void OfferedCapacity::restrict_to_gang(std::uint32_t tasks) {
-  warm_.clear();
+  image_cached_.clear();
   preemptible_.clear();
   if (total(free_) < tasks) return free_.clear();
   std::map<ShardId, std::uint64_t> by_shard;
@@ -112,23 +112,24 @@
 std::vector<ShardCapacity> OfferedCapacity::free_without_image() const {
   std::vector<ShardCapacity> cold = free_;
   for (auto& capacity : cold)
-    for (const auto& warm : warm_)
-      if (warm.shard == capacity.shard && warm.zone == capacity.zone)
-        capacity.tasks = minus(capacity.tasks, warm.tasks);
+    for (const auto& cached : image_cached_)
+      if (cached.shard == capacity.shard && cached.zone == capacity.zone)
+        capacity.tasks = minus(capacity.tasks, cached.tasks);
   return cold;
 }
 
 // An image's fetch takes longer than anything else on the way to a task's start; for a service also longer
 // than preempting work where the image is.
 Placement OfferedCapacity::place(std::uint32_t tasks, JobKind kind) const {
-  bool preempt_where_warm =
-      kind == JobKind::kService && total(warm_) < tasks && total(warm_) + total(warm_preemptible_) >= tasks;
-  Placement placement{apportion(tasks, warm_), {}};
-  if (auto placed = total(placement.free); placed < tasks && !preempt_where_warm)
+  bool preempt_where_image_cached = kind == JobKind::kService && total(image_cached_) < tasks &&
+                                    total(image_cached_) + total(image_cached_preemptible_) >= tasks;
+  Placement placement{apportion(tasks, image_cached_), {}};
+  if (auto placed = total(placement.free); placed < tasks && !preempt_where_image_cached)
     for (auto& allocation : apportion(tasks - placed, free_without_image()))
       placement.free.push_back(std::move(allocation));
   if (auto placed = total(placement.free); placed < tasks)
-    placement.preempting = apportion(tasks - placed, preempt_where_warm ? warm_preemptible_ : preemptible_);
+    placement.preempting =
+        apportion(tasks - placed, preempt_where_image_cached ? image_cached_preemptible_ : preemptible_);
   return placement;
 }
 
--- a/src/scheduler/offered_capacity.h
+++ b/src/scheduler/offered_capacity.h
@@ -49,10 +49,11 @@
   std::vector<ShardCapacity> free_without_image() const;
 
   bool by_zone_;
-  std::vector<ShardCapacity> warm_;  // free, where the image is; counted in `free_` as well
+  std::vector<ShardCapacity> image_cached_;  // free, where the image is; counted in `free_` as well
   std::vector<ShardCapacity> free_;
   std::vector<ShardCapacity> preemptible_;
-  std::vector<ShardCapacity> warm_preemptible_;  // where the image is; counted in `preemptible_` as well
+  std::vector<ShardCapacity>
+      image_cached_preemptible_;  // where the image is; counted in `preemptible_` as well
 };
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/quota_ledger.cpp
+++ b/src/scheduler/quota_ledger.cpp
@@ -21,7 +21,7 @@
 void QuotaLedger::apply(const JobEntry& entry, int sign) {
   const auto& team = entry.spec().team;
   usage_.charge(team, entry.spec().each * (sign * static_cast<double>(entry.charged_tasks)));
-  if (!entry.end) return;
+  if (!entry.terminal_state) return;
   auto& jobs_by_shard = uncharged_by_message_[team];
   for (auto shard : entry.released_by_message)
     if ((jobs_by_shard[shard] += sign) == 0) jobs_by_shard.erase(shard);
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -19,21 +19,21 @@
     : params_(params), quota_(std::move(teams)), deadlines_(std::move(objectives), params.longest_wait) {}
 
 void Scheduler::on_job(const JobId& id, const state_store::Job* job,
-                       std::optional<state_store::TerminalState> end, Instant now,
+                       std::optional<state_store::TerminalState> terminal_state, Instant now,
                        std::optional<WallMs> ready_since) {
   if (const auto* entry = jobs_.find(id)) quota_.release(*entry);
   jobs_.unindex(id);
-  if (end || !job) {
+  if (terminal_state || !job) {
     inherited_.on_over(id);
     crash_loops_.erase(id);
   }
   if (!job || !job->record.spec) return remove_job(id);
-  if (!job->record.spec->depends_on.empty() && !end && !ready_since) {
+  if (!job->record.spec->depends_on.empty() && !terminal_state && !ready_since) {
     jobs_.erase(id);
     return await_dependencies(id, job->record);
   }
   inherited_.on_released(id);
-  update_job(id, *job, end, now, ready_since);
+  update_job(id, *job, terminal_state, now, ready_since);
 }
 
 void Scheduler::remove_job(const JobId& id) {
@@ -52,12 +52,12 @@
 }
 
 void Scheduler::update_job(const JobId& id, const state_store::Job& job,
-                           std::optional<state_store::TerminalState> end, Instant now,
+                           std::optional<state_store::TerminalState> terminal_state, Instant now,
                            std::optional<WallMs> ready_since) {
   bool is_new = !jobs_.find(id);
   auto& entry = jobs_.find_or_insert(id);
   auto pending_before = entry.pending.count();
-  entry.update(job, end, reported_.find(id));
+  entry.update(job, terminal_state, reported_.find(id));
   if (!entry.done.empty()) crash_loops_.erase(id);
   if (entry.spec().depends_on.empty()) {
     entry.counts_from = entry.record.submitted;
@@ -91,13 +91,13 @@
 }
 
 void Scheduler::on_progress_report(const protocol::ProgressReport& report, Instant now) {
-  for (const auto& job : report.jobs) on_job_health(job.job, job.verdict, now);
+  for (const auto& job : report.jobs) on_job_health(job.job, job.health, now);
   reported_.on_report(report);
 }
 
 void Scheduler::on_job_health(const JobId& id, protocol::JobHealth health, Instant now) {
   const auto* entry = jobs_.find(id);
-  if (!entry || entry->end || !entry->done.empty()) return;
+  if (!entry || entry->terminal_state || !entry->done.empty()) return;
   crash_loops_.on_job_health(id, health, entry->last_granted, now);
 }
 
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -42,11 +42,12 @@
             std::vector<config::Objective> objectives);
 
   // ---- Events
-  // A job as the state store holds it, or null if it was removed; to be called for each change. `end`: it's
-  // over. `ready_since`: when the last of its dependencies was done; none: it still waits for some. While it
-  // waits it's in no queue, round, quota or demand.
-  void on_job(const JobId& id, const state_store::Job* job, std::optional<state_store::TerminalState> end,
-              Instant now, std::optional<WallMs> ready_since = std::nullopt);
+  // A job as the state store holds it, or null if it was removed; to be called for each change.
+  // `terminal_state`: it's over. `ready_since`: when the last of its dependencies was done; none: it still
+  // waits for some. While it waits it's in no queue, round, quota or demand.
+  void on_job(const JobId& id, const state_store::Job* job,
+              std::optional<state_store::TerminalState> terminal_state, Instant now,
+              std::optional<WallMs> ready_since = std::nullopt);
   // A shard leader's report on tasks granted to it. on_job must then be called for each of its jobs.
   void on_progress_report(const protocol::ProgressReport& report, Instant now);
   // The present terms of the shards. Releases reported under another term count no more; returns the jobs
@@ -99,8 +100,9 @@
 
   void remove_job(const JobId& id);
   void await_dependencies(const JobId& id, const state_store::JobRecord& record);
-  void update_job(const JobId& id, const state_store::Job& job, std::optional<state_store::TerminalState> end,
-                  Instant now, std::optional<WallMs> ready_since);
+  void update_job(const JobId& id, const state_store::Job& job,
+                  std::optional<state_store::TerminalState> terminal_state, Instant now,
+                  std::optional<WallMs> ready_since);
   Requirement requirement_of(const JobId& id, const JobEntry& entry) const;
   // After a change of what waiting jobs need of their dependencies.
   void refresh_requirements();
--- a/src/shard/command_delivery.cpp
+++ b/src/shard/command_delivery.cpp
@@ -66,7 +66,7 @@
       [&](const TaskKey& key, const MachineTask& task) {
         if (task.start != Start::kQueued) return false;
         const auto* job = state_.jobs.find(key.task.job);
-        return !job || job->end.has_value();
+        return !job || job->terminal_state.has_value();
       },
       now_);
 }
--- a/src/shard/command_delivery.h
+++ b/src/shard/command_delivery.h
@@ -14,7 +14,7 @@
   MachineName machine;
   std::string address;
   Incarnation incarnation;
-  Token token;
+  FencingToken token;
   std::vector<protocol::Command> commands;
 };
 
@@ -22,7 +22,7 @@
 
 // The answer to a machine's heartbeat, which renews its lease.
 struct HeartbeatResponse {
-  Token token;
+  FencingToken token;
   // While commands don't reach the machine, tasks to be stopped are listed here. Stops only: they can be
   // repeated, and leave nothing in flight.
   std::vector<protocol::Command> commands;
--- a/src/shard/estimator.cpp
+++ b/src/shard/estimator.cpp
@@ -28,14 +28,15 @@
   return {spec.each, spec.types, spec.zone, spec.spot, spec.image, spec.priority, wanted};
 }
 
-bool allowed(const protocol::ResourceRequest& request, const MachineType& type, const Zone& zone, bool spot) {
+bool is_allowed(const protocol::ResourceRequest& request, const MachineType& type, const Zone& zone,
+                bool spot) {
   if (spot && !request.spot) return false;
   if (request.zone && *request.zone != zone) return false;
   return !request.types ||
          std::find(request.types->begin(), request.types->end(), type) != request.types->end();
 }
 
-std::uint32_t fits(const Resources& idle, const Resources& each) {
+std::uint32_t tasks_that_fit(const Resources& idle, const Resources& each) {
   double count = protocol::kMaxTasks;
   auto limit = [&count](double available, double wanted) {
     if (wanted > 0) count = std::min(count, std::floor(available / wanted + kSlack));
@@ -50,7 +51,7 @@
                               const PackingRules& rules, bool preempt) {
   Resources idle = machine.total - (preempt ? machine.used_from(request.priority) : machine.used());
   auto tasks = preempt ? machine.tasks_from(request.priority) : machine.live_tasks();
-  auto by_resources = fits(without_reserve(idle, machine.total, request, rules), request.each);
+  auto by_resources = tasks_that_fit(without_reserve(idle, machine.total, request, rules), request.each);
   auto by_cap = tasks >= rules.task_cap ? 0 : rules.task_cap - static_cast<std::uint32_t>(tasks);
   return std::min(by_resources, by_cap);
 }
@@ -60,7 +61,7 @@
                                   Instant now) {
   std::map<Zone, protocol::ZoneCapacity> zones;
   for (const auto& [name, machine] : machines) {
-    if (!machine.usable(now) || !allowed(request, machine.type, machine.zone, machine.spot)) continue;
+    if (!machine.usable(now) || !is_allowed(request, machine.type, machine.zone, machine.spot)) continue;
     auto free = available_tasks(machine, request, rules, false);
     auto preemptible = std::max(available_tasks(machine, request, rules, true), free) - free;
     if (free == 0 && preemptible == 0) continue;
@@ -71,8 +72,8 @@
     zone.free += free;
     zone.preemptible += preemptible;
     if (image == ImageState::kCached) {
-      zone.warm += free;
-      zone.warm_preemptible += preemptible;
+      zone.image_cached += free;
+      zone.image_cached_preemptible += preemptible;
     }
   }
   return without_empty(zones);
@@ -82,10 +83,10 @@
                                   const PackingRules& rules) {
   std::map<Zone, protocol::ZoneCapacity> zones;
   for (const auto& machine : summary.machines) {
-    if (!machine.usable || !allowed(request, machine.type, machine.zone, machine.spot)) continue;
+    if (!machine.usable || !is_allowed(request, machine.type, machine.zone, machine.spot)) continue;
     auto& zone = zones[machine.zone];
     zone.zone = machine.zone;
-    zone.free += std::min(fits(machine.free, request.each), rules.task_cap);
+    zone.free += std::min(tasks_that_fit(machine.free, request.each), rules.task_cap);
   }
   return without_empty(zones);
 }
@@ -114,7 +115,7 @@
   };
   std::vector<Ranked> ranked;
   for (auto* machine : machines) {
-    if (!machine->usable(now) || !allowed(request, machine->type, machine->zone, machine->spot) ||
+    if (!machine->usable(now) || !is_allowed(request, machine->type, machine->zone, machine->spot) ||
         (zone && *zone != machine->zone))
       continue;
     auto image = image_state(*machine, request.image);
--- a/src/shard/estimator.h
+++ b/src/shard/estimator.h
@@ -21,10 +21,11 @@
 protocol::ResourceRequest request_of(const protocol::JobSpec& spec, std::uint32_t wanted);
 
 // Whether the request's tasks may run on such a machine, capacity aside.
-bool allowed(const protocol::ResourceRequest& request, const MachineType& type, const Zone& zone, bool spot);
+bool is_allowed(const protocol::ResourceRequest& request, const MachineType& type, const Zone& zone,
+                bool spot);
 
 // How often `each` fits into `idle`, the scarcest resource deciding.
-std::uint32_t fits(const Resources& idle, const Resources& each);
+std::uint32_t tasks_that_fit(const Resources& idle, const Resources& each);
 
 // How many tasks of the request fit on the machine, by its resources and the task cap. `preempt`: as if all
 // work of lower priority were stopped.
--- a/src/shard/failure_attribution.cpp
+++ b/src/shard/failure_attribution.cpp
@@ -49,7 +49,7 @@
   return !job.works && job.failed_on.size() >= kFailsOnMachines;
 }
 
-bool FailureAttribution::machine_faulty(const MachineName& machine) const {
+bool FailureAttribution::is_machine_faulty(const MachineName& machine) const {
   auto failures = failures_by_machine_.find(machine);
   if (failures == failures_by_machine_.end()) return false;
   std::size_t working = 0;
--- a/src/shard/failure_attribution.h
+++ b/src/shard/failure_attribution.h
@@ -29,7 +29,7 @@
     return failures_by_machine_.contains(machine) || jobs_.contains(job);
   }
   // Jobs that work failed here, or so many that their mistakes don't explain it.
-  bool machine_faulty(const MachineName& machine) const;
+  bool is_machine_faulty(const MachineName& machine) const;
   // Several jobs failed here, and it isn't known yet whether they fail elsewhere as well: the machine should
   // get no tasks until that time. A time in the past if it isn't suspected.
   Instant suspect_until(const MachineName& machine) const;
--- a/src/shard/granted_jobs.cpp
+++ b/src/shard/granted_jobs.cpp
@@ -51,7 +51,8 @@
 }
 
 ShardJob* GrantedJobs::apply(const JobId& id, const state_store::Job& job,
-                             std::optional<state_store::TerminalState> end, bool reconciled, Instant now) {
+                             std::optional<state_store::TerminalState> terminal_state, bool reconciled,
+                             Instant now) {
   const auto& chunks = job.grants.value.chunks;
   bool granted =
       std::any_of(chunks.begin(), chunks.end(), [&](const auto& chunk) { return chunk.shard == shard_; });
@@ -59,7 +60,7 @@
   auto& shard_job = jobs_[id];
   set_record(shard_job, job);
   if (shard_job.record.spec->kind == JobKind::kGang) gangs_.insert(id);
-  shard_job.end = end;
+  shard_job.terminal_state = terminal_state;
   auto recorded = job.progress.find(shard_);
   shard_job.recorded = recorded == job.progress.end() ? state_store::Progress{} : recorded->second.value;
   shard_job.works =
@@ -135,7 +136,7 @@
     auto& job = jobs_.at(id);
     for (auto& [index, task] : job.granted_tasks) {
       if (task.status != Status::kWaiting) continue;
-      if (!job.end && !job.revoked && now - task.since < limit) continue;
+      if (!job.terminal_state && !job.revoked && now - task.since < limit) continue;
       task.status = Status::kReleased;
       job.mark_progress();
     }
@@ -144,7 +145,7 @@
 
 bool GrantedJobs::is_durable(const TaskId& id) const {
   const auto* job = find(id.job);
-  return job && (job->end || job->recorded.done.contains(id.index));
+  return job && (job->terminal_state || job->recorded.done.contains(id.index));
 }
 
 bool GrantedJobs::holds_no_tasks_of(const JobId& id) const {
@@ -157,7 +158,7 @@
   double cpus = 0;
   for (const auto& id : waiting_) {
     const auto& job = jobs_.at(id);
-    if (job.end || job.record.spec->priority < priority) continue;
+    if (job.terminal_state || job.record.spec->priority < priority) continue;
     for (const auto& [index, task] : job.granted_tasks)
       if (task.status == Status::kWaiting) cpus += job.record.spec->each.cpus;
   }
--- a/src/shard/granted_jobs.h
+++ b/src/shard/granted_jobs.h
@@ -43,7 +43,7 @@
 
 struct ShardJob {
   state_store::JobRecord record;  // with the priority that the job has in this shard
-  std::optional<state_store::TerminalState> end;
+  std::optional<state_store::TerminalState> terminal_state;
   state_store::Progress recorded;
   bool revoked = false;
   std::set<Generation> generations;  // of the chunks this shard holds
@@ -81,8 +81,8 @@
 
   // Takes over a job's record, its grants to this shard and its recorded progress. None: no grant of it
   // concerns this shard. The record must hold a specification.
-  ShardJob* apply(const JobId& id, const state_store::Job& job, std::optional<state_store::TerminalState> end,
-                  bool reconciled, Instant now);
+  ShardJob* apply(const JobId& id, const state_store::Job& job,
+                  std::optional<state_store::TerminalState> terminal_state, bool reconciled, Instant now);
   void erase(const JobId& id);
   // Lets the tasks wait that were held back for reconciliation; returns how many.
   std::size_t finish_reconciliation(Instant now);
--- a/src/shard/heartbeat_reconciler.cpp
+++ b/src/shard/heartbeat_reconciler.cpp
@@ -21,7 +21,7 @@
   if (inserted) {
     machine.name = heartbeat.machine;
     machine.first_seen = machine.last_own_heartbeat = machine.idle_since = now_;
-    machine.token = Token::first_of(state_.term);
+    machine.token = FencingToken::first_of(state_.term);
     state_.failure_detector.set_timeouts(machine);
   }
   if (machine.type != heartbeat.type || !machine.type_known) {
@@ -90,7 +90,7 @@
   // It sends heartbeats, but may receive nothing.
   if (machine.confirmed && !answers_commands && (lease_expired || missed_answer))
     begin_fencing(machine, state_.dispatch_queue, now_);
-  if (!machine.confirmed && heartbeat.token >= Token::first_of(state_.term)) {
+  if (!machine.confirmed && heartbeat.token >= FencingToken::first_of(state_.term)) {
     machine.confirmed = true;
     state_.registry.mark_dirty();
     machine.retry_at.reset();
@@ -235,7 +235,7 @@
 }
 
 void HeartbeatReconciler::quarantine_if_faulty(Machine& machine) {
-  if (machine.quarantined || !state_.failure_attribution.machine_faulty(machine.name)) return;
+  if (machine.quarantined || !state_.failure_attribution.is_machine_faulty(machine.name)) return;
   machine.quarantined = true;
   state_.registry.mark_dirty();
   spdlog::info("machine_quarantined shard={} machine={} reason=jobs_fail_only_here", state_.id.value(),
--- a/src/shard/machine.h
+++ b/src/shard/machine.h
@@ -116,7 +116,7 @@
     kFencing  // may receive nothing: what is in flight is resolved once the worker shows a higher token
   };
   Channel channel = Channel::kIdle;
-  Token token;                      // the highest issued; heartbeats are answered with it
+  FencingToken token;               // the highest issued; heartbeats are answered with it
   std::optional<Instant> retry_at;  // when to send a probe
   // Heartbeats from a machine don't show that it receives anything: since when it is suspected not to, until
   // it shows a raised token.
--- a/src/shard/partitioning.cpp
+++ b/src/shard/partitioning.cpp
@@ -18,7 +18,7 @@
 
 void Partitioning::assign_other_zones(const std::vector<Zone>& zones) {
   // In zones: the controllers of a zone share its machines.
-  std::vector<double> load(shards());
+  std::vector<double> load(shard_count());
   for (const auto& [zone, zone_shards] : by_zone_)
     for (auto shard : zone_shards) load[shard.value()] = 1.0 / static_cast<double>(zone_shards.size());
   for (const auto& zone : std::set<Zone>(zones.begin(), zones.end())) {
@@ -29,10 +29,11 @@
   }
 }
 
-ShardId Partitioning::of(const Zone& zone, const MachineName& machine) const {
+ShardId Partitioning::shard_of(const Zone& zone, const MachineName& machine) const {
   auto it = by_zone_.find(zone);
   // A zone that the settings don't name still belongs to a shard.
-  if (it == by_zone_.end()) return ShardId(static_cast<std::uint32_t>(stable_hash(zone.value()) % shards()));
+  if (it == by_zone_.end())
+    return ShardId(static_cast<std::uint32_t>(stable_hash(zone.value()) % shard_count()));
   return it->second[stable_hash(machine.value()) % it->second.size()];
 }
 
--- a/src/shard/partitioning.h
+++ b/src/shard/partitioning.h
@@ -15,9 +15,9 @@
  public:
   explicit Partitioning(const config::Settings& settings);
   // Number of shards.
-  std::uint32_t shards() const { return static_cast<std::uint32_t>(controllers_.size()); }
+  std::uint32_t shard_count() const { return static_cast<std::uint32_t>(controllers_.size()); }
   // The shard of a machine.
-  ShardId of(const Zone& zone, const MachineName& machine) const;
+  ShardId shard_of(const Zone& zone, const MachineName& machine) const;
   // The controller that should lead the shard while it runs.
   const ControllerName& preferred_controller(ShardId shard) const { return controllers_[shard.value()]; }
   // The reverse. The controller has to be one of the settings.
--- a/src/shard/periodic_checks.cpp
+++ b/src/shard/periodic_checks.cpp
@@ -28,18 +28,18 @@
   }
 }
 
-void stop_orphaned_tasks_on(ShardState& state, Machine& machine, Instant read_until) {
+void stop_orphaned_tasks_on(ShardState& state, Machine& machine, Instant up_to_date_at) {
   machine.may_have_orphans = false;
   for (auto& [key, task] : machine.tasks) {
     const auto* job = state.jobs.find(key.task.job);
-    if (job && job->end) {
+    if (job && job->terminal_state) {
       machine.may_have_orphans = true;
       abandon(state, machine, task);
       continue;
     }
     if (job && job->granted_tasks.contains(key.task.index)) continue;
     machine.may_have_orphans = true;
-    if (read_until < task.since + kOrphanGracePeriod) continue;
+    if (up_to_date_at < task.since + kOrphanGracePeriod) continue;
     if (is_live(task) && !task.stop_grace)
       spdlog::info("orphaned_task_stopped shard={} machine={} task={} reason=not_granted", state.id.value(),
                    machine.name.value(), protocol::task_name(key.task));
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-void expire_leases(ShardState& state, Instant read_until, Instant now) {
+void expire_leases(ShardState& state, Instant up_to_date_at, Instant now) {
   state.visited_count += state.machines.size();
   for (auto& [name, machine] : state.machines) {
     // A confirmed worker has seen this leader's term, and obeys no earlier leader.
@@ -58,7 +58,7 @@
     // from then on. (Answers to late copies of older heartbeats don't lengthen it.)
     auto expiry = machine.last_contact +
                   std::chrono::duration_cast<Duration>(state.params.lease * kClockDriftFactor) + kLeaseMargin;
-    if (now <= expiry || read_until <= expiry || state.superseded) continue;
+    if (now <= expiry || up_to_date_at <= expiry || state.superseded) continue;
     spdlog::info("lease_expired shard={} machine={} count={} reason=no_contact", state.id.value(),
                  name.value(), machine.tasks.size());
     state.drop_all_tasks(machine, now);
@@ -82,12 +82,12 @@
   }
 }
 
-void stop_orphaned_tasks(ShardState& state, Instant read_until) {
+void stop_orphaned_tasks(ShardState& state, Instant up_to_date_at) {
   for (auto& [name, machine] : state.machines) {
     ++state.visited_count;
     if (!machine.may_have_orphans) continue;
     state.visited_count += machine.tasks.size();
-    stop_orphaned_tasks_on(state, machine, read_until);
+    stop_orphaned_tasks_on(state, machine, up_to_date_at);
   }
 }
 
--- a/src/shard/placer.cpp
+++ b/src/shard/placer.cpp
@@ -33,7 +33,7 @@
 std::vector<Placer::WaitingJob> Placer::collect_waiting_jobs() {
   std::vector<WaitingJob> waiting;
   state_.jobs.for_each_waiting([&](const JobId& id, ShardJob& job) {
-    if (!job.end && !in_crash_loop_backoff(id)) waiting.push_back({id, &job});
+    if (!job.terminal_state && !in_crash_loop_backoff(id)) waiting.push_back({id, &job});
   });
   std::sort(waiting.begin(), waiting.end(), [](const auto& left, const auto& right) {
     if (priority_of(*left.job) != priority_of(*right.job))
--- a/src/shard/preemption.cpp
+++ b/src/shard/preemption.cpp
@@ -31,7 +31,7 @@
   reserved_.emplace();
   for (const auto& id : state_.jobs.waiting()) {
     const auto& job = state_.jobs.at(id);
-    if (job.end) continue;
+    if (job.terminal_state) continue;
     for (const auto& [index, task] : job.granted_tasks)
       if (awaits_preemption(task, state_.params.heartbeat_period, now_))
         (*reserved_)[*task.preemption_target] += job.record.spec->each;
@@ -44,7 +44,7 @@
 
 bool Preemption::is_candidate(const Machine& machine, const protocol::ResourceRequest& request,
                               const GrantedTask& task, bool image_cached) const {
-  return machine.usable(now_) && allowed(request, machine.type, machine.zone, machine.spot) &&
+  return machine.usable(now_) && is_allowed(request, machine.type, machine.zone, machine.spot) &&
          (!task.zone || *task.zone == machine.zone) &&
          accepts_image_state(image_state(machine, request.image), image_cached) &&
          available_tasks(machine, request, state_.params.rules, true) > 0;
@@ -68,12 +68,12 @@
   });
   Plan plan{&machine, {}, 0};
   for (auto* task : preemptible) {
-    if (fits(idle, request.each) > 0) break;
+    if (tasks_that_fit(idle, request.each) > 0) break;
     idle += task->spec->each;
     plan.lost_cpu_seconds += lost_cpu_seconds(*task, now_);
     plan.victims.push_back(task);
   }
-  if (fits(idle, request.each) == 0) return std::nullopt;
+  if (tasks_that_fit(idle, request.each) == 0) return std::nullopt;
   return plan;
 }
 
--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -61,7 +61,7 @@
     machine.spot = record.spot;
     machine.first_seen = machine.last_contact = machine.last_own_heartbeat = now;
     machine.idle_since = now;
-    machine.token = Token::first_of(state_.term);
+    machine.token = FencingToken::first_of(state_.term);
     state_.failure_detector.set_timeouts(machine);
     machine.address = record.address;
     machine.quarantined = record.quarantined;
@@ -78,7 +78,7 @@
   return HeartbeatReconciler(state_, now).reconcile(heartbeat, false);
 }
 
-HeartbeatResponse ShardManager::answer(const MachineName& name, Instant now) {
+HeartbeatResponse ShardManager::heartbeat_response(const MachineName& name, Instant now) {
   return CommandDelivery(state_, now).heartbeat_response(state_.machines.at(name));
 }
 
@@ -107,16 +107,16 @@
 }
 
 void ShardManager::on_job(const JobId& id, const state_store::Job* job,
-                          std::optional<state_store::TerminalState> end, Instant now) {
+                          std::optional<state_store::TerminalState> terminal_state, Instant now) {
   if (!job) return state_.erase_job(id);
   if (!job->record.spec) {
-    if (auto* known = state_.jobs.find(id); known && end) {
-      known->end = end;
+    if (auto* known = state_.jobs.find(id); known && terminal_state) {
+      known->terminal_state = terminal_state;
       state_.mark_possible_orphans(id);
     }
     return;
   }
-  auto* shard_job = state_.jobs.apply(id, *job, end, state_.reconciled, now);
+  auto* shard_job = state_.jobs.apply(id, *job, terminal_state, state_.reconciled, now);
   if (!shard_job) return;
   if (shard_job->works) state_.failure_attribution.on_job_works(id);
   apply_to_listed_tasks(id, *shard_job, now);
@@ -135,7 +135,7 @@
     }
     if (is_live(task)) {
       reconciler.adopt(machine, key, task);
-      if (job.end == state_store::TerminalState::kCancelled) state_.stop(machine, task, 0);
+      if (job.terminal_state == state_store::TerminalState::kCancelled) state_.stop(machine, task, 0);
       if (job.revoked) state_.stop(machine, task, job.record.spec->save_s);
     } else if (task.cause == protocol::EndCause::kDone) {
       auto* granted_task = state_.jobs.find_task(key.task);
@@ -146,25 +146,25 @@
   });
 }
 
-void ShardManager::tick(Instant now, Instant cancellations_known_until, Instant read_until) {
+void ShardManager::tick(Instant now, Instant cancellations_known_until, Instant up_to_date_at) {
   state_.check_reconciled(now);
-  run_periodic_checks(now, read_until);
+  run_periodic_checks(now, up_to_date_at);
   // Starting a task needs recent knowledge of cancellations, well inside the time limit that they have.
   if (now - cancellations_known_until < state_.params.cancel_limit / 4) Placer(state_, now).place_all();
   state_.jobs.release_unplaced(state_.params.heartbeat_period, now);
 }
 
-void ShardManager::run_periodic_checks(Instant now, Instant read_until) {
+void ShardManager::run_periodic_checks(Instant now, Instant up_to_date_at) {
   if (now - periodic_checks_at_ >= kPeriodicCheckPeriod) {
     periodic_checks_at_ = now;
-    expire_leases(state_, read_until, now);
+    expire_leases(state_, up_to_date_at, now);
     stop_tasks_before_reclaim(state_, now);
     stop_broken_gangs(state_);
     schedule_probes(state_, now);
   }
   if (now - orphan_check_at_ >= kOrphanCheckPeriod) {
     orphan_check_at_ = now;
-    stop_orphaned_tasks(state_, read_until);
+    stop_orphaned_tasks(state_, up_to_date_at);
   }
 }
 
@@ -174,8 +174,8 @@
   return CommandDelivery(state_, now).take_batches();
 }
 
-void ShardManager::on_commands(const Batch& batch, CommandResult result,
-                               const std::optional<protocol::WorkerHeartbeat>& heartbeat, Instant now) {
+void ShardManager::on_command_result(const Batch& batch, CommandResult result,
+                                     const std::optional<protocol::WorkerHeartbeat>& heartbeat, Instant now) {
   auto* machine = state_.find_machine(batch.machine);
   if (!machine) return;
   CommandDelivery delivery(state_, now);
@@ -187,7 +187,7 @@
 
 // ---------------------------------------------------------------- machines
 
-RegistryState::RecordsByBucket ShardManager::unregistered_machines() {
+RegistryState::RecordsByBucket ShardManager::registry_buckets_to_write() {
   return state_.registry.buckets_to_write(state_.machines);
 }
 
@@ -218,7 +218,7 @@
   return names;
 }
 
-void ShardManager::on_deleted(const MachineName& name, Instant now) {
+void ShardManager::on_machine_terminated(const MachineName& name, Instant now) {
   state_.terminated.insert(name);
   auto* machine = state_.find_machine(name);
   if (!machine) return;
@@ -255,7 +255,7 @@
   for (auto& zone : zones) {
     auto count = std::min(reserved, zone.free);
     zone.free -= count;
-    zone.warm = std::min(zone.warm, zone.free);
+    zone.image_cached = std::min(zone.image_cached, zone.free);
     reserved -= count;
   }
   return zones;
--- a/src/shard/shard_manager.h
+++ b/src/shard/shard_manager.h
@@ -52,26 +52,26 @@
   bool on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat, Instant now);
   // What to answer the machine's heartbeat with, which renews its lease from `now`. The machine has to be
   // known.
-  HeartbeatResponse answer(const MachineName& name, Instant now);
+  HeartbeatResponse heartbeat_response(const MachineName& name, Instant now);
   // A heartbeat came by way of another controller: whether the worker is to be redirected here rather than
   // answered that way.
   bool should_redirect_here(const protocol::WorkerHeartbeat& heartbeat, Instant now);
   // The machine's heartbeat came to this controller itself.
   void on_direct_contact(const MachineName& name);
   // The state of a job changed. None: it was removed.
-  void on_job(const JobId& id, const state_store::Job* job, std::optional<state_store::TerminalState> end,
-              Instant now);
+  void on_job(const JobId& id, const state_store::Job* job,
+              std::optional<state_store::TerminalState> terminal_state, Instant now);
   // Lets time pass and places tasks. `cancellations_known_until`: all cancellations revealed to users
-  // before this time are known here. `read_until`: the state store was read as of this time, the shard's role
-  // included.
-  void tick(Instant now, Instant cancellations_known_until, Instant read_until);
+  // before this time are known here. `up_to_date_at`: the state store was read as of this time, the shard's
+  // role included.
+  void tick(Instant now, Instant cancellations_known_until, Instant up_to_date_at);
 
   // ---- Commands
-  // What can be sent now; each must be followed by on_commands.
+  // What can be sent now; each must be followed by on_command_result.
   std::vector<Batch> take_command_batches(Instant now);
   // `heartbeat`: the body of the answer, if there was one.
-  void on_commands(const Batch& batch, CommandResult result,
-                   const std::optional<protocol::WorkerHeartbeat>& heartbeat, Instant now);
+  void on_command_result(const Batch& batch, CommandResult result,
+                         const std::optional<protocol::WorkerHeartbeat>& heartbeat, Instant now);
 
   // ---- State
   // Jobs whose progress is to be written, with the value to write.
@@ -82,15 +82,15 @@
   // Whether the shard holds no task of the job any more, once that progress is written.
   bool holds_no_tasks_of(const JobId& id) const { return state_.jobs.holds_no_tasks_of(id); }
   // Buckets of the registry to be written.
-  RegistryState::RecordsByBucket unregistered_machines();
+  RegistryState::RecordsByBucket registry_buckets_to_write();
 
   // ---- Machines
   // The controller has not run for a while, and so received nothing: time without contact counts from here.
   void on_process_pause(Instant now);
-  // To be deleted now. Each must be followed by on_deleted or on_delete_failed.
+  // To be deleted now. Each must be followed by on_machine_terminated or on_delete_failed.
   std::vector<MachineName> take_machines_to_delete(Instant now);
   // The machine is proved to be terminated.
-  void on_deleted(const MachineName& name, Instant now);
+  void on_machine_terminated(const MachineName& name, Instant now);
   void on_delete_failed(const MachineName& name, Instant now);
   // The scheduler scales in: the machine takes no more tasks, and is deleted. Ignored if it has tasks.
   void release(const MachineName& name);
@@ -107,7 +107,7 @@
 
  private:
   void apply_to_listed_tasks(const JobId& id, ShardJob& job, Instant now);
-  void run_periodic_checks(Instant now, Instant read_until);
+  void run_periodic_checks(Instant now, Instant up_to_date_at);
 
   ShardState state_;
   Instant periodic_checks_at_{};
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -11,7 +11,7 @@
       acquired_at(now),
       jobs(shard, shard_term),
       failure_detector(shard_params),
-      next_attempt((shard_term.value() << Token::kFenceBits) + 1) {}
+      next_attempt((shard_term.value() << FencingToken::kFenceBits) + 1) {}
 
 Machine* ShardState::find_machine(const MachineName& name) {
   auto it = machines.find(name);
--- a/src/state_store/access.h
+++ b/src/state_store/access.h
@@ -45,7 +45,7 @@
   virtual ~StateReader() = default;
   virtual const StateView& view() const = 0;
   // The view holds all changes that were made before this time.
-  virtual Instant as_of() const = 0;
+  virtual Instant up_to_date_at() const = 0;
   // Everything was read since the process began.
   virtual bool ready() const = 0;
   // Calls back once the view holds all that was written before this call; false: could not be read.
--- a/src/state_store/bucket_plan.cpp
+++ b/src/state_store/bucket_plan.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <utility>
 
-#include "state_store/sizes.h"
+#include "state_store/value_sizes.h"
 
 namespace beaconsill::state_store {
 namespace {
--- a/src/state_store/client.cpp
+++ b/src/state_store/client.cpp
@@ -41,7 +41,7 @@
 ReadResult to_read_result(const net::Result& response) {
   ReadResult result;
   result.status = response.status;
-  if (!response.answered()) {
+  if (!response.has_response()) {
     result.outcome = outcome_without_response(response);
     return result;
   }
@@ -64,7 +64,7 @@
 }
 
 TxnResult to_txn_result(const net::Result& response) {
-  if (!response.answered()) return {outcome_without_response(response), {}};
+  if (!response.has_response()) return {outcome_without_response(response), {}};
   if (response.status == kStatusConflict) return {RequestOutcome::kConflict, {}};
   if (refused_for_load(response.status)) return {RequestOutcome::kRefused, {}};
   if (response.status != kStatusOk) {
@@ -208,7 +208,7 @@
 }
 
 void StoreClient::on_response(const net::Result& response, bool is_read, Instant sent) {
-  if (!response.answered()) {
+  if (!response.has_response()) {
     // A response that came meanwhile says more than one that is missing.
     const bool newer_response = last_response_ && *last_response_ > sent;
     if (is_read && !newer_response) set_available(false);
--- a/src/state_store/client.h
+++ b/src/state_store/client.h
@@ -66,7 +66,7 @@
   // Transactions without a response don't count: the service may be well and only their responses lost.
   bool available() const { return available_; }
   // After so long a transaction without a response is more likely lost than slow.
-  Duration answer_timeout() const { return response_delay_.timeout(); }
+  Duration response_timeout() const { return response_delay_.timeout(); }
   // Refuses all requests that wait, and all later ones.
   void stop();
 
--- a/src/state_store/controller_liveness.cpp
+++ b/src/state_store/controller_liveness.cpp
@@ -19,7 +19,7 @@
 
 Revision ControllerLiveness::alive_version(const ControllerName& controller) const {
   auto it = advertised_.find(controller);
-  return it == advertised_.end() ? Revision() : it->second.version;
+  return it == advertised_.end() ? Revision() : it->second.revision;
 }
 
 std::optional<std::uint32_t> ControllerLiveness::advertised_version(const ControllerName& controller) const {
--- a/src/state_store/dependencies.cpp
+++ b/src/state_store/dependencies.cpp
@@ -17,8 +17,8 @@
   for (const auto& dependency : depends_on) {
     ++visited_count_;
     const auto* record = terminal_record_of(dependency);
-    if (record && record->end == TerminalState::kDone) {
-      dependent.ready_since = std::max(dependent.ready_since, record->at);
+    if (record && record->state == TerminalState::kDone) {
+      dependent.ready_since = std::max(dependent.ready_since, record->completed_at);
       continue;
     }
     ++dependent.unfinished;
@@ -54,13 +54,13 @@
 void Dependencies::on_terminal_record(const JobId& job, const TerminalRecord& record) {
   unrecorded_.erase(job);
   if (auto own = dependents_.find(job); own != dependents_.end()) own->second.has_terminal_record = true;
-  if (record.end == TerminalState::kCancelled) return cancel_dependents(job, job);
+  if (record.state == TerminalState::kCancelled) return cancel_dependents(job, job);
   auto list = dependents_of_.extract(job);
   if (!list) return;
   for (const auto& id : list.mapped()) {
     ++visited_count_;
     auto& dependent = dependents_.at(id);
-    dependent.ready_since = std::max(dependent.ready_since, record.at);
+    dependent.ready_since = std::max(dependent.ready_since, record.completed_at);
     if (--dependent.unfinished == 0) changed_.push_back(id);
   }
 }
--- a/src/state_store/job.h
+++ b/src/state_store/job.h
@@ -12,7 +12,7 @@
 struct Job {
   JobRecord record;
   Revision created;
-  bool whole = false;  // the record and all keys of its dependencies have been read
+  bool complete = false;  // the record and all keys of its dependencies have been read
   Versioned<Grants> grants;
   std::map<ShardId, Versioned<Progress>> progress;
 
--- a/src/state_store/job_index.cpp
+++ b/src/state_store/job_index.cpp
@@ -6,7 +6,7 @@
 
 const Job* JobIndex::find(const JobId& id) const {
   auto it = jobs_.find(id);
-  return it == jobs_.end() || !it->second.whole ? nullptr : &it->second;
+  return it == jobs_.end() || !it->second.complete ? nullptr : &it->second;
 }
 
 const DependencyKeys& JobIndex::dependency_keys(const JobId& id) const {
@@ -18,10 +18,10 @@
 JobIndex::RecordChange JobIndex::apply_record(const JobId& id, const protocol::Change& change) {
   auto& job = jobs_[id];
   auto result = RecordChange::kNone;
-  if (change.version > job.created) {
+  if (change.revision > job.created) {
     job.record = change.value ? parse_job_record(*change.value) : JobRecord{};
-    job.created = change.value ? change.version : Revision();
-    job.whole = false;
+    job.created = change.value ? change.revision : Revision();
+    job.complete = false;
     if (!job.record.spec) {
       result = RecordChange::kDropped;
     } else if (complete(id, job)) {
@@ -69,7 +69,7 @@
 
 // Pages are read one after the other, so a record may come before keys that were written earlier.
 bool JobIndex::complete(const JobId& id, Job& job) const {
-  if (job.whole) return false;
+  if (job.complete) return false;
   const auto key_count = job.record.dependency_keys;
   if (key_count > 0) {
     auto spec = *job.record.spec;
@@ -82,7 +82,7 @@
     }
     job.record.spec = std::make_shared<const protocol::JobSpec>(std::move(spec));
   }
-  job.whole = true;
+  job.complete = true;
   return true;
 }
 
--- a/src/state_store/job_index.h
+++ b/src/state_store/job_index.h
@@ -17,7 +17,7 @@
  public:
   enum class RecordChange {
     kNone,
-    kCompleted,  // the job is whole now
+    kCompleted,  // the job is complete now
     kDropped,    // its record was deleted
   };
 
@@ -29,7 +29,7 @@
 
   // Also jobs known only by a grant or progress, until their record comes.
   const std::map<JobId, Job>& jobs() const { return jobs_; }
-  // Null: the job isn't whole.
+  // Null: the job isn't complete.
   const Job* find(const JobId& id) const;
   const DependencyKeys& dependency_keys(const JobId& id) const;
   const std::map<JobId, DependencyKeys>& all_dependency_keys() const { return dependency_keys_; }
--- a/src/state_store/machine_registry.cpp
+++ b/src/state_store/machine_registry.cpp
@@ -23,7 +23,7 @@
 }
 
 // The lowest format version that reads all keys that hold machines now.
-std::uint32_t readable_since(const StateView::Registry& registry) {
+std::uint32_t min_reader_version(const StateView::Registry& registry) {
   std::uint32_t since = 0;
   for (const auto& [key, machines] : registry)
     if (!machines.value.empty()) since = std::max(since, registry_key_since(key));
@@ -32,8 +32,8 @@
 
 protocol::Txn raise_role(ShardId shard, const Versioned<Role>& role, std::uint32_t since) {
   auto raised = role.value;
-  raised.readable_since = since;
-  return {{{shard_role_key(shard), role.version}}, {{shard_role_key(shard), to_json(raised), std::nullopt}}};
+  raised.min_reader_version = since;
+  return {{{shard_role_key(shard), role.revision}}, {{shard_role_key(shard), to_json(raised), std::nullopt}}};
 }
 
 }  // namespace
@@ -51,9 +51,9 @@
                                           const RegistryLimits& limits) {
   const auto& role = view.shard_role(shard);
   const auto max_segments = readable_segments(supported_version(view, controllers));
-  auto since = readable_since(view.registry(shard));
+  auto since = min_reader_version(view.registry(shard));
   TxnDraft draft(limits.txn_ops);
-  draft.require({shard_role_key(shard), role.version});
+  draft.require({shard_role_key(shard), role.revision});
   bool full = false;
   for (auto bucket = wanted.begin(); bucket != wanted.end() && !full; ++bucket) {
     const auto writes = plan_bucket(recorded_segments(view, shard, bucket->first), bucket->second,
@@ -61,13 +61,13 @@
     for (const auto& [segment, machines] : writes) {
       const auto number = bucket->first + segment * kMachineBuckets;
       const auto key = machines_key(shard, number);
-      full =
-          !draft.add({{key, view.machines(shard, number).version}}, {{key, to_json(machines), std::nullopt}});
+      full = !draft.add({{key, view.machines(shard, number).revision}},
+                        {{key, to_json(machines), std::nullopt}});
       if (full) break;
       since = std::max(since, registry_key_since(number));
     }
   }
-  if (since > role.value.readable_since) return raise_role(shard, role, since);
+  if (since > role.value.min_reader_version) return raise_role(shard, role, since);
   if (draft.empty()) return std::nullopt;
   return draft.txn();
 }
--- a/src/state_store/pending_txns.cpp
+++ b/src/state_store/pending_txns.cpp
@@ -14,7 +14,7 @@
   auto it = changes.find(write.key);
   if (it == changes.end()) return false;
   return std::any_of(it->second.begin(), it->second.end(), [&](const auto* change) {
-    return change->version == revision && change->value == write.value;
+    return change->revision == revision && change->value == write.value;
   });
 }
 
@@ -25,10 +25,10 @@
   auto first = changes.find(txn.writes.front().key);
   if (first == changes.end()) return std::nullopt;
   for (const auto* change : first->second) {
-    if (change->version <= known) continue;
+    if (change->revision <= known) continue;
     const bool all = std::all_of(txn.writes.begin(), txn.writes.end(),
-                                 [&](const auto& write) { return holds(changes, write, change->version); });
-    if (all) return change->version;
+                                 [&](const auto& write) { return holds(changes, write, change->revision); });
+    if (all) return change->revision;
   }
   return std::nullopt;
 }
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -65,8 +65,8 @@
 }
 
 Json to_json(const TerminalRecord& record) {
-  Json json{{"end", record.end == TerminalState::kDone ? "done" : "cancelled"}, {"done", record.done}};
-  if (record.at.value() > 0) json["at"] = record.at.value();
+  Json json{{"end", record.state == TerminalState::kDone ? "done" : "cancelled"}, {"done", record.done}};
+  if (record.completed_at.value() > 0) json["at"] = record.completed_at.value();
   return json;
 }
 
@@ -143,7 +143,7 @@
 }
 
 Json to_json(const Role& role) {
-  const auto since = std::min<std::size_t>(role.readable_since, kHolderFields.size() - 1);
+  const auto since = std::min<std::size_t>(role.min_reader_version, kHolderFields.size() - 1);
   return {{kHolderFields[since], role.controller.value()}, {"term", role.term.value()}};
 }
 
--- a/src/state_store/records.h
+++ b/src/state_store/records.h
@@ -19,10 +19,10 @@
 
 // How a job ended. Written once and never changed.
 struct TerminalRecord {
-  TerminalState end = TerminalState::kDone;
+  TerminalState state = TerminalState::kDone;
   std::uint32_t done = 0;  // tasks that had completed, for display
   // When the job was seen to be done; 0: not known (format version 0 doesn't record it).
-  WallMs at{};
+  WallMs completed_at{};
 };
 
 // Tasks that the leader gave to a shard. A task is in at most one chunk of its job.
@@ -64,7 +64,7 @@
   // The lowest format version that can read the value. A lower one takes the key for missing; since its
   // attempts to acquire the role are conditional on the version of what it read, it never does. It never
   // falls: whoever writes the role next keeps it.
-  std::uint32_t readable_since = 0;
+  std::uint32_t min_reader_version = 0;
 };
 
 // A machine that may run tasks of a shard.
@@ -96,7 +96,7 @@
 // The format version of the records that a controller can read and write. 0: before dependencies. Raised with
 // every record or field that an earlier version would misread; see docs/upgrade.md.
 constexpr std::uint32_t kFormatVersion = 2;
-constexpr std::uint32_t kPipelinesSince = 1;
+constexpr std::uint32_t kDependenciesSince = 1;
 // Registries of any number of keys, and job records whose dependencies go on in further keys.
 constexpr std::uint32_t kUnboundedKeysSince = 2;
 // The highest format version that each controller has ever advertised.
--- a/src/state_store/state_view.cpp
+++ b/src/state_store/state_view.cpp
@@ -7,18 +7,18 @@
 
 namespace beaconsill::state_store {
 
-std::optional<TerminalState> StateView::end(const JobId& id) const {
+std::optional<TerminalState> StateView::terminal_state(const JobId& id) const {
   const auto& record = terminal_record(id);
-  if (record.exists()) return record.value.end;
+  if (record.exists()) return record.value.state;
   if (dependencies_.cancelled_by(id)) return TerminalState::kCancelled;
   return std::nullopt;
 }
 
 Revision StateView::terminal_revision(const JobId& id) const {
   const auto& own = terminal_record(id);
-  if (own.exists()) return own.version;
+  if (own.exists()) return own.revision;
   const auto* root = dependencies_.cancelled_by(id);
-  return root ? terminal_record(*root).version : Revision();
+  return root ? terminal_record(*root).revision : Revision();
 }
 
 const Versioned<Role>& StateView::shard_role(ShardId shard) const {
@@ -64,14 +64,14 @@
 // The protocol promises no order within a response, and its example lists a deletion after a newer change.
 void StateView::apply_all(std::vector<protocol::Change> changes) {
   std::stable_sort(changes.begin(), changes.end(),
-                   [](const auto& left, const auto& right) { return left.version < right.version; });
+                   [](const auto& left, const auto& right) { return left.revision < right.revision; });
   for (const auto& change : changes) apply(change);
 }
 
 void StateView::apply(const protocol::Change& change) {
   // Found by reading the code: the late response to an own transaction brought back a key that a read had
   // already seen deleted, for good.
-  if (change.version <= complete_to_) return;
+  if (change.revision <= complete_to_) return;
   const auto key = parse_key(change.key);
   if (!key) return;
   try {
--- a/src/state_store/state_view.h
+++ b/src/state_store/state_view.h
@@ -50,7 +50,7 @@
   const std::map<JobId, DependencyKeys>& all_dependency_keys() const { return jobs_.all_dependency_keys(); }
 
   // How the job ended, by its own record or since a dependency was cancelled. Final.
-  std::optional<TerminalState> end(const JobId& id) const;
+  std::optional<TerminalState> terminal_state(const JobId& id) const;
   // Which jobs wait for which, and what follows from that.
   const Dependencies& dependencies() const { return dependencies_; }
   // The revision of the record that ended the job: its own, or that of the job through which it's cancelled.
--- a/src/state_store/terminal_records.cpp
+++ b/src/state_store/terminal_records.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 protocol::CancelledJob cancelled_job(const JobId& id, const Versioned<TerminalRecord>& record) {
-  return {record.version, id, record.value.done};
+  return {record.revision, id, record.value.done};
 }
 
 }  // namespace
@@ -18,7 +18,7 @@
     records_.erase(id);
     return nullptr;
   }
-  if (record.value.end == TerminalState::kCancelled) cancelled_.insert(cancelled_job(id, record));
+  if (record.value.state == TerminalState::kCancelled) cancelled_.insert(cancelled_job(id, record));
   return updated ? &record.value : nullptr;
 }
 
--- a/src/state_store/sizes.cpp
+++ b/src/state_store/value_sizes.cpp
@@ -1,4 +1,4 @@
-#include "state_store/sizes.h"
+#include "state_store/value_sizes.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/state_store/versioned.h
+++ b/src/state_store/versioned.h
@@ -8,18 +8,18 @@
 template <class T>
 struct Versioned {
   T value{};
-  Revision version;  // 0: the key doesn't exist
-  bool exists() const { return version.value() != 0; }
+  Revision revision;  // 0: the key doesn't exist
+  bool exists() const { return revision.value() != 0; }
 };
 
 // Applies a change if it's newer than the entry. Returns whether it was. Throws what `parse` throws, and then
 // leaves the entry as it is.
 template <class T, class Parse>
 bool update(Versioned<T>& entry, const protocol::Change& change, Parse parse) {
-  if (change.version <= entry.version) return false;
+  if (change.revision <= entry.revision) return false;
   if (change.value) {
     entry.value = parse(*change.value);
-    entry.version = change.version;
+    entry.revision = change.revision;
   } else {
     entry = {};
   }
--- a/src/state_store/watch_cache.cpp
+++ b/src/state_store/watch_cache.cpp
@@ -90,7 +90,7 @@
   std::string last;
   for (auto& item : page.items) {
     last = item.key;
-    const protocol::Change change{std::move(item.key), std::move(item.value), item.version};
+    const protocol::Change change{std::move(item.key), std::move(item.value), item.revision};
     if (!deleted_later(change)) view_.apply(change);
   }
   if (!page.more || last.empty()) return std::nullopt;
@@ -158,7 +158,7 @@
   revision_ = std::max(revision_, changes.revision);
   view_.complete_to(revision_);
   std::erase_if(own_deletions_, [&](const auto& deletion) { return deletion.second <= revision_; });
-  as_of_ = started;
+  up_to_date_at_ = started;
   ready_ = true;
 }
 
@@ -208,7 +208,7 @@
   if (stopped_ || late_check_scheduled_ || !oldest) return;
   late_check_scheduled_ = true;
   const auto now = clock_.now();
-  const auto timeout = client_->answer_timeout();
+  const auto timeout = client_->response_timeout();
   late_response_timer_.expires_at(*oldest + timeout > now ? *oldest + timeout : now + timeout);
   late_response_timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
     if (auto self = weak.lock(); self && !ec) self->on_late_response_timer();
@@ -219,7 +219,7 @@
   if (stopped_) return;
   late_check_scheduled_ = false;
   const auto sent = pending_txns_.oldest_sent();
-  if (sent && clock_.now() - *sent >= client_->answer_timeout()) sync([](bool) {});
+  if (sent && clock_.now() - *sent >= client_->response_timeout()) sync([](bool) {});
   check_late_responses();
 }
 
@@ -242,7 +242,7 @@
 // no version of a key that doesn't exist.
 bool WatchCache::deleted_later(const protocol::Change& change) const {
   auto deletion = own_deletions_.find(change.key);
-  return deletion != own_deletions_.end() && change.version <= deletion->second;
+  return deletion != own_deletions_.end() && change.revision <= deletion->second;
 }
 
 // The response to a transaction may come after reads that went beyond it. What it wrote may have been deleted
@@ -261,7 +261,7 @@
 void WatchCache::apply_cancelled(const std::vector<protocol::CancelledJob>& jobs) {
   bool any = false;
   for (const auto& cancelled : jobs) {
-    if (view_.terminal_record(cancelled.job).version >= cancelled.revision) continue;
+    if (view_.terminal_record(cancelled.job).revision >= cancelled.revision) continue;
     const TerminalRecord record{TerminalState::kCancelled, cancelled.done};
     view_.apply({terminal_key(cancelled.job), to_json(record), cancelled.revision});
     any = true;
--- a/tests/api_concurrent_faults_test.cpp
+++ b/tests/api_concurrent_faults_test.cpp
@@ -107,7 +107,7 @@
         api(io, clock, settings, store, watch_cache,
             {[this] { return &types; }, [](Revision) {},
              [this](const JobId& id) {
-               cancellation_revision = watch_cache->view().terminal_record(id).version;
+               cancellation_revision = watch_cache->view().terminal_record(id).revision;
                return acknowledged;
              },
              [](const JobId&) { return 0u; }, [] { return true; }}) {
@@ -247,7 +247,7 @@
   ASSERT_TRUE(users.run_until([&] { return answer->has_value(); }));
   EXPECT_EQ((*answer)->status, 200);
   EXPECT_EQ(users.job_state(**answer), "withdrawn");
-  EXPECT_EQ(users.cancellation_revision, users.watch_cache->view().terminal_record(kJob).version);
+  EXPECT_EQ(users.cancellation_revision, users.watch_cache->view().terminal_record(kJob).revision);
 }
 
 }  // namespace
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -49,7 +49,7 @@
   auto again = autoscaler.rent(demand(10), at(2.5));
   ASSERT_TRUE(again);
   EXPECT_EQ(again->request, request->request);
-  autoscaler.on_rented(*again, {MachineName("h1"), MachineName("h2"), MachineName("h3")}, at(3));
+  autoscaler.on_scale_out_result(*again, {MachineName("h1"), MachineName("h2"), MachineName("h3")}, at(3));
   EXPECT_FALSE(autoscaler.rent(demand(10), at(4)));  // what is coming is enough
   auto more = autoscaler.rent(demand(14), at(5));
   ASSERT_TRUE(more);
@@ -113,7 +113,7 @@
     std::vector<MachineName> machines;
     for (std::uint32_t i = 0; i < request->count; ++i)
       machines.emplace_back("new-" + std::to_string(++names));
-    autoscaler.on_rented(*request, machines, at(time));
+    autoscaler.on_scale_out_result(*request, machines, at(time));
     rented += request->count;
   }
   return rented;
@@ -149,7 +149,7 @@
                                     request->zone.value().c_str())};
         cloud[name].second.spot = request->spot;
       }
-      autoscaler.on_rented(*request, machines, at(time));
+      autoscaler.on_scale_out_result(*request, machines, at(time));
     }
     std::vector<protocol::ListedMachine> list;
     for (auto& [name, instance] : cloud) {
@@ -197,7 +197,7 @@
   auto autoscaler = with_catalogue();
   auto first = autoscaler.rent(demand(4), at(0));
   ASSERT_TRUE(first);
-  autoscaler.on_rented(*first, {MachineName("h1")}, at(0));
+  autoscaler.on_scale_out_result(*first, {MachineName("h1")}, at(0));
   autoscaler.on_list(
       {listed("h1", State::kBooting, 70, first->type.value().c_str(), first->zone.value().c_str())}, at(70));
   EXPECT_EQ(autoscaler.failed_instances(at(70)).size(), 1u);
--- a/tests/base_test.cpp
+++ b/tests/base_test.cpp
@@ -57,10 +57,10 @@
   }
 }
 
-TEST(Token, HigherTermOutranksEveryFence) {
-  auto old = Token::first_of(Term(3));
+TEST(FencingToken, HigherTermOutranksEveryFence) {
+  auto old = FencingToken::first_of(Term(3));
   for (int i = 0; i < 1000; ++i) old = old.raised();
-  EXPECT_LT(old, Token::first_of(Term(4)));
+  EXPECT_LT(old, FencingToken::first_of(Term(4)));
   EXPECT_EQ(old.term(), Term(3));
 }
 
--- a/tests/cancellation_barrier_model.h
+++ b/tests/cancellation_barrier_model.h
@@ -86,7 +86,7 @@
     std::vector<bool> stopped;  // by revision: the tasks of these jobs are stopped
     bool ready = false;
     Revision read_until;
-    Instant as_of{};
+    Instant up_to_date_at{};
     Ms down_until = 0, frozen_until = 0, next_heartbeat = 0, next_read = 0;
     std::array<bool, kControllers> heartbeat_due{};
     struct Read {
@@ -151,7 +151,7 @@
     n.stopped.clear();
     n.ready = false;
     n.read_until = {};
-    n.as_of = {};
+    n.up_to_date_at = {};
     n.read.reset();
     n.sent.clear();
     n.heartbeat_due = {};
@@ -234,7 +234,7 @@
     if (r.refused) return;
     for (auto k = n.ready ? n.read_until.value() : 0; k < r.seen; ++k) learn(n, ends_[k]);
     n.read_until = std::max(n.read_until, Revision(r.seen));
-    n.as_of = r.begun;
+    n.up_to_date_at = r.begun;
     n.ready = true;
     for (const auto& job : n.view) stop(n, job);
   }
@@ -368,7 +368,7 @@
     for (std::size_t i = 0; i < kControllers; ++i) {
       if (!serves(i)) continue;
       auto& n = controllers_[i];
-      auto known_until = std::max(n.as_of, n.barrier->known_until(n.ready, clock(n)));
+      auto known_until = std::max(n.up_to_date_at, n.barrier->known_until(n.ready, clock(n)));
       auto age = std::chrono::duration_cast<std::chrono::milliseconds>(clock(n) - known_until).count();
       if (now_ > 5000) result_.oldest_knowledge = std::max<Ms>(result_.oldest_knowledge, age);
       if (age > kAnswerLimit || !result_.broken.empty()) continue;
--- a/tests/command_channel_test.cpp
+++ b/tests/command_channel_test.cpp
@@ -60,12 +60,12 @@
   };
   for (const auto& entry : cases) {
     auto fenced = machine("m1");
-    fenced.token = Token::first_of(Term(5));
+    fenced.token = FencingToken::first_of(Term(5));
     fenced.channel = entry.before;
     DispatchQueue queue;
     begin_fencing(fenced, queue, at(1));
     EXPECT_EQ(fenced.channel, entry.after) << entry.what;
-    EXPECT_EQ(fenced.token > Token::first_of(Term(5)), entry.raised) << entry.what;
+    EXPECT_EQ(fenced.token > FencingToken::first_of(Term(5)), entry.raised) << entry.what;
     EXPECT_EQ(fenced.suspected_since.has_value(), entry.suspected) << entry.what;
     EXPECT_EQ(queue.take_all().size(), entry.raised ? 1u : 0u) << entry.what;
   }
--- a/tests/concurrent_faults_scheduler_test.cpp
+++ b/tests/concurrent_faults_scheduler_test.cpp
@@ -54,11 +54,11 @@
     publish(id);
   }
   // A round in which each shard has so much room in these zones.
-  std::vector<Scheduler::Grant> round(std::map<std::uint32_t, protocol::CapacityByZone> rooms) {
+  std::vector<Scheduler::Grant> round(std::map<std::uint32_t, protocol::CapacityByZone> capacities) {
     t += 5;
     auto estimate_request = scheduler.begin_round(at(t), WallMs(0), {ShardId(0), ShardId(1)});
     if (!estimate_request) return {};
-    for (auto& [p, room] : rooms)
+    for (auto& [p, room] : capacities)
       scheduler.on_estimate_response(
           {estimate_request->round, ShardId(p), now_terms.at(ShardId(p)), Revision(revision),
            std::vector(estimate_request->resource_requests.size(), room)},
--- a/tests/concurrent_faults_shard_test.cpp
+++ b/tests/concurrent_faults_shard_test.cpp
@@ -28,7 +28,7 @@
       auto& r = workers[name];
       r = fixture::new_worker(name, Zone(name[0] == 'c' ? "west" : "east"));
       r.sequence = Sequence(100);
-      r.token = Token::first_of(Term(kTerm - 1));
+      r.token = FencingToken::first_of(Term(kTerm - 1));
     }
     if (registered) registry(*registered);
   }
@@ -54,10 +54,10 @@
   // The worker has seen this leader's term and sends a heartbeat.
   bool heartbeat(const char* name, double t) {
     auto& r = workers.at(name);
-    r.token = std::max(r.token, Token::first_of(shard.term()));
+    r.token = std::max(r.token, FencingToken::first_of(shard.term()));
     r.sequence = Sequence(r.sequence.value() + 1);
     bool taken = shard.on_worker_heartbeat(r, at(t));
-    if (taken) shard.answer(r.machine, at(t));
+    if (taken) shard.heartbeat_response(r.machine, at(t));
     return taken;
   }
   void grant(std::uint32_t tasks, std::uint64_t term, double t, std::optional<Zone> zone = std::nullopt,
@@ -68,7 +68,7 @@
     fixture::record_job(job, spec);
     auto g = Generation(job.grants.value.last.value() + 1);
     job.grants.value = {{{g, ShardId(0), Term(term), Ranges::span(0, tasks), zone, false, {}}}, g};
-    job.grants.version = Revision(++revision);
+    job.grants.revision = Revision(++revision);
     shard.on_job(kJob, &job, std::nullopt, at(t));
   }
   void cancel(double t) { shard.on_job(kJob, &job, TerminalState::kCancelled, at(t)); }
@@ -104,7 +104,7 @@
   void answer_all(double t) {
     for (auto& b : batches(t)) {
       auto answer = carry_out(b);
-      shard.on_commands(b, CommandResult::kExecuted, answer, at(t));
+      shard.on_command_result(b, CommandResult::kExecuted, answer, at(t));
     }
   }
   // All machines are heard under this term.
@@ -158,7 +158,7 @@
     EXPECT_EQ(stops, std::vector<std::string>{}) << c.what;
     EXPECT_EQ(starts, std::vector<std::string>{}) << c.what;
     // The old machine's end frees nothing that b holds.
-    o.shard.on_deleted(MachineName("a"), at(5));
+    o.shard.on_machine_terminated(MachineName("a"), at(5));
     o.tick(5.2);
     EXPECT_EQ(ShardLeader::commands(o.batches(5.2), Command::Op::kStart), std::vector<std::string>{})
         << c.what;
@@ -203,7 +203,7 @@
   EXPECT_EQ(ShardLeader::commands(batches, Command::Op::kStop).size(), before);
   for (auto& b : batches) {
     auto answer = o.carry_out(b);
-    o.shard.on_commands(b, CommandResult::kExecuted, answer, at(4.6));
+    o.shard.on_command_result(b, CommandResult::kExecuted, answer, at(4.6));
   }
   for (const auto& t : o.workers[own_heartbeat_timeout].tasks) EXPECT_EQ(t.state, TaskState::kEnded);
   EXPECT_EQ(o.shard.running(kJob), 0u);
@@ -234,7 +234,7 @@
     o.heartbeat("a", t);
     o.tick(t);
     EXPECT_EQ(ShardLeader::commands(o.batches(t), Command::Op::kStart), std::vector<std::string>{}) << t;
-    EXPECT_FALSE(o.shard.unregistered_machines().empty()) << t;
+    EXPECT_FALSE(o.shard.registry_buckets_to_write().empty()) << t;
   }
   o.registry({"a"}, 1.6);
   o.grant(1, kTerm, 1.6);
@@ -279,8 +279,8 @@
         bool known = b.incarnation == o.workers.at(b.machine.value()).incarnation;
         started += known ? static_cast<int>(ShardLeader::commands({b}, Command::Op::kStart).size()) : 0;
         auto answer = known ? o.carry_out(b) : o.workers.at(b.machine.value());
-        o.shard.on_commands(b, known ? CommandResult::kExecuted : CommandResult::kRejected, answer,
-                            at(t + 0.2));
+        o.shard.on_command_result(b, known ? CommandResult::kExecuted : CommandResult::kRejected, answer,
+                                  at(t + 0.2));
       }
     }
     EXPECT_EQ(started, 2) << copy_at;
@@ -296,7 +296,7 @@
   o.tick(0.3);
   auto sent = o.batches(0.3);
   ASSERT_EQ(sent.size(), 1u);
-  o.shard.on_commands(sent[0], CommandResult::kNoAnswer, std::nullopt, at(0.4));
+  o.shard.on_command_result(sent[0], CommandResult::kNoAnswer, std::nullopt, at(0.4));
   // Until then it may be there.
   for (const char* m : {"a", "b"}) o.heartbeat(m, 0.5);
   o.tick(0.6);
@@ -337,7 +337,7 @@
         if (cancelled)
           for (auto& s : ShardLeader::commands({b}, Command::Op::kStart)) starts.push_back(s);
         auto answer = o.carry_out(b);
-        o.shard.on_commands(b, CommandResult::kExecuted, answer, at(t + 0.05));
+        o.shard.on_command_result(b, CommandResult::kExecuted, answer, at(t + 0.05));
       }
       t += 0.6;
     }
@@ -373,7 +373,7 @@
     o.grant(1, kTerm - 1, 0);
     auto late = [&] {
       auto& w = o.workers["a"];
-      auto token = Token::first_of(Term(kTerm - 1)).raised();
+      auto token = FencingToken::first_of(Term(kTerm - 1)).raised();
       if (token < w.token) return false;
       w.token = token;
       w.tasks.push_back(ShardLeader::task(0, 11));
--- a/tests/controller_concurrent_faults_test.cpp
+++ b/tests/controller_concurrent_faults_test.cpp
@@ -24,12 +24,8 @@
     settings.zone = Zone("east");
     settings.zones = {Zone("east")};
     settings.teams = {{Team("blue"), 0, kQuotaCpus, 0, 0}};
-    net::Tcp::acceptor users(io, fakes::any_port()), peers(io, fakes::any_port());
-    endpoint = users.local_endpoint();
     settings.listen = fakes::text(endpoint);
-    settings.peer_listen = fakes::text(peers.local_endpoint());
-    users.close();
-    peers.close();
+    settings.peer_listen = fakes::text(peer_port.endpoint());
     controller = std::make_unique<controller::Controller>(io, clock, settings,
                                                           config::parse_policy("", "test", settings));
     controller->start();
@@ -57,7 +53,9 @@
     return count;
   }
 
-  net::Tcp::endpoint endpoint;
+  fakes::ReservedPort port{io};
+  fakes::ReservedPort peer_port{io};
+  net::Tcp::endpoint endpoint = port.endpoint();
   std::unique_ptr<controller::Controller> controller;
   std::vector<std::unique_ptr<fakes::Worker>> workers;
 };
--- a/tests/controller_end_to_end_test.cpp
+++ b/tests/controller_end_to_end_test.cpp
@@ -18,10 +18,9 @@
 // Two controllers in two zones, a worker in each.
 struct TwoControllers : EventLoopFixture {
   explicit TwoControllers(TwoControllersSettings fixture_settings = {}) : settings(fixture_settings) {
-    // Ports that are free now; the controllers bind them a moment later.
     for (int i = 0; i < 4; ++i) {
-      net::Tcp::acceptor acceptor(io, fakes::any_port());
-      ports.push_back(acceptor.local_endpoint());
+      reserved_ports.push_back(std::make_unique<fakes::ReservedPort>(io));
+      ports.push_back(reserved_ports.back()->endpoint());
     }
     controllers.resize(2);
     for (std::size_t i = 0; i < 2; ++i) start(i);
@@ -119,7 +118,8 @@
   }
 
   TwoControllersSettings settings;
-  std::vector<net::Tcp::endpoint> ports;
+  std::vector<std::unique_ptr<fakes::ReservedPort>> reserved_ports;
+  std::vector<net::Tcp::endpoint> ports;  // of each controller: for users and workers, for peers
   std::vector<std::unique_ptr<controller::Controller>> controllers;
   std::vector<std::unique_ptr<fakes::Worker>> workers;
 };
@@ -296,7 +296,7 @@
   job["awaits"] = {"run-1"};
   // Recorded with the leader's role in a form that an earlier version can't take it by.
   const auto& role = cluster.state.keys.at("beaconsill/roles/leader").first;
-  EXPECT_EQ(state_store::parse_role(role).readable_since, state_store::kFormatVersion);
+  EXPECT_EQ(state_store::parse_role(role).min_reader_version, state_store::kFormatVersion);
   EXPECT_FALSE(role.contains("node"));    // what version 0 reads
   EXPECT_FALSE(role.contains("holder"));  // what version 1 reads
   // The second controller is set back to an earlier version.
--- a/tests/decision_digest_test.cpp
+++ b/tests/decision_digest_test.cpp
@@ -43,10 +43,10 @@
         d.on_transaction(0, {});
       },
       [&](DecisionDigest& d) {
-        d.on_commands(0, {machine, "", Incarnation(1), Token(2), {}});
+        d.on_command_result(0, {machine, "", Incarnation(1), FencingToken(2), {}});
       },
       [&](DecisionDigest& d) {
-        d.on_commands(0, {machine, "", Incarnation(1), Token(3), {}});
+        d.on_command_result(0, {machine, "", Incarnation(1), FencingToken(3), {}});
       },
       [&](DecisionDigest& d) {
         d.on_heartbeat_reply(0, machine, {std::nullopt, 1});
@@ -55,7 +55,7 @@
         d.on_heartbeat_reply(0, machine, {std::nullopt, 2});
       },
       [&](DecisionDigest& d) {
-        d.on_heartbeat_reply(0, machine, {shard::ShardManager::HeartbeatResponse{Token(2), {}}, 2});
+        d.on_heartbeat_reply(0, machine, {shard::ShardManager::HeartbeatResponse{FencingToken(2), {}}, 2});
       },
       [&](DecisionDigest& d) { d.on_deletion(0, machine); },
       [&](DecisionDigest& d) { d.on_deletion(0, MachineName("host-2")); },
--- a/tests/dependency_records_test.cpp
+++ b/tests/dependency_records_test.cpp
@@ -2,8 +2,8 @@
 // versions with and without dependencies read each other's records.
 #include <gtest/gtest.h>
 
-#include "state_store/sizes.h"
 #include "state_store/state_view.h"
+#include "state_store/value_sizes.h"
 
 namespace beaconsill::state_store {
 namespace {
@@ -122,14 +122,14 @@
 TEST(FormatVersions, EachReadsTheOthersRecords) {
   // A terminal record without a time, and a liveness record without a version, are of format version 0.
   auto terminal_record = parse_terminal_record(Json{{"end", "done"}, {"done", 3u}});
-  EXPECT_EQ(terminal_record.end, TerminalState::kDone);
-  EXPECT_EQ(terminal_record.at, WallMs());
+  EXPECT_EQ(terminal_record.state, TerminalState::kDone);
+  EXPECT_EQ(terminal_record.completed_at, WallMs());
   EXPECT_EQ(parse_alive(Json{{"up", true}}), 0u);
   EXPECT_EQ(parse_alive(alive_value()), kFormatVersion);
-  EXPECT_EQ(parse_terminal_record(to_json(TerminalRecord{TerminalState::kDone, 3, WallMs(77)})).at,
+  EXPECT_EQ(parse_terminal_record(to_json(TerminalRecord{TerminalState::kDone, 3, WallMs(77)})).completed_at,
             WallMs(77));
   // Fields that are not known yet are ignored.
-  EXPECT_EQ(parse_terminal_record(Json{{"end", "cancelled"}, {"done", 0u}, {"later", 1}}).end,
+  EXPECT_EQ(parse_terminal_record(Json{{"end", "cancelled"}, {"done", 0u}, {"later", 1}}).state,
             TerminalState::kCancelled);
   EXPECT_EQ(parse_alive(Json{{"up", true}, {"version", 9u}, {"later", {}}}), 9u);
   Versions shown{{ControllerName("a"), 1}, {ControllerName("b"), 0}};
@@ -146,13 +146,13 @@
     for (std::uint32_t field = 0; field < holder_fields.size(); ++field)
       EXPECT_EQ(json.contains(holder_fields[field]), field == since) << since;
     auto read = parse_role(json);
-    EXPECT_EQ(read.readable_since, since);
+    EXPECT_EQ(read.min_reader_version, since);
     EXPECT_EQ(read.controller, ControllerName("a"));
     EXPECT_EQ(read.term, Term(4));
   }
   // As written by versions 0 and 1.
-  EXPECT_EQ(parse_role(protocol::parse_json(R"({"node":"a","term":4})")).readable_since, 0u);
-  EXPECT_EQ(parse_role(protocol::parse_json(R"({"holder":"a","term":4})")).readable_since, 1u);
+  EXPECT_EQ(parse_role(protocol::parse_json(R"({"node":"a","term":4})")).min_reader_version, 0u);
+  EXPECT_EQ(parse_role(protocol::parse_json(R"({"holder":"a","term":4})")).min_reader_version, 1u);
   EXPECT_THROW(parse_role(protocol::parse_json(R"({"custodian":"a","term":4})")), protocol::ProtocolError);
 }
 
@@ -169,7 +169,7 @@
   }
   void drop(const std::string& key) { view.apply({key, std::nullopt, Revision(++revision)}); }
   bool ready(const JobId& id) const { return view.dependencies().ready_since(id).has_value(); }
-  bool cancelled(const JobId& id) const { return view.end(id) == TerminalState::kCancelled; }
+  bool cancelled(const JobId& id) const { return view.terminal_state(id) == TerminalState::kCancelled; }
   std::uint64_t visited_count() const { return view.dependencies().visited_count(); }
 };
 
@@ -250,7 +250,7 @@
   for (std::size_t i = 0; i < 3; ++i) r.drop(job_key(run(i)));
   r.job(run(10), {run(0), run(1), run(2)});
   EXPECT_TRUE(r.ready(run(10)));
-  EXPECT_FALSE(r.view.end(run(10)));
+  EXPECT_FALSE(r.view.terminal_state(run(10)));
 }
 
 TEST(Dependencies, CancellationReachesAllThatNeedTheJob) {
@@ -288,7 +288,7 @@
         bool want = i == c.cancelled || c.reached.contains(i);
         EXPECT_EQ(r.cancelled(run(i)), want) << c.what << ", order " << order << ", job " << i;
         EXPECT_FALSE(want && r.ready(run(i))) << c.what;
-        auto by = want ? r.view.terminal_record(run(c.cancelled)).version : Revision();
+        auto by = want ? r.view.terminal_record(run(c.cancelled)).revision : Revision();
         EXPECT_EQ(r.view.terminal_revision(run(i)), by) << c.what;
       }
       EXPECT_EQ(r.view.dependencies().unrecorded().size(), c.reached.size()) << c.what;
@@ -328,7 +328,7 @@
   // The user calls off a job in the middle: what is behind it goes, what is before it stays done.
   r.end(run(1), TerminalState::kCancelled);
   EXPECT_TRUE(r.cancelled(run(2)));
-  EXPECT_EQ(r.view.end(run(0)), TerminalState::kDone);
+  EXPECT_EQ(r.view.terminal_state(run(0)), TerminalState::kDone);
 }
 
 // A chain of thousands (no recursion), and what events cost with ten thousand jobs that wait.
--- a/tests/encoding_samples_peer_test.cpp
+++ b/tests/encoding_samples_peer_test.cpp
@@ -93,9 +93,8 @@
           true};
 }
 
-ProgressReport progress_report(JobHealth verdict) {
-  return {
-      ShardId(1), Term(4), {{JobId("run-1"), tasks("0-6,9"), {{Generation(3), tasks("10-12")}}, verdict}}};
+ProgressReport progress_report(JobHealth health) {
+  return {ShardId(1), Term(4), {{JobId("run-1"), tasks("0-6,9"), {{Generation(3), tasks("10-12")}}, health}}};
 }
 
 TEST(HeartbeatEncoding, Samples) {
@@ -197,7 +196,7 @@
 
 TEST(OutcomesEncoding, Samples) {
   expect_samples({
-      {"no verdict", progress_report(JobHealth::kNone),
+      {"no health", progress_report(JobHealth::kNone),
        "0000000013000000 0000000001000200 0900000000000000 050000001a000000 0400000002000100 "
        "6e31000000000000 0100000000000000 0400000000000000 0100000027000000 0400000001000300 "
        "0000000000000000 0900000032000000 0900000032000000 0900000017000000 72756e2d31000000 "
@@ -246,7 +245,7 @@
   ASSERT_TRUE(message);
   const auto& decoded = std::get<ProgressReport>(message->body);
   ASSERT_EQ(decoded.jobs.size(), 1u);
-  EXPECT_EQ(decoded.jobs.front().verdict, JobHealth::kNone);
+  EXPECT_EQ(decoded.jobs.front().health, JobHealth::kNone);
   EXPECT_EQ(encode(decoded), encode(progress_report(JobHealth::kNone)));
 }
 
--- a/tests/encoding_samples_records_test.cpp
+++ b/tests/encoding_samples_records_test.cpp
@@ -212,13 +212,13 @@
 TEST(StoredRole, OfTheVersionInProductionTellsWhoReadsIt) {
   struct Case {
     const char* stored;
-    std::uint32_t readable_since;
+    std::uint32_t min_reader_version;
   };
   for (const auto& c : {Case{R"({"node":"n1","term":41})", 0}, Case{R"({"holder":"n1","term":41})", 1}}) {
     const auto role = parse_role(parse_json(c.stored));
     EXPECT_EQ(role.controller, ControllerName("n1")) << c.stored;
     EXPECT_EQ(role.term, Term(41)) << c.stored;
-    EXPECT_EQ(role.readable_since, c.readable_since) << c.stored;
+    EXPECT_EQ(role.min_reader_version, c.min_reader_version) << c.stored;
   }
 }
 
--- a/tests/encoding_samples_test.cpp
+++ b/tests/encoding_samples_test.cpp
@@ -158,7 +158,7 @@
 
 TEST(WorkerCommandEncoding, Renders) {
   // 41 << 20 | 1: the term is above the lower twenty bits.
-  const auto token = Token::first_of(Term(41)).raised();
+  const auto token = FencingToken::first_of(Term(41)).raised();
   const std::string commands = R"([{"lamp":"run-1/4","launch":2,"signal":"run"},)"
                                R"({"dousingS":10.0,"lamp":"run-2/0","launch":1,"signal":"kill"},)"
                                R"({"lamp":"run-3/12","launch":3,"signal":"clear"}])";
@@ -190,7 +190,7 @@
   EXPECT_TRUE(heartbeat.spot);
   EXPECT_EQ(heartbeat.incarnation, Incarnation(2));
   EXPECT_EQ(heartbeat.sequence, Sequence(88));
-  EXPECT_EQ(heartbeat.token, Token(42991617));
+  EXPECT_EQ(heartbeat.token, FencingToken(42991617));
   EXPECT_EQ(heartbeat.notice_s, 12.5);
   ASSERT_EQ(heartbeat.tasks.size(), 1u);
   const auto& task = heartbeat.tasks.front();
@@ -325,7 +325,7 @@
   const auto item = parse_item(parse_object(R"({"path":"a/b","v":{"x":1},"entry":12})"));
   EXPECT_EQ(item.key, "a/b");
   EXPECT_EQ(dump(item.value), R"({"x":1})");
-  EXPECT_EQ(item.version, Revision(12));
+  EXPECT_EQ(item.revision, Revision(12));
 }
 
 TEST(StateServiceResponseEncoding, ParsesAPage) {
@@ -347,11 +347,11 @@
   EXPECT_EQ(written.key, "c/9");
   ASSERT_TRUE(written.value);
   EXPECT_EQ(dump(*written.value), R"({"y":2})");
-  EXPECT_EQ(written.version, Revision(433));
+  EXPECT_EQ(written.revision, Revision(433));
   const auto& deleted = changes.changes[1];
   EXPECT_EQ(deleted.key, "c/d");
   EXPECT_FALSE(deleted.value);
-  EXPECT_EQ(deleted.version, Revision(432));
+  EXPECT_EQ(deleted.revision, Revision(432));
   EXPECT_TRUE(parse_changes(parse_object(R"({"logline":1})")).changes.empty());
 }
 
--- a/tests/failover_shard_test.cpp
+++ b/tests/failover_shard_test.cpp
@@ -36,12 +36,12 @@
   // A report of the worker as it is now; `obeys`: it has seen this owner's term.
   protocol::WorkerHeartbeat next_report(const std::string& name, bool obeys) {
     auto& w = worker(name);
-    if (obeys) w.token = std::max(w.token, Token::first_of(kTerm));
+    if (obeys) w.token = std::max(w.token, FencingToken::first_of(kTerm));
     w.sequence = Sequence(w.sequence.value() + 1);
     return w;
   }
   void take(const protocol::WorkerHeartbeat& r, double t) {
-    if (shard.on_worker_heartbeat(r, at(t))) shard.answer(r.machine, at(t));
+    if (shard.on_worker_heartbeat(r, at(t))) shard.heartbeat_response(r.machine, at(t));
   }
   void heartbeat(const std::string& name, double t, bool obeys = true) { take(next_report(name, obeys), t); }
   void grant(const char* id, std::uint32_t tasks, Term term, double t) {
@@ -51,7 +51,7 @@
     fixture::record_job(j, spec);
     j.grants.value = {{{Generation(1), ShardId(0), term, Ranges::span(0, tasks), {}, false, {}}},
                       Generation(1)};
-    j.grants.version = Revision(2);
+    j.grants.revision = Revision(2);
     publish(id, t);
   }
   void publish(const char* id, double t, std::optional<TerminalState> end = std::nullopt) {
@@ -168,7 +168,7 @@
       starts += ShardLeader::count(o.shard.take_command_batches(at(t)), Command::Op::kStart);
       for (const auto& m : o.shard.take_machines_to_delete(at(t))) {
         deleted.insert(m);
-        o.shard.on_deleted(m, at(t));
+        o.shard.on_machine_terminated(m, at(t));
       }
       if (o.shard.is_reconciled() && is_reconciled == 0) is_reconciled = t;
     }
@@ -222,7 +222,7 @@
   ASSERT_EQ(ShardLeader::count(sent, Command::Op::kStart), 1u);
   o.registered({"m1", "m2"});
   o.heartbeat("m2", 0.4);
-  o.shard.on_commands(sent[0], ShardManager::CommandResult::kNoAnswer, std::nullopt, at(2.3));
+  o.shard.on_command_result(sent[0], ShardManager::CommandResult::kNoAnswer, std::nullopt, at(2.3));
   // Reports that the worker sent without having seen any of it prove nothing.
   for (double t = 2.5; t < 5; t += 0.5) {
     o.heartbeat("m1", t);
@@ -266,7 +266,8 @@
     auto& w = o.worker(name);
     w.token = sent[0].token;
     w.tasks = {{sent[0].commands[0].task, sent[0].commands[0].attempt, TaskState::kRunning, {}, false}};
-    o.shard.on_commands(sent[0], ShardManager::CommandResult::kExecuted, o.next_report(name, true), at(0.4));
+    o.shard.on_command_result(sent[0], ShardManager::CommandResult::kExecuted, o.next_report(name, true),
+                              at(0.4));
     if (c.cancelled_first) o.publish("run-1", 1, TerminalState::kCancelled);
     w.tasks[0].state = TaskState::kEnded;
     w.tasks[0].cause = c.cause;
@@ -297,7 +298,7 @@
   o.registered({"m1"});
   o.heartbeat("m1", 0.1);
   o.grant("run-1", 1, kTerm, 0.2);
-  o.worker("m1").token = Token::first_of(Term(6));
+  o.worker("m1").token = FencingToken::first_of(Term(6));
   o.heartbeat("m1", 0.3);
   EXPECT_TRUE(o.shard.superseded());
   EXPECT_EQ(o.starts(0.4), 0u);
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -47,7 +47,7 @@
       w.heartbeat.type = MachineType("t4");
       w.heartbeat.zone = Zone("a");
       w.heartbeat.incarnation = Incarnation(1);
-      w.heartbeat.token = Token::first_of(Term(5));
+      w.heartbeat.token = FencingToken::first_of(Term(5));
       w.next = kHeartbeatPeriod * i / machines;
       records.push_back(
           {w.heartbeat.machine, w.heartbeat.type, w.heartbeat.zone, false, w.heartbeat.address, false});
@@ -82,7 +82,7 @@
       shard.on_worker_heartbeat(next_heartbeat(w), at(now));
       w.confirmed = now;
       if (!shard.find_machine(name)) continue;
-      shard.answer(name, at(now));
+      shard.heartbeat_response(name, at(now));
       if (w.fault != Fault::kReceivesNothing) w.lease_from = now;
       w.next = now + (w.fault == Fault::kReceivesNothing ? 5
                       : w.fault == Fault::kCommandsLost  ? 10
@@ -100,15 +100,15 @@
       for (const auto& c : b.commands)
         if (c.op == protocol::Command::Op::kStart)
           w.heartbeat.tasks.push_back({c.task, c.attempt, TaskState::kRunning, EndCause::kDone, false});
-      shard.on_commands(b, ShardManager::CommandResult::kExecuted, next_heartbeat(w), at(now));
+      shard.on_command_result(b, ShardManager::CommandResult::kExecuted, next_heartbeat(w), at(now));
     }
     while (!timeouts.empty() && timeouts.begin()->first <= now) {
       auto b = timeouts.extract(timeouts.begin()).mapped();
-      shard.on_commands(b, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(now));
+      shard.on_command_result(b, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(now));
     }
     for (auto& name : shard.take_machines_to_delete(at(now))) {
       deleted[name] = now - workers.at(name).confirmed;
-      shard.on_deleted(name, at(now));
+      shard.on_machine_terminated(name, at(now));
     }
   }
   // So many tasks that every machine gets some.
@@ -119,7 +119,7 @@
     spec.each = {1, 0, 1};
     spec.image = ImageName("image");
     job.record = {std::make_shared<const protocol::JobSpec>(spec), WallMs(0)};
-    job.created = job.grants.version = Revision(1);
+    job.created = job.grants.revision = Revision(1);
     job.grants.value.last = Generation(1);
     job.grants.value.chunks = {
         {Generation(1), ShardId(0), Term(5), Ranges::span(0, spec.tasks), std::nullopt, false, {}}};
@@ -248,9 +248,10 @@
   for (const auto& b : fleet.shard.take_command_batches(at(t))) EXPECT_NE(b.machine, MachineName("m0"));
   // The answer to a probe comes first, so that its heartbeat is none that ends a long pause.
   ShardManager::Batch probe{MachineName("m0"), w.heartbeat.address, Incarnation(1), w.heartbeat.token, {}};
-  fleet.shard.on_commands(probe, ShardManager::CommandResult::kExecuted, fleet.next_heartbeat(w), at(t));
+  fleet.shard.on_command_result(probe, ShardManager::CommandResult::kExecuted, fleet.next_heartbeat(w),
+                                at(t));
   fleet.shard.on_worker_heartbeat(fleet.next_heartbeat(w), at(t + 0.1));
-  auto answer = fleet.shard.answer(MachineName("m0"), at(t + 0.1));
+  auto answer = fleet.shard.heartbeat_response(MachineName("m0"), at(t + 0.1));
   EXPECT_EQ(answer.commands.size(), w.heartbeat.tasks.size());
   for (const auto& c : answer.commands) EXPECT_EQ(c.op, protocol::Command::Op::kStop);
 }
@@ -268,7 +269,7 @@
     r.zone = Zone("a");
     r.incarnation = Incarnation(1);
     r.sequence = Sequence(1);
-    r.token = Token::first_of(Term(5));
+    r.token = FencingToken::first_of(Term(5));
     if (runs)
       r.tasks.push_back({{JobId("run-1"), 0}, Attempt(1), TaskState::kRunning, EndCause::kDone, false});
     shard.on_worker_heartbeat(r, at(0.2));
@@ -285,7 +286,7 @@
   auto first = fleet.shard.take_machines_to_delete(at(5));
   EXPECT_EQ(first.size(), protocol::kMaxDelete);
   EXPECT_TRUE(fleet.shard.take_machines_to_delete(at(5.1)).empty());
-  for (std::size_t i = 0; i < 30; ++i) fleet.shard.on_deleted(first[i], at(5.2));
+  for (std::size_t i = 0; i < 30; ++i) fleet.shard.on_machine_terminated(first[i], at(5.2));
   fleet.shard.on_delete_failed(first[30], at(5.2));
   EXPECT_EQ(fleet.shard.take_machines_to_delete(at(5.3)).size(), 31u);
 }
--- a/tests/fakes/loopback.cpp
+++ b/tests/fakes/loopback.cpp
@@ -8,6 +8,13 @@
   return {asio::ip::make_address("127.0.0.1"), 0};
 }
 
+ReservedPort::ReservedPort(asio::io_context& io) : acceptor_(io) {
+  acceptor_.open(Tcp::v4());
+  acceptor_.set_option(Tcp::acceptor::reuse_address(true));
+  acceptor_.bind(any_port());
+  endpoint_ = acceptor_.local_endpoint();
+}
+
 std::string text(const Tcp::endpoint& endpoint) {
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
--- a/tests/fakes/loopback.h
+++ b/tests/fakes/loopback.h
@@ -18,6 +18,19 @@
 
 // An ephemeral port of loopback.
 Tcp::endpoint any_port();
+// A port of loopback that stays bound, without listening, as long as this object lives. The kernel then gives
+// it to nobody else, while a listener that names it may still bind it (both with SO_REUSEADDR), also
+// repeatedly.
+class ReservedPort {
+ public:
+  explicit ReservedPort(asio::io_context& io);
+  const Tcp::endpoint& endpoint() const { return endpoint_; }
+
+ private:
+  Tcp::acceptor acceptor_;
+  Tcp::endpoint endpoint_;
+};
+
 // As "address:port".
 std::string text(const Tcp::endpoint& endpoint);
 // The parameters of a URL's query.
--- a/tests/granted_jobs_test.cpp
+++ b/tests/granted_jobs_test.cpp
@@ -167,8 +167,8 @@
   EXPECT_TRUE(jobs.progress_report(false).empty());
   EXPECT_EQ(jobs.progress_report(true).size(), 1u);
   held->report_health(protocol::JobHealth::kFails);
-  EXPECT_EQ(jobs.progress_report(false).at(0).verdict, protocol::JobHealth::kFails);
-  EXPECT_EQ(jobs.progress_report(true).at(0).verdict, protocol::JobHealth::kNone);
+  EXPECT_EQ(jobs.progress_report(false).at(0).health, protocol::JobHealth::kFails);
+  EXPECT_EQ(jobs.progress_report(true).at(0).health, protocol::JobHealth::kNone);
 }
 
 TEST_F(GrantedJobsTest, WaitingJobsAreVisitedAndOthersForgotten) {
--- a/tests/indeterminate_grants_test.cpp
+++ b/tests/indeterminate_grants_test.cpp
@@ -13,7 +13,7 @@
 // Jobs with grants of version 5.
 struct Jobs {
   explicit Jobs(const std::vector<const char*>& ids) {
-    for (const auto* id : ids) table.find_or_insert(JobId(id)).grants_version = Revision(5);
+    for (const auto* id : ids) table.find_or_insert(JobId(id)).grants_revision = Revision(5);
   }
   JobTable table;
 };
@@ -55,11 +55,12 @@
   };
   const Case cases[] = {
       {"nothing changed", [](JobTable&) {}, false},
-      {"another job changed", [](JobTable& jobs) { jobs.at(JobId("c")).grants_version = Revision(6); },
+      {"another job changed", [](JobTable& jobs) { jobs.at(JobId("c")).grants_revision = Revision(6); },
        false},
-      {"a newer version", [](JobTable& jobs) { jobs.at(JobId("b")).grants_version = Revision(6); }, true},
+      {"a newer version", [](JobTable& jobs) { jobs.at(JobId("b")).grants_revision = Revision(6); }, true},
       {"a job is over",
-       [](JobTable& jobs) { jobs.at(JobId("b")).end = state_store::TerminalState::kCancelled; }, true},
+       [](JobTable& jobs) { jobs.at(JobId("b")).terminal_state = state_store::TerminalState::kCancelled; },
+       true},
       {"a job was removed", [](JobTable& jobs) { jobs.erase(JobId("a")); }, true},
   };
   for (const auto& test_case : cases) {
--- a/tests/inherited_requirements_test.cpp
+++ b/tests/inherited_requirements_test.cpp
@@ -278,7 +278,7 @@
     job.grants.value.chunks.push_back(
         {Generation(i + 1), ShardId(0), Term(1), Ranges::span(i, i + 1), std::nullopt, false, {}});
   job.grants.value.last = Generation(4);
-  job.grants.version = Revision(5);
+  job.grants.revision = Revision(5);
   p.publish(1);
   EXPECT_EQ(p.granted(1), std::vector{run(1)});
   p.scheduler.on_oversized(run(1));
--- a/tests/job_entry_test.cpp
+++ b/tests/job_entry_test.cpp
@@ -22,7 +22,7 @@
   job.grants.value.chunks.push_back(
       {Generation(1), ShardId(0), Term(1), Ranges::span(0, 8), std::nullopt, false, {}});
   job.grants.value.last = Generation(1);
-  job.grants.version = Revision(5);
+  job.grants.revision = Revision(5);
   return job;
 }
 
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -49,8 +49,8 @@
     auto probes = fixture.shard.take_command_batches(at(c.pause));
     ASSERT_EQ(probes.size(), 1u) << c.what;
     EXPECT_TRUE(probes[0].commands.empty());
-    fixture.shard.on_commands(probes[0], ShardManager::CommandResult::kNoAnswer, std::nullopt,
-                              at(c.pause + 1));
+    fixture.shard.on_command_result(probes[0], ShardManager::CommandResult::kNoAnswer, std::nullopt,
+                                    at(c.pause + 1));
     fixture.heartbeat("m1", c.pause + 1);
     EXPECT_FALSE(fixture.shard.machines().at(MachineName("m1")).usable(at(c.pause + 1))) << c.what;
     fixture.worker("m1").token = probes[0].token;
@@ -72,16 +72,17 @@
     for (auto& batch : fixture.shard.take_command_batches(at(t))) {
       for (auto& x : batch.commands) starts += x.op == protocol::Command::Op::kStart;
       if (batch.machine == MachineName("m1")) {
-        fixture.shard.on_commands(batch, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(t + 0.2));
+        fixture.shard.on_command_result(batch, ShardManager::CommandResult::kNoAnswer, std::nullopt,
+                                        at(t + 0.2));
       } else {
         auto& w = fixture.worker(batch.machine.value().c_str());
         fixture.apply(w, batch);
-        fixture.shard.on_commands(batch, ShardManager::CommandResult::kExecuted, w, at(t + 0.2));
+        fixture.shard.on_command_result(batch, ShardManager::CommandResult::kExecuted, w, at(t + 0.2));
       }
     }
     for (auto& m : fixture.shard.take_machines_to_delete(at(t))) {
       deleted.push_back(m);
-      fixture.shard.on_deleted(m, at(t));
+      fixture.shard.on_machine_terminated(m, at(t));
     }
   }
   EXPECT_EQ(deleted, std::vector<MachineName>{MachineName("m1")});
@@ -104,7 +105,7 @@
     ShardFixture next(5);
     next.register_all(5);
     next.shard.on_worker_heartbeat(early, at(5 + late));
-    EXPECT_TRUE(next.shard.unregistered_machines().empty()) << late;
+    EXPECT_TRUE(next.shard.registry_buckets_to_write().empty()) << late;
     EXPECT_TRUE(next.shard.is_reconciled()) << late;
     // To one that knows it, it isn't a heartbeat under its own term.
     ShardFixture known(5);
@@ -113,7 +114,7 @@
     known.shard.on_worker_heartbeat(early, at(5 + late));
     EXPECT_FALSE(known.shard.is_reconciled()) << late;
     // Once deleted it stays so.
-    known.shard.on_deleted(MachineName("m1"), at(6 + late));
+    known.shard.on_machine_terminated(MachineName("m1"), at(6 + late));
     EXPECT_FALSE(known.shard.on_worker_heartbeat(old.worker("m1"), at(7 + late))) << late;
     EXPECT_TRUE(known.shard.machines().empty()) << late;
   }
@@ -131,7 +132,7 @@
   fixture.heartbeat("m1", 1);
   for (double t = 2; t < 13; t += 1) {
     fixture.shard.on_worker_heartbeat(early, at(t));
-    fixture.shard.answer(MachineName("m1"), at(t));
+    fixture.shard.heartbeat_response(MachineName("m1"), at(t));
     fixture.tick(t);
   }
   EXPECT_TRUE(fixture.shard.machines().at(MachineName("m1")).tasks.empty());
@@ -157,7 +158,7 @@
     EXPECT_FALSE(fixture.shard.should_redirect_here(m, at(t))) << t;
     fixture.tick(t);
     for (auto& x : fixture.shard.take_command_batches(at(t)))
-      fixture.shard.on_commands(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(t + 0.5));
+      fixture.shard.on_command_result(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(t + 0.5));
     fixture.heartbeat("m1", t);
   }
   EXPECT_FALSE(fixture.shard.should_redirect_here(m, at(100)));
@@ -181,7 +182,7 @@
     fixture.tick(t);
     if (!partitioned) return fixture.execute_commands(t);
     for (auto& x : fixture.shard.take_command_batches(at(t)))
-      fixture.shard.on_commands(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(t + 0.5));
+      fixture.shard.on_command_result(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(t + 0.5));
     return std::vector<protocol::Command>{};
   };
   for (double t = 1; t < 120; t += 1) {
@@ -205,8 +206,8 @@
   fixture.publish("run-1", 1, TerminalState::kCancelled);
   fixture.tick(1);
   for (auto& x : fixture.shard.take_command_batches(at(1)))
-    fixture.shard.on_commands(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(3));
-  auto a = fixture.shard.answer(MachineName("m1"), at(3.5));
+    fixture.shard.on_command_result(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(3));
+  auto a = fixture.shard.heartbeat_response(MachineName("m1"), at(3.5));
   ASSERT_EQ(a.commands.size(), 2u);
   for (auto& c : a.commands) EXPECT_EQ(c.op, protocol::Command::Op::kStop);
 }
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -6,8 +6,8 @@
 #include <algorithm>
 
 #include "state_store/bucket_plan.h"
-#include "state_store/sizes.h"
 #include "state_store/txn_draft.h"
+#include "state_store/value_sizes.h"
 
 namespace beaconsill::state_store {
 namespace {
@@ -120,7 +120,7 @@
     std::uint32_t most = 0;
     for (const auto& [key, value] : s.view.registry(kShard)) most = std::max(most, key);
     EXPECT_EQ(registry_key_since(most), version);
-    EXPECT_EQ(s.view.shard_role(kShard).value.readable_since, version);
+    EXPECT_EQ(s.view.shard_role(kShard).value.min_reader_version, version);
     EXPECT_EQ(s.view.shard_role(kShard).value.term, Term(3));
     EXPECT_EQ(s.names().size() == 6000, version == 2) << version;
     // An old process that is back keeps further keys from being written, and those that exist stay.
@@ -146,14 +146,14 @@
     for (const auto& [key, value] : s.view.registry(kShard))
       needed = std::max(needed, registry_key_since(key));
     further |= needed > 0;
-    EXPECT_GE(s.view.shard_role(kShard).value.readable_since, needed);
+    EXPECT_GE(s.view.shard_role(kShard).value.min_reader_version, needed);
   }
   EXPECT_TRUE(further);
 
   Service old(1);
   old.put(machines_key(kShard, 16), to_json(machines(0, 3)));
   old.settle({});
-  EXPECT_EQ(old.view.shard_role(kShard).value.readable_since, 1u);
+  EXPECT_EQ(old.view.shard_role(kShard).value.min_reader_version, 1u);
 }
 
 // What was written under a higher limit moves out without ever falling out of the registry.
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -5,6 +5,7 @@
 #include <asio/write.hpp>
 #include <thread>
 
+#include "fakes/loopback.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "net/peer_link.h"
@@ -12,9 +13,7 @@
 namespace beaconsill::net {
 namespace {
 
-Tcp::endpoint any_port() {
-  return {asio::ip::make_address("127.0.0.1"), 0};
-}
+using fakes::any_port;
 
 // Runs the loop until `done` or for ten seconds.
 void run_until(asio::io_context& io, const std::function<bool()>& done) {
@@ -156,9 +155,7 @@
 TEST(HttpClient, ReportsWhatMayHaveBeenExecuted) {
   asio::io_context io;
   // Nobody listens: not sent.
-  Tcp::acceptor closed(io, any_port());
-  auto nobody = closed.local_endpoint();
-  closed.close();
+  fakes::ReservedPort closed(io);
   // Accepts and never responds: sent, no response.
   Tcp::acceptor silent(io, any_port());
   std::vector<Tcp::socket> held;
@@ -167,12 +164,12 @@
     Tcp::endpoint to;
     bool sent;
   };
-  for (const auto& c : {Case{nobody, false}, Case{silent.local_endpoint(), true}}) {
+  for (const auto& c : {Case{closed.endpoint(), false}, Case{silent.local_endpoint(), true}}) {
     auto client = std::make_shared<HttpClient>(io, c.to, 1);
     std::optional<Result> result;
     client->request("POST", "/x", "{}", std::chrono::milliseconds(200), [&](Result r) { result = r; });
     run_until(io, [&] { return result.has_value(); });
-    EXPECT_FALSE(result->answered());
+    EXPECT_FALSE(result->has_response());
     EXPECT_EQ(result->sent, c.sent);
     client->stop();
   }
@@ -185,7 +182,7 @@
   int over = 0;
   for (int i = 0; i < 3; ++i)
     client->request("GET", "/x", "", std::chrono::milliseconds(100 + 100 * i), [&](Result r) {
-      EXPECT_FALSE(r.answered());
+      EXPECT_FALSE(r.has_response());
       ++over;
     });
   run_until(io, [&] { return over == 3; });
--- a/tests/offered_capacity_test.cpp
+++ b/tests/offered_capacity_test.cpp
@@ -20,9 +20,9 @@
   return tasks;
 }
 
-protocol::ZoneCapacity zone(const char* name, std::uint32_t free, std::uint32_t warm = 0,
-                            std::uint32_t preemptible = 0, std::uint32_t warm_preemptible = 0) {
-  return {Zone(name), free, warm, preemptible, warm_preemptible};
+protocol::ZoneCapacity zone(const char* name, std::uint32_t free, std::uint32_t image_cached = 0,
+                            std::uint32_t preemptible = 0, std::uint32_t image_cached_preemptible = 0) {
+  return {Zone(name), free, image_cached, preemptible, image_cached_preemptible};
 }
 
 using Tasks = std::map<std::uint32_t, std::uint32_t>;
--- a/tests/periodic_checks_test.cpp
+++ b/tests/periodic_checks_test.cpp
@@ -51,7 +51,7 @@
 TEST_F(PeriodicChecksTest, ALeaseExpiresWithAMarginAndOnceTheStateStoreWasRead) {
   struct Case {
     const char* what;
-    double now, read_until;
+    double now, up_to_date_at;
     bool confirmed, superseded;
     bool expired;
   };
@@ -66,7 +66,7 @@
     reset();
     machine->confirmed = entry.confirmed;
     if (entry.superseded) state.supersede();
-    expire_leases(state, at(entry.read_until), at(entry.now));
+    expire_leases(state, at(entry.up_to_date_at), at(entry.now));
     EXPECT_EQ(machine->tasks.empty(), entry.expired) << entry.what;
     EXPECT_EQ(machine->incarnation, Incarnation(entry.expired ? 4 : 3)) << entry.what;
   }
@@ -96,7 +96,7 @@
     const char* what;
     bool granted;
     std::optional<state_store::TerminalState> end;
-    double read_until;
+    double up_to_date_at;
     bool stopped;
   };
   const Case cases[] = {
@@ -108,7 +108,7 @@
   for (const auto& entry : cases) {
     reset();
     if (entry.granted) grant(0, 1, entry.end);
-    stop_orphaned_tasks(state, at(entry.read_until));
+    stop_orphaned_tasks(state, at(entry.up_to_date_at));
     EXPECT_EQ(task->stop_grace.has_value(), entry.stopped) << entry.what;
     // It is looked at again for as long as it isn't granted.
     EXPECT_EQ(machine->may_have_orphans, !entry.granted || entry.end) << entry.what;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -104,7 +104,7 @@
     s.types = c.types;
     s.zone = c.zone;
     s.spot = c.spot_job;
-    EXPECT_EQ(allowed(s, MachineType("t4"), Zone("a"), c.spot_machine), c.allowed) << c.what;
+    EXPECT_EQ(is_allowed(s, MachineType("t4"), Zone("a"), c.spot_machine), c.allowed) << c.what;
   }
 }
 
@@ -142,12 +142,12 @@
   for (const char* z : {"a", "b", "c", "d", "unheard-of"})
     for (int i = 0; i < 50; ++i) {
       MachineName m("host-" + std::to_string(i));
-      EXPECT_EQ(p0.of(Zone(z), m), p2.of(Zone(z), m));
-      ++used[p0.of(Zone(z), m).value()];
+      EXPECT_EQ(p0.shard_of(Zone(z), m), p2.shard_of(Zone(z), m));
+      ++used[p0.shard_of(Zone(z), m).value()];
     }
   EXPECT_EQ(used.size(), 3u);
   EXPECT_EQ(p0.preferred_controller(p0.preferred_shard(ControllerName("n1"))), ControllerName("n1"));
-  EXPECT_EQ(p0.of(Zone("b"), MachineName("x")), p0.preferred_shard(ControllerName("n1")));
+  EXPECT_EQ(p0.shard_of(Zone("b"), MachineName("x")), p0.preferred_shard(ControllerName("n1")));
 }
 
 TEST(Preemption, StopsWhatLosesLeastAndOnlyLowerPriority) {
@@ -224,7 +224,7 @@
   auto& rest = fixture.worker("m2");
   for (auto& t : rest.tasks) t.state = TaskState::kWaiting;
   fixture.heartbeat("m2", 1);
-  fixture.shard.on_deleted(MachineName("m1"), at(1.5));
+  fixture.shard.on_machine_terminated(MachineName("m1"), at(1.5));
   fixture.tick(1.6);
   auto commands = fixture.execute_commands(1.6);
   EXPECT_EQ(commands.size(), rest.tasks.size());
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -104,7 +104,7 @@
              {"lamp":"run-000399/0","launch":1,"bearing":"ended","cause":"some_new_cause"}]})");
   auto r = parse_worker_heartbeat(good);
   EXPECT_EQ(r.machine, MachineName("host-1"));
-  EXPECT_EQ(r.token, Token(41));
+  EXPECT_EQ(r.token, FencingToken(41));
   ASSERT_EQ(r.tasks.size(), 3u);
   EXPECT_EQ(r.tasks[0].task, (TaskId{JobId("run-000412"), 3}));
   EXPECT_EQ(r.tasks[1].cause, EndCause::kStopped);
@@ -140,7 +140,7 @@
   std::vector<Command> commands{{Command::Op::kStart, {JobId("run-1"), 4}, Attempt(2), 0},
                                 {Command::Op::kStop, {JobId("run-2"), 0}, Attempt(1), 10},
                                 {Command::Op::kForget, {JobId("run-3"), 0}, Attempt(1), 0}};
-  EXPECT_EQ(parse_object(render_commands(Token(41), Incarnation(1), commands)), parse_object(R"(
+  EXPECT_EQ(parse_object(render_commands(FencingToken(41), Incarnation(1), commands)), parse_object(R"(
     {"helm":41,"watch":1,"signals":[{"signal":"run","lamp":"run-1/4","launch":2},
      {"signal":"kill","lamp":"run-2/0","launch":1,"dousingS":10.0},{"signal":"clear","lamp":"run-3/0","launch":1}]})"));
   EXPECT_EQ(render_redirect(ControllerName("n2")), R"({"keeper":"n2"})");
@@ -220,10 +220,9 @@
   EXPECT_EQ(estimate_request.resource_requests[0], resource_request);
   auto progress_report =
       std::get<ProgressReport>(decode_peer(encode_peer({ControllerName("n"), *std::rbegin(bodies)}))->body);
-  std::vector<JobHealth> verdicts;
-  for (const auto& job : progress_report.jobs) verdicts.push_back(job.verdict);
-  EXPECT_EQ(verdicts,
-            (std::vector{JobHealth::kNone, JobHealth::kNone, JobHealth::kFails, JobHealth::kWorks}));
+  std::vector<JobHealth> health;
+  for (const auto& job : progress_report.jobs) health.push_back(job.health);
+  EXPECT_EQ(health, (std::vector{JobHealth::kNone, JobHealth::kNone, JobHealth::kFails, JobHealth::kWorks}));
   // A heartbeat of a version without a cancellation sync differs from one that has nothing to sync.
   auto heartbeat = [&](std::size_t i) {
     return std::get<Heartbeat>(decode_peer(encode_peer({ControllerName("n"), bodies[i]}))->body);
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -79,7 +79,7 @@
   ledger.charge(ended);  // not over yet: its tasks stay charged
   EXPECT_EQ(ledger.required_terms(waiting), std::set{ShardId(1)});
   ledger.release(ended);
-  ended.end = TerminalState::kCancelled;
+  ended.terminal_state = TerminalState::kCancelled;
   ledger.charge(ended);
   EXPECT_EQ(ledger.required_terms(waiting), (std::set{ShardId(1), ShardId(2), ShardId(3)}));
   ledger.release(ended);
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -86,10 +86,10 @@
 };
 
 // Numbers of tasks, in one zone.
-inline protocol::CapacityByZone capacity(std::uint32_t free, std::uint32_t warm = 0,
-                                         std::uint32_t preemptible = 0, std::uint32_t warm_preemptible = 0,
-                                         const char* zone = "a") {
-  return {{Zone(zone), free, warm, preemptible, warm_preemptible}};
+inline protocol::CapacityByZone capacity(std::uint32_t free, std::uint32_t image_cached = 0,
+                                         std::uint32_t preemptible = 0,
+                                         std::uint32_t image_cached_preemptible = 0, const char* zone = "a") {
+  return {{Zone(zone), free, image_cached, preemptible, image_cached_preemptible}};
 }
 
 }  // namespace beaconsill::scheduler
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -92,7 +92,7 @@
 TEST(Scheduler, AServicePrefersPreemptionWhereTheImageIs) {
   struct Case {
     JobKind kind;
-    std::uint32_t warm_preemptible;
+    std::uint32_t image_cached_preemptible;
     bool preempts;
   };
   for (const auto& test_case : {Case{JobKind::kService, 3, true}, Case{JobKind::kService, 0, false},
@@ -100,7 +100,8 @@
     SchedulerFixture fixture;
     fixture.job("run-1", 1, [&](auto& spec) { spec.kind = test_case.kind, spec.priority = Priority::kHigh; });
     auto grants = fixture.run_round(
-        1, {{0, capacity(9)}, {1, capacity(0, 0, test_case.warm_preemptible, test_case.warm_preemptible)}});
+        1, {{0, capacity(9)},
+            {1, capacity(0, 0, test_case.image_cached_preemptible, test_case.image_cached_preemptible)}});
     ASSERT_EQ(grants.size(), 1u);
     EXPECT_EQ(grants[0].grants.chunks.at(0).preempt, test_case.preempts);
     EXPECT_EQ(grants[0].grants.chunks.at(0).shard, ShardId(test_case.preempts ? 1 : 0));
--- a/tests/scheduling_queue_test.cpp
+++ b/tests/scheduling_queue_test.cpp
@@ -181,7 +181,7 @@
     for (auto& grant : grants) {
       auto& job = fixture.jobs[grant.job.value()];
       for (auto& chunk : job.grants.value.chunks) job.progress[ShardId(0)].value.done.add(chunk.tasks);
-      job.progress[ShardId(0)].version = Revision(++fixture.revision);
+      job.progress[ShardId(0)].revision = Revision(++fixture.revision);
       fixture.publish(grant.job.value().c_str(), time);
     }
   }
--- a/tests/shard_failover_test.cpp
+++ b/tests/shard_failover_test.cpp
@@ -17,13 +17,13 @@
   EXPECT_TRUE(fixture.shard.take_command_batches(at(0.1)).empty());
   // The incarnation was guessed wrong; the answer shows it, and the second probe gets through.
   w.sequence = Sequence(1);
-  fixture.shard.on_commands(probes[0], ShardManager::CommandResult::kRejected, w, at(0.2));
+  fixture.shard.on_command_result(probes[0], ShardManager::CommandResult::kRejected, w, at(0.2));
   EXPECT_FALSE(fixture.shard.is_reconciled());
   probes = fixture.shard.take_command_batches(at(0.2));
   ASSERT_EQ(probes.size(), 1u);
   EXPECT_EQ(probes[0].incarnation, Incarnation(3));
   fixture.apply(w, probes[0]);
-  fixture.shard.on_commands(probes[0], ShardManager::CommandResult::kExecuted, w, at(0.3));
+  fixture.shard.on_command_result(probes[0], ShardManager::CommandResult::kExecuted, w, at(0.3));
   EXPECT_TRUE(fixture.shard.is_reconciled());
 }
 
@@ -38,7 +38,7 @@
     for (auto* n : {"m1", "m2", "m3", "m4"}) fixture.heartbeat(n, t);
     for (auto& m : fixture.shard.take_machines_to_delete(at(t))) {
       ++deleted[t];
-      fixture.shard.on_deleted(m, at(t));
+      fixture.shard.on_machine_terminated(m, at(t));
     }
   }
   ASSERT_EQ(deleted.size(), 1u);
@@ -74,7 +74,7 @@
       for (auto& c : batch.commands) stops += c.op == protocol::Command::Op::kStop;
   EXPECT_EQ(stops, 1u);
   // Those without contact are deleted with the next requests, once this one is answered.
-  for (const auto& name : first) fixture.shard.on_deleted(name, at(60.6));
+  for (const auto& name : first) fixture.shard.on_machine_terminated(name, at(60.6));
   for (auto& n : names)
     if (std::count(first.begin(), first.end(), MachineName(n)) == 0) fixture.heartbeat(n.c_str(), 60.5);
   EXPECT_TRUE(fixture.shard.take_machines_to_delete(at(61)).empty());
@@ -95,7 +95,7 @@
   ASSERT_EQ(starts.size(), 1u);
   EXPECT_EQ(starts[0].task.job, JobId("run-2"));
   // m2 answers to an older term only: what it runs isn't known to be all.
-  fixture.worker("m2").token = Token::first_of(Term(5));
+  fixture.worker("m2").token = FencingToken::first_of(Term(5));
   fixture.heartbeat("m2", 1.0, false);
   fixture.tick(1.1);
   EXPECT_TRUE(fixture.execute_commands(1.1).empty());
@@ -121,7 +121,7 @@
   fixture.heartbeat("m1", 1.0);
   fixture.tick(1.1);
   for (auto& c : fixture.execute_commands(1.1)) EXPECT_NE(c.op, protocol::Command::Op::kStart);
-  fixture.shard.on_deleted(MachineName("m2"), at(1.5));
+  fixture.shard.on_machine_terminated(MachineName("m2"), at(1.5));
   fixture.tick(1.6);
   std::size_t starts = 0;
   for (auto& c : fixture.execute_commands(1.6)) starts += c.op == protocol::Command::Op::kStart;
--- a/tests/shard_fixture.h
+++ b/tests/shard_fixture.h
@@ -62,10 +62,10 @@
   // The worker sends a heartbeat; it has seen the shard's token unless `obeys` is false.
   bool heartbeat(const char* name, double t, bool obeys = true) {
     auto& w = worker(name);
-    if (obeys) w.token = std::max(w.token, Token::first_of(shard.term()));
+    if (obeys) w.token = std::max(w.token, FencingToken::first_of(shard.term()));
     w.sequence = Sequence(w.sequence.value() + 1);
     bool ok = shard.on_worker_heartbeat(w, at(t));
-    if (ok) shard.answer(w.machine, at(t));
+    if (ok) shard.heartbeat_response(w.machine, at(t));
     return ok;
   }
   void register_all(double t) {
@@ -83,7 +83,7 @@
     j.grants.value.last = Generation(j.grants.value.last.value() + 1);
     j.grants.value.chunks = {
         {j.grants.value.last, ShardId(0), Term(term), Ranges::span(0, tasks), std::nullopt, preempt, {}}};
-    j.grants.version = Revision(++revision);
+    j.grants.revision = Revision(++revision);
     publish(id, t);
   }
   void grant_gang(const char* id, std::uint32_t tasks, double t, bool revoke = false) {
@@ -100,7 +100,7 @@
                         Generation(n)};
     }
     j.grants.value.revoke = revoke;
-    j.grants.version = Revision(++revision);
+    j.grants.revision = Revision(++revision);
     publish(id, t);
   }
   void publish(const char* id, double t, std::optional<TerminalState> end = std::nullopt) {
@@ -119,7 +119,7 @@
     for (auto& b : shard.take_command_batches(at(t))) {
       auto& w = worker(b.machine.value().c_str());
       apply(w, b);
-      shard.on_commands(b, ShardManager::CommandResult::kExecuted, w, at(t));
+      shard.on_command_result(b, ShardManager::CommandResult::kExecuted, w, at(t));
       all.insert(all.end(), b.commands.begin(), b.commands.end());
     }
     return all;
--- a/tests/shard_manager_test.cpp
+++ b/tests/shard_manager_test.cpp
@@ -112,7 +112,7 @@
   fixture.grant("run-1", 1, 5, 0);
   fixture.tick(0.1);
   EXPECT_TRUE(fixture.execute_commands(0.1).empty());
-  EXPECT_EQ(fixture.shard.unregistered_machines().size(), 1u);
+  EXPECT_EQ(fixture.shard.registry_buckets_to_write().size(), 1u);
   fixture.register_all(0.2);
   fixture.tick(0.2);
   EXPECT_EQ(fixture.execute_commands(0.2).size(), 1u);
@@ -157,7 +157,7 @@
     ASSERT_EQ(batches.size(), 1u);
     auto& w = fixture.worker("m1");
     if (c.executed) fixture.apply(w, batches[0]);
-    fixture.shard.on_commands(batches[0], ShardManager::CommandResult::kNoAnswer, std::nullopt, at(2));
+    fixture.shard.on_command_result(batches[0], ShardManager::CommandResult::kNoAnswer, std::nullopt, at(2));
     // Only probes are sent until it is resolved.
     for (auto& p : fixture.shard.take_command_batches(at(2))) EXPECT_TRUE(p.commands.empty()) << c.what;
     if (c.sees_fencing_token) w.token = fixture.shard.machines().at(MachineName("m1")).token;
@@ -180,7 +180,7 @@
 TEST(ShardManager, EveryBatchHasAHigherTokenThanAllBefore) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
-  Token last;
+  FencingToken last;
   for (int i = 0; i < 4; ++i) {
     fixture.grant(("run-" + std::to_string(i + 1)).c_str(), 1, 5, i);
     fixture.tick(i);
@@ -189,10 +189,10 @@
     EXPECT_GT(batches[0].token, last);
     last = batches[0].token;
     fixture.apply(fixture.worker("m1"), batches[0]);
-    fixture.shard.on_commands(batches[0], ShardManager::CommandResult::kExecuted, fixture.worker("m1"),
-                              at(i));
+    fixture.shard.on_command_result(batches[0], ShardManager::CommandResult::kExecuted, fixture.worker("m1"),
+                                    at(i));
   }
-  EXPECT_EQ(fixture.shard.answer(MachineName("m1"), at(5)).token, last);
+  EXPECT_EQ(fixture.shard.heartbeat_response(MachineName("m1"), at(5)).token, last);
 }
 
 TEST(ShardManager, ARejectedBatchIsStartedAnew) {
@@ -204,7 +204,7 @@
   auto& w = fixture.worker("m1");
   w.incarnation = Incarnation(2);
   w.sequence = Sequence(1);
-  fixture.shard.on_commands(batches.at(0), ShardManager::CommandResult::kRejected, w, at(0.1));
+  fixture.shard.on_command_result(batches.at(0), ShardManager::CommandResult::kRejected, w, at(0.1));
   fixture.tick(0.2);
   auto again = fixture.shard.take_command_batches(at(0.2));
   ASSERT_EQ(again.size(), 1u);
@@ -245,7 +245,7 @@
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant("run-1", 1, 5, 0);
-  fixture.worker("m1").token = Token::first_of(Term(6));
+  fixture.worker("m1").token = FencingToken::first_of(Term(6));
   fixture.heartbeat("m1", 0.5);
   EXPECT_TRUE(fixture.shard.superseded());
   fixture.tick(0.6);
@@ -327,7 +327,7 @@
   EXPECT_TRUE(w.is_quarantined("m1"));
   EXPECT_FALSE(w.is_quarantined("m2") || w.is_quarantined("m3"));
   // Found on a recorded day of failovers: each new leader found the faulty machines out anew. It's recorded.
-  auto buckets = w.fixture.shard.unregistered_machines();
+  auto buckets = w.fixture.shard.registry_buckets_to_write();
   std::optional<state_store::MachineRecord> record;
   for (auto& [bucket, records] : buckets)
     for (auto& r : records)
@@ -386,8 +386,8 @@
   // The scheduler is notified once.
   auto reports = w.fixture.shard.progress_report(true);
   ASSERT_EQ(reports.size(), 1u);
-  EXPECT_EQ(reports[0].verdict, protocol::JobHealth::kFails);
-  for (auto& o : w.fixture.shard.progress_report(true)) EXPECT_EQ(o.verdict, protocol::JobHealth::kNone);
+  EXPECT_EQ(reports[0].health, protocol::JobHealth::kFails);
+  for (auto& o : w.fixture.shard.progress_report(true)) EXPECT_EQ(o.health, protocol::JobHealth::kNone);
   auto before = w.starts["run-1"];
   w.fixture.grant("run-1", 16, 5, 2);
   w.play(2, 10);
@@ -401,7 +401,7 @@
   w.fixture.add_ready_workers({"m1", "m2"});
   w.fixture.grant("run-1", 2, 5, 0);
   w.play(0.5, 2);
-  ASSERT_EQ(w.fixture.shard.progress_report(true).at(0).verdict, protocol::JobHealth::kFails);
+  ASSERT_EQ(w.fixture.shard.progress_report(true).at(0).health, protocol::JobHealth::kFails);
   w.runs_s = 60;
   w.fixture.worker("m3");
   w.fixture.register_all(3);
@@ -410,7 +410,7 @@
   w.play(4, 18);
   auto reports = w.fixture.shard.progress_report(true);
   ASSERT_EQ(reports.size(), 1u);
-  EXPECT_EQ(reports[0].verdict, protocol::JobHealth::kWorks);
+  EXPECT_EQ(reports[0].health, protocol::JobHealth::kWorks);
 }
 
 TEST(Failures, AJobThatFailsEverywhereBacksOff) {
--- a/tests/sim/controller.cpp
+++ b/tests/sim/controller.cpp
@@ -95,7 +95,7 @@
   }
   if (has_bug(SeededBug::kNoReadBarrierForKnownJobs) && r.method == "GET") {
     JobId id(r.path.substr(r.path.rfind('/') + 1));
-    if (view().job(id) && !view().end(id))
+    if (view().job(id) && !view().terminal_state(id))
       return reply({200, protocol::render_status(id, protocol::JobState::kQueued, 0, 0), std::nullopt});
   }
   if (!has_bug(SeededBug::kUnknownJobsReported)) return process_.api->handle(r, std::move(reply));
--- a/tests/sim/controller.h
+++ b/tests/sim/controller.h
@@ -132,7 +132,7 @@
   HeartbeatReply answer(OwnedShard& o, ShardId id, const protocol::WorkerHeartbeat& r);
   void command(ShardId id, Term term, const shard::ShardManager::Batch& b);
   void remove(ShardId id, Term term, const MachineName& m);
-  void on_deleted(const MachineName& m);
+  void on_machine_terminated(const MachineName& m);
   void on_estimate_request(int leader, const protocol::EstimateRequest& estimate_request);
   std::uint32_t running(const JobId& id) const;
 
--- a/tests/sim/controller_leader_election.cpp
+++ b/tests/sim/controller_leader_election.cpp
@@ -11,14 +11,14 @@
 
 std::map<ShardId, Term> Controller::terms() const {
   std::map<ShardId, Term> out;
-  for (std::uint32_t p = 0; p < env_.partitioning.shards(); ++p)
+  for (std::uint32_t p = 0; p < env_.partitioning.shard_count(); ++p)
     if (const auto& r = view().shard_role(ShardId(p)); r.exists()) out[ShardId(p)] = r.value.term;
   return out;
 }
 
 void Controller::roles() {
   if (!ready()) return;
-  for (std::uint32_t p = 0; p < env_.partitioning.shards(); ++p)
+  for (std::uint32_t p = 0; p < env_.partitioning.shard_count(); ++p)
     role(state_store::shard_role_key(ShardId(p)), view().shard_role(ShardId(p)), ShardId(p));
   role(state_store::leader_role_key(), view().leader(), std::nullopt);
 }
@@ -85,9 +85,9 @@
                          std::optional<ShardId> shard) {
   process_.roles[key].acquiring = true;
   Term term(r.value.term.value() + 1);
-  protocol::Txn t{
-      {{key, r.version}},
-      {{key, state_store::to_json(state_store::Role{name(), term, r.value.readable_since}), std::nullopt}}};
+  protocol::Txn t{{{key, r.revision}},
+                  {{key, state_store::to_json(state_store::Role{name(), term, r.value.min_reader_version}),
+                    std::nullopt}}};
   // Only an owner that has terminated, or is this very controller, may be replaced.
   if (r.exists() && r.value.controller != name())
     t.conditions.push_back({state_store::alive_key(r.value.controller), Revision()});
@@ -113,7 +113,7 @@
                            ShardId shard) {
   auto& s = process_.roles[key];
   state_store::Role next{env_.partitioning.preferred_controller(shard), Term(s.held->value() + 1)};
-  protocol::Txn t{{{key, r.version}}, {{key, state_store::to_json(next), std::nullopt}}};
+  protocol::Txn t{{{key, r.revision}}, {{key, state_store::to_json(next), std::nullopt}}};
   s.acquiring = true;
   env_.state.txn(number_, t, [this, key, t](state_store::TxnResult result) {
     process_.roles[key].acquiring = false;
--- a/tests/sim/controller_peers.cpp
+++ b/tests/sim/controller_peers.cpp
@@ -15,7 +15,7 @@
   auto h = process_.heartbeats->next(to, known(), instant());
   h.acknowledged_until = Revision(UINT64_MAX);  // for earlier versions only
   h.terms = owned();
-  h.state_ok = process_.watch_cache->ready();
+  h.reaches_state_store = process_.watch_cache->ready();
   send(to, [from = number_, h](Controller& c) { c.on_heartbeat(from, h); });
 }
 
@@ -34,7 +34,7 @@
 
 void Controller::share_cancellations(const state_store::StateView::ChangeSet& t) {
   bool any = std::any_of(t.jobs.begin(), t.jobs.end(), [&](const JobId& id) {
-    return view().end(id) == state_store::TerminalState::kCancelled;
+    return view().terminal_state(id) == state_store::TerminalState::kCancelled;
   });
   if (!any) return;
   for (int to = 0; to < kControllers; ++to)
@@ -46,14 +46,14 @@
 bool Controller::may_reveal_cancellation(const JobId& id) const {
   if (has_bug(SeededBug::kCancellationAcknowledgedAtOnce)) return true;
   const auto& end = view().terminal_record(id);
-  return process_.heartbeats->cancellation_sync().may_reveal({end.version, id, end.value.done}, known(),
+  return process_.heartbeats->cancellation_sync().may_reveal({end.revision, id, end.value.done}, known(),
                                                              instant());
 }
 
 Instant Controller::cancellations_known_until() const {
   auto by_peers =
       process_.heartbeats->cancellation_sync().known_until(process_.watch_cache->ready(), instant());
-  return std::max(process_.watch_cache->as_of(), by_peers);
+  return std::max(process_.watch_cache->up_to_date_at(), by_peers);
 }
 
 void Controller::send_summaries() {
@@ -98,7 +98,7 @@
 }
 
 void Controller::on_relayed_heartbeat(int from, std::uint64_t number, const protocol::WorkerHeartbeat& r) {
-  auto id = env_.partitioning.of(r.zone, r.machine);
+  auto id = env_.partitioning.shard_of(r.zone, r.machine);
   auto it = process_.shards.find(id);
   HeartbeatReply out{std::nullopt, number_};
   if (it == process_.shards.end() || it->second.shard->superseded()) {
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -35,7 +35,7 @@
     const auto* job = dependencies.unrecorded().contains(j) ? nullptr : view().job(j);
     auto since = dependencies.ready_since(j);
     if (has_bug(SeededBug::kDependenciesIgnored)) since = env_.queue.wall();
-    process_.scheduler->on_job(j, job, view().end(j), instant(), since);
+    process_.scheduler->on_job(j, job, view().terminal_state(j), instant(), since);
   }
 }
 
@@ -75,12 +75,12 @@
 void Controller::write_grants(const std::vector<scheduler::Scheduler::Grant>& grants) {
   protocol::Txn t;
   bool conditional = !has_bug(SeededBug::kNoFencing);
-  if (conditional) t.conditions.push_back({state_store::leader_role_key(), view().leader().version});
+  if (conditional) t.conditions.push_back({state_store::leader_role_key(), view().leader().revision});
   std::set<ShardId> depends_on_shards;
   for (const auto& g : grants)
     depends_on_shards.insert(g.depends_on_shards.begin(), g.depends_on_shards.end());
   for (auto p : depends_on_shards)
-    t.conditions.push_back({state_store::shard_role_key(p), view().shard_role(p).version});
+    t.conditions.push_back({state_store::shard_role_key(p), view().shard_role(p).revision});
   for (const auto& g : grants) {
     if (conditional) t.conditions.push_back({state_store::grants_key(g.job), g.expected});
     t.conditions.push_back({state_store::terminal_key(g.job), Revision()});
@@ -103,7 +103,7 @@
   auto completed = process_.scheduler->completed();
   if (has_bug(SeededBug::kCompletedTooEarly))
     for (const auto& [id, j] : view().jobs())
-      if (j.record.spec && j.record.spec->kind == JobKind::kArray && !view().end(id) &&
+      if (j.record.spec && j.record.spec->kind == JobKind::kArray && !view().terminal_state(id) &&
           j.done().count() * 2 > j.record.spec->tasks)
         completed.push_back(id);
   auto end = has_bug(SeededBug::kCompletedRecordedAsCancelled) ? state_store::TerminalState::kCancelled
@@ -118,7 +118,7 @@
 void Controller::write_terminal_record(const JobId& id, const state_store::TerminalRecord& terminal_record) {
   if (!process_.terminal_record.insert(id).second) return;
   protocol::Txn t{{{state_store::terminal_key(id), Revision()},
-                   {state_store::leader_role_key(), view().leader().version}},
+                   {state_store::leader_role_key(), view().leader().revision}},
                   {{state_store::terminal_key(id), state_store::to_json(terminal_record), std::nullopt}}};
   env_.state.txn(number_, t, [this, id, t](state_store::TxnResult r) {
     if (r.outcome == state_store::RequestOutcome::kOk) process_.watch_cache->apply_own(t, r.revision);
@@ -134,12 +134,12 @@
     // Without an end of its own, those that it was cancelled through are still needed to know its state.
     if (!job || !view().terminal_record(id).exists()) continue;
     std::vector<protocol::Condition> keys{{state_store::job_key(id), job->created}};
-    if (job->grants.exists()) keys.push_back({state_store::grants_key(id), job->grants.version});
+    if (job->grants.exists()) keys.push_back({state_store::grants_key(id), job->grants.revision});
     for (const auto& [shard, p] : job->progress)
-      keys.push_back({state_store::progress_key(shard, id), p.version});
-    protocol::Txn t{{{state_store::leader_role_key(), view().leader().version}}, {}};
+      keys.push_back({state_store::progress_key(shard, id), p.revision});
+    protocol::Txn t{{{state_store::leader_role_key(), view().leader().revision}}, {}};
     for (auto shard : process_.scheduler->released_by_message(id))
-      t.conditions.push_back({state_store::shard_role_key(shard), view().shard_role(shard).version});
+      t.conditions.push_back({state_store::shard_role_key(shard), view().shard_role(shard).revision});
     for (auto& k : keys) {
       t.writes.push_back({k.key, std::nullopt, std::nullopt});
       t.conditions.push_back(k);
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -52,7 +52,7 @@
 }
 
 void Controller::publish(shard::ShardManager& shard, const JobId& job) {
-  auto end = view().end(job);
+  auto end = view().terminal_state(job);
   if (has_bug(SeededBug::kCancellationsIgnored) && end == state_store::TerminalState::kCancelled) end.reset();
   shard.on_job(job, view().job(job), end, instant());
 }
@@ -102,7 +102,7 @@
   auto& o = process_.shards.at(id);
   auto term = o.shard->term();
   read_registry(id, o);
-  o.shard->tick(instant(), cancellations_known_until(), process_.watch_cache->as_of());
+  o.shard->tick(instant(), cancellations_known_until(), process_.watch_cache->up_to_date_at());
   for (auto& b : o.shard->take_command_batches(instant())) command(id, term, b);
   notify_leader(id, o);
   write_registry(id, o);
@@ -122,7 +122,7 @@
   if (has_bug(SeededBug::kReleasesNotReported))
     for (auto& j : jobs) j.released.clear();
   if (has_bug(SeededBug::kFailuresNotReported))
-    for (auto& j : jobs) j.verdict = protocol::JobHealth::kNone;
+    for (auto& j : jobs) j.health = protocol::JobHealth::kNone;
   if (jobs.empty()) return;
   protocol::ProgressReport progress_report{id, o.shard->term(), std::move(jobs)};
   send(controller_number(leader.value.controller),
@@ -134,7 +134,7 @@
     protocol::EstimateResponse a{
         estimate_request.round, id, o.shard->term(), process_.watch_cache->revision(), {}};
     for (const auto& s : estimate_request.resource_requests)
-      a.rooms.push_back(o.shard->estimate(s, instant()));
+      a.capacities.push_back(o.shard->estimate(s, instant()));
     send(leader, [a](Controller& c) { c.on_estimate_response(a); });
   }
 }
@@ -155,7 +155,7 @@
 void Controller::write_registry(ShardId id, OwnedShard& o) {
   const auto& role = view().shard_role(id);
   if (o.registering || !role.exists() || role.value.term != o.shard->term()) return;
-  auto t = state_store::registry_txn(view(), id, o.shard->unregistered_machines(), all_controllers(),
+  auto t = state_store::registry_txn(view(), id, o.shard->registry_buckets_to_write(), all_controllers(),
                                      kRegistryLimits);
   if (t) write(id, o.shard->term(), *t, &OwnedShard::registering);
 }
@@ -168,7 +168,7 @@
   const auto& leader = view().leader();
   bool acknowledged = leader.exists() &&
                       process_.heartbeats->reachable(controller_number(leader.value.controller), instant());
-  protocol::Txn t{{{state_store::shard_role_key(id), role.version}}, {}};
+  protocol::Txn t{{{state_store::shard_role_key(id), role.revision}}, {}};
   for (auto& [j, p] : unwritten_progress) {
     double delay = !acknowledged        ? kProgressDelay
                    : p.released.empty() ? kAcknowledgedProgressDelay
@@ -179,14 +179,14 @@
     if (!job) continue;
     auto key = state_store::progress_key(id, j);
     auto have = job->progress.find(id);
-    t.conditions.push_back({key, have == job->progress.end() ? Revision() : have->second.version});
+    t.conditions.push_back({key, have == job->progress.end() ? Revision() : have->second.revision});
     t.writes.push_back({key, state_store::to_json(p), std::nullopt});
   }
   if (!t.writes.empty()) write(id, o.shard->term(), t, &OwnedShard::writing);
 }
 
 void Controller::on_worker_heartbeat(const protocol::WorkerHeartbeat& r, const Workers::Reply& reply) {
-  auto id = env_.partitioning.of(r.zone, r.machine);
+  auto id = env_.partitioning.shard_of(r.zone, r.machine);
   auto it = process_.shards.find(id);
   if (it == process_.shards.end() || it->second.shard->superseded()) return relay(id, r, reply);
   auto out = answer(it->second, id, r);
@@ -206,7 +206,7 @@
     return {std::nullopt, owner_of(id).value_or(-1)};
   }
   if (!shard.find_machine(r.machine)) return {};
-  return {shard.answer(r.machine, instant()), -1};
+  return {shard.heartbeat_response(r.machine, instant()), -1};
 }
 
 void Controller::command(ShardId id, Term term, const shard::ShardManager::Batch& b) {
@@ -216,8 +216,9 @@
       auto* o = find(id, term);
       if (!o) return;
       using Result = shard::ShardManager::CommandResult;
-      if (!r) return o->shard->on_commands(b, Result::kNoAnswer, std::nullopt, instant());
-      o->shard->on_commands(b, r->executed ? Result::kExecuted : Result::kRejected, r->heartbeat, instant());
+      if (!r) return o->shard->on_command_result(b, Result::kNoAnswer, std::nullopt, instant());
+      o->shard->on_command_result(b, r->executed ? Result::kExecuted : Result::kRejected, r->heartbeat,
+                                  instant());
     });
   });
 }
@@ -228,8 +229,8 @@
   env_.cloud.remove(m, [this, id, term, m, incarnation](bool ok) {
     env_.network.run(number_, incarnation, CallbackKind::kCommand, [this, id, term, m, ok] {
       if (ok) {
-        broadcast([m](Controller& c) { c.on_deleted(m); });
-        on_deleted(m);
+        broadcast([m](Controller& c) { c.on_machine_terminated(m); });
+        on_machine_terminated(m);
       } else if (auto* o = find(id, term)) {
         o->shard->on_delete_failed(m, instant());
       }
@@ -237,8 +238,8 @@
   });
 }
 
-void Controller::on_deleted(const MachineName& m) {
-  for (auto& [id, o] : process_.shards) o.shard->on_deleted(m, instant());
+void Controller::on_machine_terminated(const MachineName& m) {
+  for (auto& [id, o] : process_.shards) o.shard->on_machine_terminated(m, instant());
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/invariants.cpp
+++ b/tests/sim/invariants.cpp
@@ -74,7 +74,7 @@
   auto it = ledger_.jobs.find(JobId(w.key.substr(ends.size())));
   if (it == ledger_.jobs.end()) return report_violation("invented", w.key);
   const auto& job = it->second;
-  if (state_store::parse_terminal_record(*w.value).end != state_store::TerminalState::kDone) return;
+  if (state_store::parse_terminal_record(*w.value).state != state_store::TerminalState::kDone) return;
   recorded_done_.insert(it->first);
   advance_();
   if (job.done.size() < job.spec->tasks)
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -26,7 +26,7 @@
 bool StateService::apply(const protocol::Txn& t, Revision& r) {
   for (const auto& c : t.conditions) {
     const auto* entry = find(c.key);
-    if ((entry ? entry->version : 0) != c.version.value()) return false;
+    if ((entry ? entry->version : 0) != c.revision.value()) return false;
   }
   if (t.writes.empty()) return true;
   ++revision_;
--- a/tests/sim/watch_cache.cpp
+++ b/tests/sim/watch_cache.cpp
@@ -11,7 +11,7 @@
       on_change_(std::move(on_change)) {}
 
 Revision WatchCache::revision() const {
-  return known_ ? state_.log()[known_ - 1].version : Revision();
+  return known_ ? state_.log()[known_ - 1].revision : Revision();
 }
 
 void WatchCache::sync(std::function<void(bool)> done) {
--- a/tests/sim/workers.cpp
+++ b/tests/sim/workers.cpp
@@ -37,7 +37,7 @@
   r.zone = m.zone;
   r.incarnation = Incarnation(m.incarnation);
   r.sequence = Sequence(++m.sequence);
-  r.token = Token(m.token);
+  r.token = FencingToken(m.token);
   for (const auto& [key, t] : m.tasks)
     r.tasks.push_back({key.first, key.second,
                        t.ended     ? protocol::TaskState::kEnded
@@ -131,7 +131,7 @@
   if (auto* m = ledger_.machine(r.machine); m && options_.seeded_bug == SeededBug::kStaleHeartbeatsAccepted) {
     r.incarnation = Incarnation(m->incarnation);
     r.sequence = Sequence(++m->sequence);
-    r.token = Token(m->token);
+    r.token = FencingToken(m->token);
   }
   auto reply = [this, controller, name = r.machine](const HeartbeatReply& x) {
     decisions_.on_heartbeat_reply(controller, name, x);
@@ -180,7 +180,7 @@
 
 void Workers::command(int controller, const shard::ShardManager::Batch& b,
                       std::function<void(std::optional<CommandReply>)> done) {
-  decisions_.on_commands(controller, b);
+  decisions_.on_command_result(controller, b);
   auto none = [this, done] { queue_.after(kCommandTimeout, [done] { done(std::nullopt); }); };
   auto* m = ledger_.machine(b.machine);
   if (!m || queue_.now() < m->inbound_cut_until || queue_.random_fault(0.01)) {
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -44,12 +44,12 @@
     auto estimate_request =
         scheduler.begin_round(at(t), WallMs(static_cast<std::int64_t>(t * 1000)), {ShardId(0)});
     if (!estimate_request) return;
-    std::vector<protocol::CapacityByZone> rooms;
+    std::vector<protocol::CapacityByZone> capacities;
     for (const auto& s : estimate_request->resource_requests)
-      rooms.push_back(s.zone == Zone("full") ? protocol::CapacityByZone{}
-                                             : protocol::CapacityByZone{{Zone("a"), 4, 0, 0, 0}});
-    scheduler.on_estimate_response({estimate_request->round, ShardId(0), Term(1), Revision(revision), rooms},
-                                   at(t));
+      capacities.push_back(s.zone == Zone("full") ? protocol::CapacityByZone{}
+                                                  : protocol::CapacityByZone{{Zone("a"), 4, 0, 0, 0}});
+    scheduler.on_estimate_response(
+        {estimate_request->round, ShardId(0), Term(1), Revision(revision), capacities}, at(t));
     auto grants = scheduler.decide(at(t), {{ShardId(0), Term(1)}});
     if (!grants || grants->empty()) return;
     scheduler.on_granted(*grants, Revision(++revision), at(t));
@@ -59,7 +59,7 @@
       job.grants = {g.grants, Revision(revision)};
       // What was granted is done by the next round.
       for (const auto& c : g.grants.chunks) job.progress[ShardId(0)].value.done.add(c.tasks);
-      job.progress[ShardId(0)].version = Revision(++revision);
+      job.progress[ShardId(0)].revision = Revision(++revision);
       scheduler.on_job(g.job, &job, std::nullopt, at(t));
     }
   }
--- a/tests/state_store_test.cpp
+++ b/tests/state_store_test.cpp
@@ -88,7 +88,7 @@
   StateView view;
   view.apply(set(terminal_key(id), to_json(TerminalRecord{TerminalState::kDone, 1}), 9));
   view.apply(set(terminal_key(id), to_json(TerminalRecord{TerminalState::kCancelled, 0}), 5));
-  EXPECT_EQ(view.end(id), TerminalState::kDone);
+  EXPECT_EQ(view.terminal_state(id), TerminalState::kDone);
   view.apply(set(shard_role_key(ShardId(0)), to_json(Role{ControllerName("a"), Term(2)}), 8));
   view.apply(set(shard_role_key(ShardId(0)), to_json(Role{ControllerName("b"), Term(1)}), 7));
   EXPECT_EQ(view.shard_role(ShardId(0)).value.controller, ControllerName("a"));
@@ -105,7 +105,7 @@
     view.apply(set(std::string(kPrefix) + key, Json{{"odd", 1}}, 1));
   view.apply(set("elsewhere/jobs/run-1", job("run-1", 1), 2));
   EXPECT_EQ(view.job(JobId("run-1")), nullptr);
-  EXPECT_FALSE(view.end(JobId("run-1")));
+  EXPECT_FALSE(view.terminal_state(JobId("run-1")));
 }
 
 constexpr Duration ms(int n) {
--- a/tests/state_view_ordering_test.cpp
+++ b/tests/state_view_ordering_test.cpp
@@ -122,7 +122,7 @@
     for (auto i : order) {
       v.apply(changes[i]);
       ended |= i == 2;
-      EXPECT_EQ(v.end(kJob), ended ? std::optional(TerminalState::kCancelled) : std::nullopt);
+      EXPECT_EQ(v.terminal_state(kJob), ended ? std::optional(TerminalState::kCancelled) : std::nullopt);
     }
   } while (std::next_permutation(order.begin(), order.end()));
 }
--- a/tests/value_sizes_test.cpp
+++ b/tests/value_sizes_test.cpp
@@ -1,7 +1,7 @@
 // Values that fit the limits to come, also on top of what was written under higher ones.
-#include <gtest/gtest.h>
+#include "state_store/value_sizes.h"
 
-#include "state_store/sizes.h"
+#include <gtest/gtest.h>
 
 namespace beaconsill::state_store {
 namespace {
