--- a/src/api/api.h
+++ b/src/api/api.h
@@ -25,6 +25,7 @@
       Hooks hooks);
   Api(const Api&) = delete;
   Api& operator=(const Api&) = delete;
+  ~Api() = default;
 
   // Whether the path is one of the users'.
   static bool is_user_path(const std::string& path);
--- a/src/config/expr.cpp
+++ b/src/config/expr.cpp
@@ -11,7 +11,7 @@
 
 // An expression that was parsed and checked for its type.
 struct Expression {
-  ExprType type;
+  ExprType type = ExprType::kNumber;
   std::function<double()> evaluate;  // no errors but division by zero are left for it to find
 };
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -156,7 +156,7 @@
   Tcp::socket socket_;
   asio::steady_timer deadline_timer_;
   MessageParser parser_;
-  std::array<char, kReadBufferBytes> buffer_;
+  std::array<char, kReadBufferBytes> buffer_{};
   PendingRequest request_;
   Result result_;
   std::string header_field_;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -29,6 +29,8 @@
   using Callback = std::function<void(Result)>;
   HttpClient(asio::io_context& io, Tcp::endpoint remote, std::size_t max_connections);
   ~HttpClient();
+  HttpClient(const HttpClient&) = delete;
+  HttpClient& operator=(const HttpClient&) = delete;
   // `target`: path and query. `done` is called once, within `timeout`, and never before this returns.
   void request(const std::string& method, const std::string& target, const std::string& body,
                Duration timeout, Callback done);
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -183,7 +183,7 @@
   asio::steady_timer phase_timer_;
   Connections::iterator place_;
   MessageParser parser_;
-  std::array<char, kReadBufferBytes> buffer_;
+  std::array<char, kReadBufferBytes> buffer_{};
   std::string received_;  // and not parsed yet
   std::string target_;
   std::string out_;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -36,6 +36,8 @@
   HttpServer(asio::io_context& io, const Tcp::endpoint& at, ServerLimits limits, IsUser is_user,
              Handler handler);
   ~HttpServer();
+  HttpServer(const HttpServer&) = delete;
+  HttpServer& operator=(const HttpServer&) = delete;
   void start();
   // Closes all connections.
   void stop();
--- a/src/net/message_parser.h
+++ b/src/net/message_parser.h
@@ -36,6 +36,7 @@
   MessageParser(http_parser_type type, Sink& sink);
   MessageParser(const MessageParser&) = delete;
   MessageParser& operator=(const MessageParser&) = delete;
+  ~MessageParser() = default;
 
   // Begins anew, for the first message of a connection.
   void reset();
@@ -56,7 +57,7 @@
 
   http_parser_type type_;
   Sink& sink_;
-  http_parser parser_;
+  http_parser parser_{};
   bool complete_ = false;
 };
 
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -169,7 +169,7 @@
 
   std::shared_ptr<PeerReceiver> receiver_;
   Tcp::socket socket_;
-  std::array<unsigned char, kFrameHeaderBytes> header_;
+  std::array<unsigned char, kFrameHeaderBytes> header_{};
   std::string message_;
   bool closed_ = false;
 };
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -53,7 +53,7 @@
   std::size_t queued_bytes_ = 0;
   Duration backoff_;
   std::uint64_t epoch_ = 0;  // of the connection: callbacks of an earlier one are ignored
-  std::array<char, 16> sink_;
+  std::array<char, 16> sink_{};
   bool connected_ = false;
   bool stopped_ = false;
 };
--- a/src/scheduler/autoscaler.h
+++ b/src/scheduler/autoscaler.h
@@ -63,7 +63,7 @@
   struct InstanceKind {
     MachineType type;
     Zone zone;
-    bool spot;
+    bool spot = false;
     auto operator<=>(const InstanceKind&) const = default;
   };
   struct PendingInstance {
@@ -77,10 +77,10 @@
   };
   // A kind of instance that could be rented for a resource request.
   struct RentalOption {
-    double price_per_task;
-    std::size_t owned;  // instances of the kind that there are already
+    double price_per_task = 0;
+    std::size_t owned = 0;  // instances of the kind that there are already
     InstanceKind kind;
-    std::uint32_t tasks_per_instance;
+    std::uint32_t tasks_per_instance = 0;
   };
   PendingCapacity pending_capacity(const protocol::ResourceRequest& request, Instant now) const;
   // How many of the requested tasks no pending capacity is left for, if other requests need `reserved_cpus`
--- a/src/shard/machine.h
+++ b/src/shard/machine.h
@@ -65,7 +65,7 @@
 
  private:
   struct Entry {
-    double size_gb;
+    double size_gb = 0;
     Instant last_used;
   };
   void evict_to_capacity();
--- a/src/shard/placer.h
+++ b/src/shard/placer.h
@@ -22,7 +22,7 @@
  private:
   struct WaitingJob {
     JobId id;
-    ShardJob* job;
+    ShardJob* job = nullptr;
   };
   // A request, and the zone it is bound to, for which no machine has capacity.
   struct UnplaceableRequest {
