--- a/src/controller/peer_service.cpp
+++ b/src/controller/peer_service.cpp
@@ -90,8 +90,9 @@
 
 bool PeerService::reachable(const ControllerName& controller) const {
   if (controller == ctx_.settings.controller) return true;
-  return peers_.contains(controller) &&
-         ctx_.now() - cancellation_barrier_.echoed(controller) < kReachableTimeout;
+  if (!peers_.contains(controller)) return false;
+  auto echoed = cancellation_barrier_.echoed(controller);
+  return echoed && ctx_.now() - *echoed < kReachableTimeout;
 }
 
 bool PeerService::others_reach_state_store() const {
@@ -137,8 +138,9 @@
 void PeerService::reset_if_unanswered(const ControllerName& name, Peer& peer) {
   auto now = ctx_.now();
   auto oldest_sent = cancellation_barrier_.oldest_sent(name);
-  bool unanswered = now - cancellation_barrier_.echoed(name) > kResetTimeout && oldest_sent &&
-                    now - *oldest_sent > kResetTimeout;
+  auto echoed = cancellation_barrier_.echoed(name);
+  bool unanswered =
+      (!echoed || now - *echoed > kResetTimeout) && oldest_sent && now - *oldest_sent > kResetTimeout;
   if (!peer.link->connected() || !unanswered) return;
   cancellation_barrier_.forget_sent(name);
   peer.link->reset();
@@ -232,8 +234,9 @@
 }
 
 Instant PeerService::cancellations_known_until() const {
-  return std::max(ctx_.watch_cache->up_to_date_at(),
-                  cancellation_barrier_.known_until(ctx_.watch_cache->ready(), ctx_.now()));
+  auto up_to_date_at = ctx_.watch_cache->up_to_date_at();
+  auto by_peers = cancellation_barrier_.known_until(ctx_.watch_cache->ready(), ctx_.now());
+  return by_peers ? std::max(up_to_date_at, *by_peers) : up_to_date_at;
 }
 
 }  // namespace beaconsill::controller
--- a/src/shard/cancellation_barrier.cpp
+++ b/src/shard/cancellation_barrier.cpp
@@ -33,7 +33,7 @@
   if (known.ready) sync.read_until = known.read_until;
   // A peer that isn't ready can conclude nothing; it reads all by itself.
   if (known.ready && peer.ready) sync.complete = list_missing(peer, known, sync.cancelled);
-  if (peer.ready && now - peer.echoed < params_.contact_timeout) {
+  if (peer.ready && peer.echoed && now - *peer.echoed < params_.contact_timeout) {
     sync.read_lease = std::chrono::floor<std::chrono::milliseconds>(params_.read_lease);
     peer.read_lease_until = std::max(peer.read_lease_until, now + params_.read_lease);
   }
@@ -94,7 +94,7 @@
                                   const Known& known, Instant now) {
   const auto& sync = heartbeat.cancellation_sync;
   if (sync) extend_completeness(peer, *sync, echoed_sent_at, known.ready, now);
-  if (echoed_sent_at < peer.echoed) return;
+  if (peer.echoed && echoed_sent_at < *peer.echoed) return;
   peer.echoed = echoed_sent_at;
   peer.ready = sync && sync->ready;
   if (!sync) set_completeness_without_read_lease(peer, heartbeat, echoed_sent_at, known);
@@ -107,9 +107,11 @@
 void CancellationBarrier::extend_completeness(Peer& peer, const protocol::CancellationSync& sync,
                                               Instant echoed_sent_at, bool ready, Instant now) {
   bool lists_all = ready && sync.ready && sync.complete;
-  if (!lists_all && now > peer.complete_until) return;
+  bool read_lease_running = peer.complete_until && now <= *peer.complete_until;
+  if (!lists_all && !read_lease_running) return;
   auto read_lease = std::chrono::duration_cast<Duration>(sync.read_lease * (1 - kDriftMargin));
-  peer.complete_until = std::max(peer.complete_until, echoed_sent_at + read_lease);
+  auto until = echoed_sent_at + read_lease;
+  peer.complete_until = peer.complete_until ? std::max(*peer.complete_until, until) : until;
 }
 
 // A version without the barrier grants no read lease: all that it had acknowledged to users when it sent this
@@ -118,7 +120,11 @@
                                                               const protocol::Heartbeat& heartbeat,
                                                               Instant echoed_sent_at, const Known& known) {
   bool all_read = known.ready && heartbeat.acknowledged_until <= known.read_until;
-  peer.complete_until = all_read ? echoed_sent_at : std::min(peer.complete_until, echoed_sent_at);
+  if (all_read) {
+    peer.complete_until = echoed_sent_at;
+  } else if (peer.complete_until) {
+    peer.complete_until = std::min(*peer.complete_until, echoed_sent_at);
+  }
 }
 
 bool CancellationBarrier::may_reveal(const protocol::CancelledJob& job, const Known& known,
@@ -136,11 +142,14 @@
                      [&](const auto& job) { return !peer.acknowledged.contains(job); });
 }
 
-Instant CancellationBarrier::known_until(bool ready, Instant now) const {
+std::optional<Instant> CancellationBarrier::known_until(bool ready, Instant now) const {
   // While the view is loaded anew it lacks what had been acknowledged.
-  if (!ready) return {};
+  if (!ready) return std::nullopt;
   auto until = now;
-  for (const auto& [name, peer] : peers_) until = std::min(until, peer.complete_until);
+  for (const auto& [name, peer] : peers_) {
+    if (!peer.complete_until) return std::nullopt;
+    until = std::min(until, *peer.complete_until);
+  }
   return until;
 }
 
--- a/src/shard/cancellation_barrier.h
+++ b/src/shard/cancellation_barrier.h
@@ -63,11 +63,12 @@
   // Whether the peer is ready and not known to have all cancellations.
   bool lacks_cancellations(const ControllerName& peer, const Known& known) const;
 
-  // All cancellations acknowledged to users by any other controller before this time are known here.
-  Instant known_until(bool ready, Instant now) const;
+  // All cancellations acknowledged to users by any other controller before this time are known here. None:
+  // that can be said of no time.
+  std::optional<Instant> known_until(bool ready, Instant now) const;
 
-  // When the newest heartbeat was sent that the peer has echoed.
-  Instant echoed(const ControllerName& peer) const { return peers_.at(peer).echoed; }
+  // When the newest heartbeat was sent that the peer has echoed; none if it has echoed none.
+  std::optional<Instant> echoed(const ControllerName& peer) const { return peers_.at(peer).echoed; }
   // Number of the last heartbeat received, to be echoed.
   std::uint64_t received(const ControllerName& peer) const { return peers_.at(peer).received; }
   // When the oldest heartbeat was sent that may still be echoed; none if there is none.
@@ -82,8 +83,8 @@
   struct Peer {
     std::deque<SentHeartbeat> sent;  // whose echoes are awaited
     std::uint64_t received = 0;
-    Instant echoed{};
-    bool ready = false;  // by its newest heartbeat
+    std::optional<Instant> echoed;  // see CancellationBarrier::echoed
+    bool ready = false;             // by its newest heartbeat
     // Records are never taken back, and a restarted peer is ready only after it has read all of them: so what
     // any process of the peer had, its present one has when it's ready.
     Revision read_until;
@@ -92,7 +93,7 @@
     Instant read_lease_until{};
     // All cancellations that the peer, or an earlier process of it, acknowledges to users before this time
     // are known here.
-    Instant complete_until{};
+    std::optional<Instant> complete_until;
   };
   static bool has(const Peer& peer, const protocol::CancelledJob& job);
   static void acknowledge(Peer& peer, const std::vector<protocol::CancelledJob>& jobs);
--- a/src/shard/failure_attribution.cpp
+++ b/src/shard/failure_attribution.cpp
@@ -28,7 +28,7 @@
   job.failed_on[machine] = job.last_failure = now;
   job.works = job.works || works;
   // All tasks of a large array fail within moments: that counts once.
-  if (!fails_everywhere(job) || now < job.retry_at) return;
+  if (!fails_everywhere(job) || (job.retry_at && now < *job.retry_at)) return;
   job.backoff = std::clamp(2 * job.backoff, kFirstBackoff, kLongestBackoff);
   job.retry_at = now + job.backoff;
 }
@@ -65,17 +65,18 @@
   return working >= kWorkingJobs || working + unknown >= kUnknownJobs;
 }
 
-Instant FailureAttribution::suspect_until(const MachineName& machine) const {
+std::optional<Instant> FailureAttribution::suspect_until(const MachineName& machine) const {
   auto failures = failures_by_machine_.find(machine);
-  if (failures == failures_by_machine_.end()) return {};
+  if (failures == failures_by_machine_.end()) return std::nullopt;
   std::size_t unexplained = 0;
-  Instant last_failure{};
+  std::optional<Instant> last_failure;
   for (const auto& [id, when] : failures->second) {
     if (fails_everywhere(jobs_.at(id))) continue;
     ++unexplained;
-    last_failure = std::max(last_failure, when);
+    last_failure = last_failure ? std::max(*last_failure, when) : when;
   }
-  return unexplained >= kSuspectedFromJobs ? last_failure + kSuspicionPeriod : Instant{};
+  if (!last_failure || unexplained < kSuspectedFromJobs) return std::nullopt;
+  return *last_failure + kSuspicionPeriod;
 }
 
 bool FailureAttribution::job_fails(const JobId& id, Instant now) const {
@@ -84,9 +85,10 @@
          fails_everywhere(job->second);
 }
 
-Instant FailureAttribution::retry_at(const JobId& id) const {
+std::optional<Instant> FailureAttribution::retry_at(const JobId& id) const {
   auto job = jobs_.find(id);
-  return job == jobs_.end() ? Instant{} : job->second.retry_at;
+  if (job == jobs_.end()) return std::nullopt;
+  return job->second.retry_at;
 }
 
 std::set<MachineName> FailureAttribution::failed_on(const JobId& id, Instant now) const {
--- a/src/shard/failure_attribution.h
+++ b/src/shard/failure_attribution.h
@@ -4,6 +4,7 @@
 #pragma once
 
 #include <map>
+#include <optional>
 #include <set>
 #include <unordered_map>
 
@@ -31,12 +32,12 @@
   // Jobs that work failed here, or so many that their mistakes don't explain it.
   bool is_machine_faulty(const MachineName& machine) const;
   // Several jobs failed here, and it isn't known yet whether they fail elsewhere as well: the machine should
-  // get no tasks until that time. A time in the past if it isn't suspected.
-  Instant suspect_until(const MachineName& machine) const;
+  // get no tasks until that time. None if it isn't suspected.
+  std::optional<Instant> suspect_until(const MachineName& machine) const;
   // Its tasks failed on several machines, and none is known to work: to be tried by one task at a time.
   bool job_fails(const JobId& job, Instant now) const;
-  // When such a job is to be tried again; a time in the past for any other.
-  Instant retry_at(const JobId& job) const;
+  // When such a job is to be tried again; none for a job that has never been one.
+  std::optional<Instant> retry_at(const JobId& job) const;
   // Machines on which the job failed lately, to be avoided by it.
   std::set<MachineName> failed_on(const JobId& job, Instant now) const;
 
@@ -46,7 +47,7 @@
     bool works = false;
     Instant last_failure{};
     Duration backoff{};
-    Instant retry_at{};
+    std::optional<Instant> retry_at;
   };
   using FailuresByJob = std::map<JobId, Instant>;  // the last failure of each
   void forget_old(Instant now);
--- a/src/shard/failure_detector.cpp
+++ b/src/shard/failure_detector.cpp
@@ -154,9 +154,10 @@
   return zones;
 }
 
-Instant FailureDetector::reachable_since(const Zone& zone) const {
+std::optional<Instant> FailureDetector::reachable_since(const Zone& zone) const {
   auto it = partitioned_.find(zone);
-  return it == partitioned_.end() ? observing_since_ : std::max(observing_since_, it->second);
+  if (it == partitioned_.end()) return observing_since_;
+  return observing_since_ ? std::max(*observing_since_, it->second) : it->second;
 }
 
 std::optional<DeletionReason> FailureDetector::reason_to_delete(const Machine& machine, bool partitioned,
@@ -179,9 +180,12 @@
 }
 
 std::optional<DeletionReason> FailureDetector::reason_if_no_contact(const Machine& machine, Duration timeout,
-                                                                    Instant observing_since,
+                                                                    std::optional<Instant> observing_since,
                                                                     Instant now) const {
-  auto exceeded = [&](Instant last, Duration limit) { return now - std::max(last, observing_since) > limit; };
+  auto exceeded = [&](Instant last, Duration limit) {
+    auto counted_from = observing_since ? std::max(last, *observing_since) : last;
+    return now - counted_from > limit;
+  };
   if (auto since = machine.unconfirmed_since(); since && exceeded(*since, timeout))
     return DeletionReason::kReceivesNothing;
   if (exceeded(machine.last_contact, timeout)) return DeletionReason::kNoContact;
--- a/src/shard/failure_detector.h
+++ b/src/shard/failure_detector.h
@@ -58,13 +58,14 @@
   bool is_suspected(const Machine& machine, Instant now) const;
   bool is_hung(const Machine& machine, Instant now) const;
   std::optional<DeletionReason> reason_if_no_contact(const Machine& machine, Duration timeout,
-                                                     Instant observing_since, Instant now) const;
-  // Since when this controller could receive heartbeats from the zone.
-  Instant reachable_since(const Zone& zone) const;
+                                                     std::optional<Instant> observing_since,
+                                                     Instant now) const;
+  // Since when this controller could receive heartbeats from the zone; none: all the time.
+  std::optional<Instant> reachable_since(const Zone& zone) const;
   std::optional<Instant> commands_answered(const Zone& zone) const;
 
   ShardParams params_;
-  Instant observing_since_{};
+  std::optional<Instant> observing_since_;     // the end of the last pause of this process
   std::map<Zone, Instant> commands_answered_;  // the last time, by any machine of the zone
   std::map<Zone, Instant> partitioned_;        // the last time that the zone was found partitioned
 };
--- a/src/shard/machine.h
+++ b/src/shard/machine.h
@@ -100,11 +100,11 @@
   Instant last_contact{};
   Instant last_own_heartbeat{};  // last one of its own accord: only these renew its lease
   // Last answer to a heartbeat; whether it reached the worker is another matter, see `suspected_since`.
-  Instant last_answered{};
+  std::optional<Instant> last_answered;
   std::optional<Instant> relayed_since;  // since when heartbeats have come by way of other controllers only
   std::optional<Instant> redirected;     // when the worker was last redirected here
-  Instant commands_answered{};           // when it last answered commands or a probe
-  std::optional<Instant> reclaimed_at;   // by the cloud, as notified (spot machines)
+  std::optional<Instant> commands_answered;  // when it last answered commands or a probe
+  std::optional<Instant> reclaimed_at;       // by the cloud, as notified (spot machines)
   std::map<TaskKey, MachineTask> tasks;
   bool may_have_orphans = false;  // some tasks may not be granted to this shard, see stop_orphaned_tasks
   ImageCache images;
@@ -155,7 +155,7 @@
   bool deleting = false;
   std::optional<Instant> delete_retry;
   Instant idle_since{};
-  Instant avoided_until{};  // see FailureAttribution::suspect_until
+  std::optional<Instant> avoided_until;  // see FailureAttribution::suspect_until
   // Without contact for this long it gets no new tasks.
   Duration contact_timeout = std::chrono::seconds(4);
   // The same without a heartbeat of its own accord: what is started then would end with the lease.
@@ -165,7 +165,7 @@
   bool usable(Instant now) const {
     return confirmed && registered && type_known && !draining && !quarantined && !deleting && !reclaimed_at &&
            now - last_contact < contact_timeout && now - last_own_heartbeat < own_heartbeat_timeout &&
-           unanswered == 0 && channel != Channel::kFencing && now >= avoided_until;
+           unanswered == 0 && channel != Channel::kFencing && (!avoided_until || now >= *avoided_until);
   }
 
   // ---- Load: asked for far more often than it changes, and so kept. Whoever changes `tasks`, or what in
--- a/src/shard/placer.cpp
+++ b/src/shard/placer.cpp
@@ -64,7 +64,8 @@
 // again and again. One task at a time shows as much.
 bool Placer::in_crash_loop_backoff(const JobId& id) const {
   if (!state_.failure_attribution.job_fails(id, now_)) return false;
-  if (now_ < state_.failure_attribution.retry_at(id)) return true;
+  auto retry_at = state_.failure_attribution.retry_at(id);
+  if (retry_at && now_ < *retry_at) return true;
   bool being_tried = false;
   state_.locations.for_each_of_job(id, [&](const Machine&, const TaskKey&, const MachineTask& task) {
     being_tried = being_tried || is_live(task);
--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -93,7 +93,7 @@
                                     [](const auto& task) { return task.state != TaskState::kEnded; });
   if (!machine || !has_live_tasks) return true;
   if (!machine->relayed_since) machine->relayed_since = now;
-  if (now - machine->commands_answered > kHeartbeatAnswerTimeout) {
+  if (!machine->commands_answered || now - *machine->commands_answered > kHeartbeatAnswerTimeout) {
     if (machine->can_be_probed()) request_probe(*machine, state_.dispatch_queue, now);
     return false;
   }
@@ -155,14 +155,14 @@
 }
 
 void ShardManager::run_periodic_checks(Instant now, Instant up_to_date_at) {
-  if (now - periodic_checks_at_ >= kPeriodicCheckPeriod) {
+  if (!periodic_checks_at_ || now - *periodic_checks_at_ >= kPeriodicCheckPeriod) {
     periodic_checks_at_ = now;
     expire_leases(state_, up_to_date_at, now);
     stop_tasks_before_reclaim(state_, now);
     stop_broken_gangs(state_);
     schedule_probes(state_, now);
   }
-  if (now - orphan_check_at_ >= kOrphanCheckPeriod) {
+  if (!orphan_check_at_ || now - *orphan_check_at_ >= kOrphanCheckPeriod) {
     orphan_check_at_ = now;
     stop_orphaned_tasks(state_, up_to_date_at);
   }
--- a/src/shard/shard_manager.h
+++ b/src/shard/shard_manager.h
@@ -110,8 +110,9 @@
   void run_periodic_checks(Instant now, Instant up_to_date_at);
 
   ShardState state_;
-  Instant periodic_checks_at_{};
-  Instant orphan_check_at_{};
+  // When these checks were last made.
+  std::optional<Instant> periodic_checks_at_;
+  std::optional<Instant> orphan_check_at_;
 };
 
 }  // namespace beaconsill::shard
--- a/tests/cancellation_barrier_model.h
+++ b/tests/cancellation_barrier_model.h
@@ -368,7 +368,8 @@
     for (std::size_t i = 0; i < kControllers; ++i) {
       if (!serves(i)) continue;
       auto& n = controllers_[i];
-      auto known_until = std::max(n.up_to_date_at, n.barrier->known_until(n.ready, clock(n)));
+      auto by_peers = n.barrier->known_until(n.ready, clock(n));
+      auto known_until = by_peers ? std::max(n.up_to_date_at, *by_peers) : n.up_to_date_at;
       auto age = std::chrono::duration_cast<std::chrono::milliseconds>(clock(n) - known_until).count();
       if (now_ > 5000) result_.oldest_knowledge = std::max<Ms>(result_.oldest_knowledge, age);
       if (age > kAnswerLimit || !result_.broken.empty()) continue;
--- a/tests/cancellation_barrier_test.cpp
+++ b/tests/cancellation_barrier_test.cpp
@@ -47,7 +47,7 @@
   bool may(std::uint64_t revision, Duration at) const {
     return barrier.may_reveal(cancelled(revision), known(), kStart + at);
   }
-  Duration known_until(Duration at) const { return barrier.known_until(ready, kStart + at) - kStart; }
+  Duration known_until(Duration at) const { return barrier.known_until(ready, kStart + at).value() - kStart; }
 
   CancellationBarrier barrier;
   std::set<CancelledJob> jobs;
@@ -123,7 +123,7 @@
   EXPECT_EQ(sent.read_until, Revision());
   EXPECT_TRUE(sent.cancelled.empty());
   EXPECT_FALSE(fixture.may(101, 100s));
-  EXPECT_EQ(fixture.barrier.known_until(false, kStart + 20s), Instant{});
+  EXPECT_EQ(fixture.barrier.known_until(false, kStart + 20s), std::nullopt);
 }
 
 TEST(CancellationBarrierTest, APeerThatIsNotReadyGetsNeitherReadLeaseNorCancellations) {
@@ -200,7 +200,7 @@
   Fixture fixture;
   fixture.send(0s);
   fixture.receive(0s, 77, sync_of(true, true));
-  EXPECT_EQ(fixture.barrier.known_until(true, kStart + 1s), Instant{});
+  EXPECT_EQ(fixture.barrier.known_until(true, kStart + 1s), std::nullopt);
   fixture.receive(0s, 1, sync_of(true, true));
   EXPECT_EQ(fixture.known_until(1s), 1s);
   fixture.barrier.forget_sent(kPeer);
@@ -244,10 +244,10 @@
   Fixture fixture;
   fixture.send(0s);
   fixture.receive(0s, 1, sync_of(false, true));
-  EXPECT_EQ(fixture.barrier.known_until(true, kStart), Instant{});
+  EXPECT_EQ(fixture.barrier.known_until(true, kStart), std::nullopt);
   fixture.ready = false;
   fixture.receive(0s, 1, sync_of(true, true));
-  EXPECT_EQ(fixture.barrier.known_until(true, kStart), Instant{});
+  EXPECT_EQ(fixture.barrier.known_until(true, kStart), std::nullopt);
 }
 
 TEST(StateView, IndexesCancelledEnds) {
--- a/tests/sim/controller_peers.cpp
+++ b/tests/sim/controller_peers.cpp
@@ -53,7 +53,8 @@
 Instant Controller::cancellations_known_until() const {
   auto by_peers =
       process_.heartbeats->cancellation_sync().known_until(process_.watch_cache->ready(), instant());
-  return std::max(process_.watch_cache->up_to_date_at(), by_peers);
+  auto up_to_date_at = process_.watch_cache->up_to_date_at();
+  return by_peers ? std::max(up_to_date_at, *by_peers) : up_to_date_at;
 }
 
 void Controller::send_summaries() {
--- a/tests/sim/heartbeats.cpp
+++ b/tests/sim/heartbeats.cpp
@@ -41,8 +41,9 @@
 }
 
 bool Heartbeats::reachable(int controller, Instant now) const {
-  return controller == controller_ ||
-         now - cancellation_barrier_.echoed(controller_name(controller)) < kFresh;
+  if (controller == controller_) return true;
+  auto echoed = cancellation_barrier_.echoed(controller_name(controller));
+  return echoed && now - *echoed < kFresh;
 }
 
 std::optional<Heartbeats::Owner> Heartbeats::owner(ShardId shard) const {
