--- a/src/controller/peer_service.cpp
+++ b/src/controller/peer_service.cpp
@@ -182,8 +182,8 @@
   // Before anything is sent that acknowledges them.
   if (heartbeat.cancellation_sync) ctx_.watch_cache->apply_cancelled(heartbeat.cancellation_sync->cancelled);
   auto echoed = cancellation_barrier_.echoed(from);
-  if (cancellation_barrier_.on_heartbeat(from, heartbeat, known_cancellations(), ctx_.now()))
-    schedule_heartbeat(peer);
+  auto next = cancellation_barrier_.on_heartbeat(from, heartbeat, known_cancellations(), ctx_.now());
+  if (next == shard::CancellationBarrier::NextHeartbeat::kAtOnce) schedule_heartbeat(peer);
   if (cancellation_barrier_.echoed(from) >= echoed) peer.reaches_state_store = heartbeat.reaches_state_store;
 }
 
--- a/src/shard/cancellation_barrier.cpp
+++ b/src/shard/cancellation_barrier.cpp
@@ -73,8 +73,9 @@
   acknowledge(peer, sync.cancelled);
 }
 
-bool CancellationBarrier::on_heartbeat(const ControllerName& name, const protocol::Heartbeat& heartbeat,
-                                       const Known& known, Instant now) {
+CancellationBarrier::NextHeartbeat CancellationBarrier::on_heartbeat(const ControllerName& name,
+                                                                     const protocol::Heartbeat& heartbeat,
+                                                                     const Known& known, Instant now) {
   auto& peer = peers_.at(name);
   const auto& sync = heartbeat.cancellation_sync;
   peer.received = heartbeat.sequence;
@@ -87,7 +88,7 @@
     on_echo(peer, heartbeat, echoed->sent_at, known, now);
     should_answer |= !echoed->listed.empty() && lacks_cancellations(name, known);
   }
-  return should_answer;
+  return should_answer ? NextHeartbeat::kAtOnce : NextHeartbeat::kPeriodic;
 }
 
 void CancellationBarrier::on_echo(Peer& peer, const protocol::Heartbeat& heartbeat, Instant echoed_sent_at,
--- a/src/shard/cancellation_barrier.h
+++ b/src/shard/cancellation_barrier.h
@@ -42,6 +42,12 @@
     const std::set<protocol::CancelledJob>& cancelled;
   };
 
+  // When the next heartbeat is to be sent to a peer that has sent one.
+  enum class NextHeartbeat {
+    kPeriodic,
+    kAtOnce  // to acknowledge cancellations, or with more of them
+  };
+
   // `started`: when this process did; an earlier one of the same controller may have granted read leases up
   // to then.
   CancellationBarrier(Params params, const std::vector<ControllerName>& peers, Instant started);
@@ -51,9 +57,8 @@
   protocol::CancellationSync outgoing(const ControllerName& peer, std::uint64_t sequence, const Known& known,
                                       Instant now);
   // A heartbeat received. Its cancellations have to be applied first: `known` includes them, if it's ready.
-  // Whether one should be sent back at once: to acknowledge cancellations, or with more of them.
-  bool on_heartbeat(const ControllerName& peer, const protocol::Heartbeat& heartbeat, const Known& known,
-                    Instant now);
+  NextHeartbeat on_heartbeat(const ControllerName& peer, const protocol::Heartbeat& heartbeat,
+                             const Known& known, Instant now);
   // Forgets which heartbeats were sent, for a new connection: their echoes no longer count.
   void forget_sent(const ControllerName& peer) { peers_.at(peer).sent.clear(); }
 
--- a/src/shard/heartbeat_reconciler.cpp
+++ b/src/shard/heartbeat_reconciler.cpp
@@ -43,18 +43,20 @@
   return true;
 }
 
-bool HeartbeatReconciler::reconcile(const protocol::WorkerHeartbeat& heartbeat, bool answers_commands) {
-  if (state_.terminated.contains(heartbeat.machine) || is_of_later_term(heartbeat)) return false;
+HeartbeatResult HeartbeatReconciler::reconcile(const protocol::WorkerHeartbeat& heartbeat,
+                                               HeartbeatOrigin origin) {
+  if (state_.terminated.contains(heartbeat.machine) || is_of_later_term(heartbeat))
+    return HeartbeatResult::kDropped;
   auto& machine = find_or_add_machine(heartbeat);
   if (!heartbeat.newer_than(machine.incarnation, machine.sequence)) {
     spdlog::debug("heartbeat_dropped shard={} machine={} incarnation={} sequence={} reason=stale",
                   state_.id.value(), machine.name.value(), heartbeat.incarnation.value(),
                   heartbeat.sequence.value());
-    return false;
+    return HeartbeatResult::kDropped;
   }
   bool lease_expired = heartbeat.incarnation != machine.incarnation;
   if (lease_expired) on_new_incarnation(machine);
-  update_contact(machine, heartbeat, answers_commands, lease_expired);
+  update_contact(machine, heartbeat, origin, lease_expired);
   update_reclaim_notice(machine, heartbeat);
   // The worker obeys nothing older than the fencing token any more.
   if (machine.channel == Machine::Channel::kFencing && heartbeat.token >= machine.token)
@@ -62,7 +64,7 @@
   state_.dispatch_queue.push(machine);
   update_tasks(machine, heartbeat);
   state_.check_reconciled(now_);
-  return true;
+  return HeartbeatResult::kApplied;
 }
 
 void HeartbeatReconciler::on_new_incarnation(Machine& machine) {
@@ -79,16 +81,16 @@
 }
 
 void HeartbeatReconciler::update_contact(Machine& machine, const protocol::WorkerHeartbeat& heartbeat,
-                                         bool answers_commands, bool lease_expired) {
+                                         HeartbeatOrigin origin, bool lease_expired) {
   bool missed_answer = likely_missed_answer(machine);
   machine.incarnation = heartbeat.incarnation;
   machine.sequence = heartbeat.sequence;
   machine.last_contact = now_;
-  if (!answers_commands) machine.last_own_heartbeat = now_;
+  if (origin == HeartbeatOrigin::kOwnAccord) machine.last_own_heartbeat = now_;
   machine.forget_unanswered();
   machine.token = std::max(machine.token, heartbeat.token);
   // It sends heartbeats, but may receive nothing.
-  if (machine.confirmed && !answers_commands && (lease_expired || missed_answer))
+  if (machine.confirmed && origin == HeartbeatOrigin::kOwnAccord && (lease_expired || missed_answer))
     begin_fencing(machine, state_.dispatch_queue, now_);
   if (!machine.confirmed && heartbeat.token >= FencingToken::first_of(state_.term)) {
     machine.confirmed = true;
--- a/src/shard/heartbeat_reconciler.h
+++ b/src/shard/heartbeat_reconciler.h
@@ -6,15 +6,23 @@
 
 namespace beaconsill::shard {
 
+// How a heartbeat came, which tells what it proves.
+enum class HeartbeatOrigin {
+  kOwnAccord,     // sent by the worker without being asked: it may receive nothing
+  kCommandAnswer  // the answer to commands or a probe, so these have reached the worker
+};
+
+enum class HeartbeatResult {
+  kApplied,
+  kDropped  // stale, of a later term, or of a terminated machine
+};
+
 // Works on a shard's state for the time of one event.
 class HeartbeatReconciler {
  public:
   HeartbeatReconciler(ShardState& state, Instant now) : state_(state), now_(now) {}
 
-  // Applies a heartbeat. `answers_commands`: it came as the answer to commands or a probe, so these have
-  // reached the worker. False: it was dropped, because it is stale, of a later term or of a terminated
-  // machine.
-  bool reconcile(const protocol::WorkerHeartbeat& heartbeat, bool answers_commands);
+  HeartbeatResult reconcile(const protocol::WorkerHeartbeat& heartbeat, HeartbeatOrigin origin);
 
   // Assigns a live task on the machine to its grant, if that is on no machine yet or only by an outdated
   // heartbeat; stops it if it runs elsewhere.
@@ -27,7 +35,7 @@
   void on_new_incarnation(Machine& machine);
   // Whether the worker made a pause before this heartbeat as one does that waits for an answer in vain.
   bool likely_missed_answer(const Machine& machine) const;
-  void update_contact(Machine& machine, const protocol::WorkerHeartbeat& heartbeat, bool answers_commands,
+  void update_contact(Machine& machine, const protocol::WorkerHeartbeat& heartbeat, HeartbeatOrigin origin,
                       bool lease_expired);
   void update_reclaim_notice(Machine& machine, const protocol::WorkerHeartbeat& heartbeat) const;
   void update_tasks(Machine& machine, const protocol::WorkerHeartbeat& heartbeat);
--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -5,7 +5,6 @@
 
 #include "base/log.h"
 #include "shard/gang_scheduling.h"
-#include "shard/heartbeat_reconciler.h"
 #include "shard/periodic_checks.h"
 #include "shard/placer.h"
 
@@ -74,8 +73,8 @@
   state_.check_reconciled(now);
 }
 
-bool ShardManager::on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat, Instant now) {
-  return HeartbeatReconciler(state_, now).reconcile(heartbeat, false);
+HeartbeatResult ShardManager::on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat, Instant now) {
+  return HeartbeatReconciler(state_, now).reconcile(heartbeat, HeartbeatOrigin::kOwnAccord);
 }
 
 HeartbeatResponse ShardManager::heartbeat_response(const MachineName& name, Instant now) {
@@ -181,7 +180,7 @@
   CommandDelivery delivery(state_, now);
   delivery.on_result(*machine, batch, result);
   if (heartbeat && heartbeat->machine == batch.machine)
-    HeartbeatReconciler(state_, now).reconcile(*heartbeat, true);
+    HeartbeatReconciler(state_, now).reconcile(*heartbeat, HeartbeatOrigin::kCommandAnswer);
   if (batch.commands.empty()) delivery.schedule_next_probe(*machine, batch);
 }
 
--- a/src/shard/shard_manager.h
+++ b/src/shard/shard_manager.h
@@ -10,6 +10,7 @@
 
 #include "protocol/peer.h"
 #include "shard/command_delivery.h"
+#include "shard/heartbeat_reconciler.h"
 #include "shard/shard_params.h"
 #include "shard/shard_state.h"
 #include "state_store/state_view.h"
@@ -47,9 +48,8 @@
   // ---- Events
   // Machines registered in the state store, of all buckets: first of all after acquiring the shard.
   void on_registry(const std::vector<state_store::MachineRecord>& records, Instant now);
-  // A heartbeat sent by the worker. False: it was dropped, as stale, of a later term or of a terminated
-  // machine.
-  bool on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat, Instant now);
+  // A heartbeat sent by the worker of its own accord.
+  HeartbeatResult on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat, Instant now);
   // What to answer the machine's heartbeat with, which renews its lease from `now`. The machine has to be
   // known.
   HeartbeatResponse heartbeat_response(const MachineName& name, Instant now);
--- a/tests/cancellation_barrier_model.h
+++ b/tests/cancellation_barrier_model.h
@@ -257,7 +257,9 @@
       if (options_.mistake == Mistake::kCountedFromReceipt && n.sent.contains(h.echo))
         h.cancellation_sync->read_lease +=
             std::chrono::duration_cast<std::chrono::milliseconds>(clock(n) - n.sent[h.echo]);
-      if (n.barrier->on_heartbeat(name(m.from), h, known(n), clock(n))) n.heartbeat_due[m.from] = true;
+      if (n.barrier->on_heartbeat(name(m.from), h, known(n), clock(n)) ==
+          CancellationBarrier::NextHeartbeat::kAtOnce)
+        n.heartbeat_due[m.from] = true;
     }
   }
 
--- a/tests/cancellation_barrier_test.cpp
+++ b/tests/cancellation_barrier_test.cpp
@@ -28,7 +28,7 @@
   protocol::CancellationSync send(Duration at) {
     return barrier.outgoing(kPeer, ++sequence, known(), kStart + at);
   }
-  // A heartbeat of the peer that echoes the one of this number.
+  // A heartbeat of the peer that echoes the one of this number. True: it has to be answered at once.
   bool receive(Duration at, std::uint64_t echo, std::optional<protocol::CancellationSync> d,
                Revision acknowledged_until = {}) {
     protocol::Heartbeat h;
@@ -36,7 +36,8 @@
     h.sequence = 1;
     h.echo = echo;
     h.cancellation_sync = std::move(d);
-    return barrier.on_heartbeat(kPeer, h, known(), kStart + at);
+    return barrier.on_heartbeat(kPeer, h, known(), kStart + at) ==
+           CancellationBarrier::NextHeartbeat::kAtOnce;
   }
   // The peer is in touch and has read everything up to this revision.
   void make_contact(Duration at, Revision peer_read = {}) {
--- a/tests/concurrent_faults_shard_test.cpp
+++ b/tests/concurrent_faults_shard_test.cpp
@@ -49,14 +49,14 @@
     r.incarnation = Incarnation(incarnation);
     r.sequence = Sequence(7);
     r.tasks = std::move(tasks);
-    return shard.on_worker_heartbeat(r, at(t));
+    return shard.on_worker_heartbeat(r, at(t)) == HeartbeatResult::kApplied;
   }
   // The worker has seen this leader's term and sends a heartbeat.
   bool heartbeat(const char* name, double t) {
     auto& r = workers.at(name);
     r.token = std::max(r.token, FencingToken::first_of(shard.term()));
     r.sequence = Sequence(r.sequence.value() + 1);
-    bool taken = shard.on_worker_heartbeat(r, at(t));
+    bool taken = shard.on_worker_heartbeat(r, at(t)) == HeartbeatResult::kApplied;
     if (taken) shard.heartbeat_response(r.machine, at(t));
     return taken;
   }
--- a/tests/failover_shard_test.cpp
+++ b/tests/failover_shard_test.cpp
@@ -41,7 +41,8 @@
     return w;
   }
   void take(const protocol::WorkerHeartbeat& r, double t) {
-    if (shard.on_worker_heartbeat(r, at(t))) shard.heartbeat_response(r.machine, at(t));
+    if (shard.on_worker_heartbeat(r, at(t)) == HeartbeatResult::kApplied)
+      shard.heartbeat_response(r.machine, at(t));
   }
   void heartbeat(const std::string& name, double t, bool obeys = true) { take(next_report(name, obeys), t); }
   void grant(const char* id, std::uint32_t tasks, Term term, double t) {
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -115,7 +115,8 @@
     EXPECT_FALSE(known.shard.is_reconciled()) << late;
     // Once deleted it stays so.
     known.shard.on_machine_terminated(MachineName("m1"), at(6 + late));
-    EXPECT_FALSE(known.shard.on_worker_heartbeat(old.worker("m1"), at(7 + late))) << late;
+    EXPECT_EQ(known.shard.on_worker_heartbeat(old.worker("m1"), at(7 + late)), HeartbeatResult::kDropped)
+        << late;
     EXPECT_TRUE(known.shard.machines().empty()) << late;
   }
 }
--- a/tests/shard_fixture.h
+++ b/tests/shard_fixture.h
@@ -64,9 +64,9 @@
     auto& w = worker(name);
     if (obeys) w.token = std::max(w.token, FencingToken::first_of(shard.term()));
     w.sequence = Sequence(w.sequence.value() + 1);
-    bool ok = shard.on_worker_heartbeat(w, at(t));
-    if (ok) shard.heartbeat_response(w.machine, at(t));
-    return ok;
+    bool applied = shard.on_worker_heartbeat(w, at(t)) == HeartbeatResult::kApplied;
+    if (applied) shard.heartbeat_response(w.machine, at(t));
+    return applied;
   }
   void register_all(double t) {
     std::vector<state_store::MachineRecord> all;
--- a/tests/shard_manager_test.cpp
+++ b/tests/shard_manager_test.cpp
@@ -237,7 +237,7 @@
   auto before = fixture.worker("m1");
   fixture.execute_commands(0);
   // Sent before the task was started, delivered after.
-  EXPECT_FALSE(fixture.shard.on_worker_heartbeat(before, at(0.5)));
+  EXPECT_EQ(fixture.shard.on_worker_heartbeat(before, at(0.5)), HeartbeatResult::kDropped);
   EXPECT_EQ(fixture.shard.machines().at(MachineName("m1")).tasks.size(), 1u);
 }
 
--- a/tests/sim/heartbeats.cpp
+++ b/tests/sim/heartbeats.cpp
@@ -37,7 +37,8 @@
     auto& owner = owners_[t.shard];
     if (t.term > owner.term) owner = {from, t.term};
   }
-  return cancellation_barrier_.on_heartbeat(controller_name(from), h, known, now);
+  return cancellation_barrier_.on_heartbeat(controller_name(from), h, known, now) ==
+         shard::CancellationBarrier::NextHeartbeat::kAtOnce;
 }
 
 bool Heartbeats::reachable(int controller, Instant now) const {
