--- /dev/null
+++ b/tests/command_delivery_test.cpp
@@ -0,0 +1,261 @@
+// Which commands are sent to a machine, and what their results change.
+#include "shard/command_delivery.h"
+
+#include "shard_state_fixture.h"
+
+namespace beaconsill::shard {
+namespace {
+
+using Channel = Machine::Channel;
+using Op = protocol::Command::Op;
+using Start = MachineTask::Start;
+using protocol::TaskState;
+
+struct CommandDeliveryTest : ShardStateFixture {
+  std::vector<CommandBatch> take_batches(Machine& machine) {
+    state.dispatch_queue.push(machine);
+    return CommandDelivery(state, at(kNow_s)).take_batches();
+  }
+  // Places the task and takes the batch that starts it.
+  CommandBatch send_start(Machine& machine, const std::string& job) {
+    place(machine, job);
+    return take_batches(machine).at(0);
+  }
+};
+
+TEST_F(CommandDeliveryTest, EachTaskGetsTheCommandThatItsStateCallsFor) {
+  struct Case {
+    const char* what;
+    void (*change)(MachineTask&);
+    std::optional<Op> command;
+  };
+  const Case cases[] = {
+      {"placed", [](MachineTask& task) { task.start = Start::kQueued; }, Op::kStart},
+      {"its start in flight", [](MachineTask& task) { task.start = Start::kSent; }, std::nullopt},
+      {"running", [](MachineTask&) {}, std::nullopt},
+      {"to be stopped", [](MachineTask& task) { task.stop_grace = 2; }, Op::kStop},
+      {"stop sent", [](MachineTask& task) { task.stop_grace = 2, task.stop_sent = true; }, std::nullopt},
+      {"ended, not recorded", [](MachineTask& task) { task.state = TaskState::kEnded; }, std::nullopt},
+      {"ended, of no use",
+       [](MachineTask& task) { task.state = TaskState::kEnded, task.is_disposable = true; }, Op::kForget},
+      {"forget sent",
+       [](MachineTask& task) {
+         task.state = TaskState::kEnded;
+         task.is_disposable = task.forget_sent = true;
+       },
+       std::nullopt},
+  };
+  for (const auto& entry : cases) {
+    reset();
+    auto& machine = add_machine("m1");
+    grant(job_spec("run-1", 1));
+    entry.change(run(machine, "run-1"));
+    auto batches = take_batches(machine);
+    ASSERT_EQ(batches.size(), entry.command ? 1u : 0u) << entry.what;
+    if (!entry.command) continue;
+    ASSERT_EQ(batches[0].commands.size(), 1u) << entry.what;
+    EXPECT_EQ(batches[0].commands[0].op, *entry.command) << entry.what;
+    EXPECT_EQ(batches[0].commands[0].grace_s, *entry.command == Op::kStop ? 2 : 0) << entry.what;
+  }
+}
+
+TEST_F(CommandDeliveryTest, ABatchHasATokenOfItsOwnAndNoOtherFollowsWhileItIsInFlight) {
+  auto& machine = add_machine("m1");
+  grant(job_spec("run-1", 2));
+  place(machine, "run-1", 0);
+  auto batches = take_batches(machine);
+  ASSERT_EQ(batches.size(), 1u);
+  EXPECT_EQ(batches[0].token, FencingToken::first_of(kTerm).raised());
+  EXPECT_EQ(machine.token, batches[0].token);
+  EXPECT_EQ(machine.channel, Channel::kBusy);
+  place(machine, "run-1", 1);
+  EXPECT_TRUE(take_batches(machine).empty());
+}
+
+TEST_F(CommandDeliveryTest, NothingIsSentWhereItMustNotOrCannotBe) {
+  struct Case {
+    const char* what;
+    void (*change)(ShardState&, Machine&);
+  };
+  const Case cases[] = {
+      {"no address", [](ShardState&, Machine& machine) { machine.address.clear(); }},
+      {"being deleted", [](ShardState&, Machine& machine) { machine.deleting = true; }},
+      {"not confirmed", [](ShardState&, Machine& machine) { machine.confirmed = false; }},
+      {"fencing", [](ShardState&, Machine& machine) { machine.channel = Channel::kFencing; }},
+      {"superseded", [](ShardState& shard, Machine&) { shard.supersede(); }},
+  };
+  for (const auto& entry : cases) {
+    reset();
+    auto& machine = add_machine("m1");
+    grant(job_spec("run-1", 1));
+    place(machine, "run-1");
+    entry.change(state, machine);
+    EXPECT_TRUE(take_batches(machine).empty()) << entry.what;
+    EXPECT_EQ(machine.tasks.begin()->second.start, Start::kQueued) << entry.what;
+  }
+}
+
+TEST_F(CommandDeliveryTest, ABatchHasNoMoreCommandsThanTheProtocolAllows) {
+  auto& machine = add_machine("m1");
+  const std::uint32_t tasks = kMaxCommands + 2;
+  grant(job_spec("run-1", tasks));
+  for (std::uint32_t index = 0; index < tasks; ++index) place(machine, "run-1", index);
+  EXPECT_EQ(take_batches(machine).at(0).commands.size(), kMaxCommands);
+}
+
+TEST_F(CommandDeliveryTest, AStartOfACancelledJobIsNotSent) {
+  auto& machine = add_machine("m1");
+  auto& job = grant(job_spec("run-1", 1));
+  place(machine, "run-1");
+  job.terminal_state = state_store::TerminalState::kCancelled;
+  EXPECT_TRUE(take_batches(machine).empty());
+  EXPECT_TRUE(machine.tasks.empty());
+}
+
+TEST_F(CommandDeliveryTest, AProbeIsSentOnceDueAndCommandsTakeItsPlace) {
+  struct Case {
+    const char* what;
+    double retry_at;
+    bool has_command;
+    std::size_t batches, commands;
+  };
+  const Case cases[] = {
+      {"not due", kNow_s + 0.1, false, 0, 0},
+      {"due", kNow_s, false, 1, 0},
+      {"due, but there is a command", kNow_s, true, 1, 1},
+  };
+  for (const auto& entry : cases) {
+    reset();
+    auto& machine = add_machine("m1");
+    machine.retry_at = at(entry.retry_at);
+    grant(job_spec("run-1", 1));
+    if (entry.has_command) place(machine, "run-1");
+    auto batches = take_batches(machine);
+    ASSERT_EQ(batches.size(), entry.batches) << entry.what;
+    EXPECT_EQ(machine.retry_at.has_value(), entry.batches == 0) << entry.what;
+    if (batches.empty()) continue;
+    EXPECT_EQ(batches[0].commands.size(), entry.commands) << entry.what;
+    EXPECT_EQ(machine.probe_under_way, !entry.has_command) << entry.what;
+    // A probe raises no token: the one that the machine has to show is the fencing token.
+    EXPECT_EQ(batches[0].token > FencingToken::first_of(kTerm), entry.has_command) << entry.what;
+  }
+}
+
+TEST_F(CommandDeliveryTest, TheResultOfABatchDecidesWhatBecomesOfItsStart) {
+  struct Case {
+    const char* what;
+    CommandResult result;
+    Channel channel;
+    std::optional<Start> start;  // none: it is no longer on the machine
+    GrantedTask::Status status;
+  };
+  using Status = GrantedTask::Status;
+  const Case cases[] = {
+      {"executed", CommandResult::kExecuted, Channel::kIdle, Start::kAcknowledged, Status::kPlaced},
+      {"rejected", CommandResult::kRejected, Channel::kIdle, std::nullopt, Status::kWaiting},
+      {"no answer", CommandResult::kNoAnswer, Channel::kFencing, Start::kSent, Status::kPlaced},
+  };
+  for (const auto& entry : cases) {
+    reset();
+    auto& machine = add_machine("m1");
+    grant(job_spec("run-1", 1));
+    auto batch = send_start(machine, "run-1");
+    CommandDelivery(state, at(kNow_s + 1)).on_result(machine, batch, entry.result);
+    EXPECT_EQ(machine.channel, entry.channel) << entry.what;
+    EXPECT_EQ(machine.unanswered, entry.result == CommandResult::kNoAnswer ? 1u : 0u) << entry.what;
+    EXPECT_EQ(machine.tasks.empty(), !entry.start) << entry.what;
+    if (entry.start) {
+      EXPECT_EQ(machine.tasks.begin()->second.start, *entry.start) << entry.what;
+    }
+    EXPECT_EQ(granted_task("run-1").status, entry.status) << entry.what;
+  }
+}
+
+TEST_F(CommandDeliveryTest, ARejectedStopIsSentAgain) {
+  auto& machine = add_machine("m1");
+  grant(job_spec("run-1", 1));
+  auto& task = run(machine, "run-1");
+  task.stop_grace = 0;
+  auto batch = take_batches(machine).at(0);
+  CommandDelivery(state, at(kNow_s)).on_result(machine, batch, CommandResult::kRejected);
+  auto again = take_batches(machine);
+  ASSERT_EQ(again.size(), 1u);
+  EXPECT_EQ(again[0].commands.at(0).op, Op::kStop);
+  EXPECT_GT(again[0].token, batch.token);
+}
+
+TEST_F(CommandDeliveryTest, AResultForAnEarlierIncarnationChangesNoTask) {
+  auto& machine = add_machine("m1");
+  grant(job_spec("run-1", 1));
+  auto batch = send_start(machine, "run-1");
+  machine.incarnation = Incarnation(2);
+  CommandDelivery(state, at(kNow_s)).on_result(machine, batch, CommandResult::kExecuted);
+  EXPECT_EQ(machine.tasks.begin()->second.start, Start::kSent);
+  EXPECT_EQ(machine.commands_answered, at(kNow_s));
+}
+
+TEST_F(CommandDeliveryTest, AMachineIsProbedAgainUntilItIsConfirmed) {
+  struct Case {
+    const char* what;
+    bool confirmed;
+    Channel channel;
+    Incarnation incarnation;  // the one that the machine has shown; the probe was for the first
+    std::optional<double> retry_at;
+  };
+  const Case cases[] = {
+      {"confirmed", true, Channel::kIdle, Incarnation(1), std::nullopt},
+      {"fencing", true, Channel::kFencing, Incarnation(1), kNow_s + 1},
+      {"not confirmed", false, Channel::kIdle, Incarnation(1), kNow_s + 1},
+      {"its incarnation was guessed wrong", false, Channel::kIdle, Incarnation(2), kNow_s},
+  };
+  for (const auto& entry : cases) {
+    reset();
+    auto& machine = add_machine("m1");
+    machine.confirmed = entry.confirmed;
+    machine.channel = entry.channel;
+    machine.incarnation = entry.incarnation;
+    CommandBatch probe{machine.name, machine.address, Incarnation(1), machine.token, {}};
+    CommandDelivery(state, at(kNow_s)).schedule_next_probe(machine, probe);
+    auto expected = entry.retry_at ? std::optional(at(*entry.retry_at)) : std::nullopt;
+    EXPECT_EQ(machine.retry_at, expected) << entry.what;
+  }
+}
+
+TEST_F(CommandDeliveryTest, StopsGoWithTheAnswerToAHeartbeatWhileCommandsDoNotReachTheMachine) {
+  struct Case {
+    const char* what;
+    Channel channel;
+    bool deleting;
+    std::size_t stops;
+  };
+  const Case cases[] = {
+      {"commands reach it", Channel::kIdle, false, 0},
+      {"a batch is in flight", Channel::kBusy, false, 0},
+      {"fencing", Channel::kFencing, false, 1},
+      {"being deleted", Channel::kIdle, true, 1},
+  };
+  for (const auto& entry : cases) {
+    reset();
+    auto& machine = add_machine("m1");
+    grant(job_spec("run-1", 3));
+    run(machine, "run-1", 0);
+    run(machine, "run-1", 1).stop_grace = 2;
+    auto& ended = run(machine, "run-1", 2);
+    ended.stop_grace = 2;
+    ended.state = TaskState::kEnded;
+    machine.channel = entry.channel;
+    machine.deleting = entry.deleting;
+    auto response = CommandDelivery(state, at(kNow_s)).heartbeat_response(machine);
+    ASSERT_EQ(response.commands.size(), entry.stops) << entry.what;
+    for (const auto& command : response.commands) {
+      EXPECT_EQ(command.op, Op::kStop) << entry.what;
+      EXPECT_EQ(command.task.index, 1u) << entry.what;
+      EXPECT_EQ(command.grace_s, 2) << entry.what;
+    }
+    EXPECT_EQ(response.token, machine.token) << entry.what;
+    EXPECT_EQ(machine.last_answered, at(kNow_s)) << entry.what;
+  }
+}
+
+}  // namespace
+}  // namespace beaconsill::shard
--- /dev/null
+++ b/tests/shard_state_fixture.h
@@ -0,0 +1,85 @@
+// For tests of one component: a shard's state with machines, grants and tasks as the test sets them up.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <string>
+#include <utility>
+
+#include "shard/shard_state.h"
+#include "shard_test_data.h"
+
+namespace beaconsill::shard {
+
+using fixture::at;
+
+// A reconciled shard under term 5. Now is 100 s. Machines have four CPUs, tasks of a job take one each.
+struct ShardStateFixture : testing::Test {
+  static constexpr double kNow_s = 100;
+  static constexpr Term kTerm{5};
+
+  // Forgets everything, for the next case of a table.
+  void reset() {
+    state = ShardState(ShardId(0), kTerm, fixture::params(), at(0));
+    state.reconciled = true;
+  }
+  // One that can be given tasks.
+  Machine& add_machine(const std::string& name, const std::string& zone = "a") {
+    auto& machine = state.machines[MachineName(name)];
+    machine.name = MachineName(name);
+    machine.zone = Zone(zone);
+    machine.type = MachineType("t4");
+    machine.address = "127.0.0.1:1";
+    machine.total = {4, 0, 16};
+    machine.images.set_capacity(20);
+    machine.confirmed = machine.registered = machine.type_known = true;
+    machine.incarnation = Incarnation(1);
+    machine.sequence = Sequence(1);
+    machine.token = FencingToken::first_of(kTerm);
+    machine.first_seen = machine.last_contact = machine.last_own_heartbeat = at(kNow_s);
+    return machine;
+  }
+  static protocol::JobSpec job_spec(const std::string& id, std::uint32_t tasks,
+                                    JobKind kind = JobKind::kArray) {
+    auto spec = fixture::job_spec(JobId(id), tasks);
+    spec.kind = kind;
+    return spec;
+  }
+  // Grants all tasks of the job to this shard.
+  ShardJob& grant(const protocol::JobSpec& spec, std::optional<Zone> zone = std::nullopt,
+                  bool preempt = false) {
+    state_store::Job job;
+    fixture::record_job(job, spec);
+    job.grants.value.chunks = {{Generation(1), ShardId(0), kTerm, Ranges::span(0, spec.tasks),
+                                std::move(zone), preempt, Attempt(1), std::nullopt}};
+    return *state.jobs.apply(spec.id, job, std::nullopt, true, at(kNow_s));
+  }
+  GrantedTask& granted_task(const std::string& job, std::uint32_t index = 0) {
+    return *state.jobs.find_task({JobId(job), index});
+  }
+  // Places the granted task: its start is still to be sent.
+  MachineTask& place(Machine& machine, const std::string& job, std::uint32_t index = 0) {
+    auto& granted = granted_task(job, index);
+    TaskId id{JobId(job), index};
+    state.place(machine, id, state.jobs.at(id.job), granted, at(kNow_s));
+    return machine.tasks.at({id, granted.attempt});
+  }
+  // Places the granted task and has it run.
+  MachineTask& run(Machine& machine, const std::string& job, std::uint32_t index = 0) {
+    auto& task = place(machine, job, index);
+    task.start = MachineTask::Start::kAcknowledged;
+    task.state = protocol::TaskState::kRunning;
+    task.running_since = at(kNow_s);
+    machine.invalidate_load();
+    return task;
+  }
+
+  ShardState state = [] {
+    ShardState initial(ShardId(0), kTerm, fixture::params(), at(0));
+    initial.reconciled = true;
+    return initial;
+  }();
+};
+
+}  // namespace beaconsill::shard
