--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -11,16 +11,16 @@
     bool usable;
   };
   const Case cases[] = {{1, 3, true}, {1, 4, false}, {3, 4.5, true}, {3, 5, false}};
-  for (const auto& c : cases) {
-    auto p = params();
-    p.heartbeat_period = from_seconds(c.period);
+  for (const auto& entry : cases) {
+    auto varied = params();
+    varied.heartbeat_period = from_seconds(entry.period);
     ShardFixture fixture;
-    fixture.shard = ShardManager(ShardId(0), Term(5), p, at(0));
+    fixture.shard = ShardManager(ShardId(0), Term(5), varied, at(0));
     fixture.shard.set_catalogue(catalogue());
     fixture.add_ready_workers({"m1"});
-    fixture.heartbeat("m1", c.pause);
-    EXPECT_EQ(fixture.shard.machines().at(MachineName("m1")).usable(at(c.pause)), c.usable)
-        << c.period << ' ' << c.pause;
+    fixture.heartbeat("m1", entry.pause);
+    EXPECT_EQ(fixture.shard.machines().at(MachineName("m1")).usable(at(entry.pause)), entry.usable)
+        << entry.period << ' ' << entry.pause;
   }
 }
 
@@ -38,24 +38,25 @@
       {"a pause as of one that waited in vain for an answer", 5, 1, false},
       {"its lease expired though it was answered", 1, 2, false},
   };
-  for (const auto& c : cases) {
+  for (const auto& entry : cases) {
     ShardFixture fixture;
     fixture.add_ready_workers({"m1"});
-    fixture.worker("m1").incarnation = Incarnation(c.incarnation);
-    fixture.heartbeat("m1", c.pause);
-    EXPECT_EQ(fixture.shard.machines().at(MachineName("m1")).usable(at(c.pause)), c.usable) << c.what;
-    if (c.usable) continue;
+    fixture.worker("m1").incarnation = Incarnation(entry.incarnation);
+    fixture.heartbeat("m1", entry.pause);
+    EXPECT_EQ(fixture.shard.machines().at(MachineName("m1")).usable(at(entry.pause)), entry.usable)
+        << entry.what;
+    if (entry.usable) continue;
     // It is probed; whatever its heartbeats list, it is usable again only once it shows the raised token.
-    auto probes = fixture.shard.take_command_batches(at(c.pause));
-    ASSERT_EQ(probes.size(), 1u) << c.what;
+    auto probes = fixture.shard.take_command_batches(at(entry.pause));
+    ASSERT_EQ(probes.size(), 1u) << entry.what;
     EXPECT_TRUE(probes[0].commands.empty());
     fixture.shard.on_command_result(probes[0], ShardManager::CommandResult::kNoAnswer, std::nullopt,
-                                    at(c.pause + 1));
-    fixture.heartbeat("m1", c.pause + 1);
-    EXPECT_FALSE(fixture.shard.machines().at(MachineName("m1")).usable(at(c.pause + 1))) << c.what;
+                                    at(entry.pause + 1));
+    fixture.heartbeat("m1", entry.pause + 1);
+    EXPECT_FALSE(fixture.shard.machines().at(MachineName("m1")).usable(at(entry.pause + 1))) << entry.what;
     fixture.worker("m1").token = probes[0].token;
-    fixture.heartbeat("m1", c.pause + 2);
-    EXPECT_TRUE(fixture.shard.machines().at(MachineName("m1")).usable(at(c.pause + 2))) << c.what;
+    fixture.heartbeat("m1", entry.pause + 2);
+    EXPECT_TRUE(fixture.shard.machines().at(MachineName("m1")).usable(at(entry.pause + 2))) << entry.what;
   }
 }
 
@@ -66,23 +67,24 @@
   fixture.tick(0);
   std::size_t starts = 0;
   std::vector<MachineName> deleted;
-  for (double t = 0.1; t < 12; t += 0.5) {
-    for (auto* n : {"m1", "m2", "m3", "m4"}) fixture.heartbeat(n, t);
-    fixture.tick(t);
-    for (auto& batch : fixture.shard.take_command_batches(at(t))) {
-      for (auto& x : batch.commands) starts += x.op == protocol::Command::Op::kStart;
+  for (double time_s = 0.1; time_s < 12; time_s += 0.5) {
+    for (auto* name : {"m1", "m2", "m3", "m4"}) fixture.heartbeat(name, time_s);
+    fixture.tick(time_s);
+    for (auto& batch : fixture.shard.take_command_batches(at(time_s))) {
+      for (auto& command : batch.commands) starts += command.op == protocol::Command::Op::kStart;
       if (batch.machine == MachineName("m1")) {
         fixture.shard.on_command_result(batch, ShardManager::CommandResult::kNoAnswer, std::nullopt,
-                                        at(t + 0.2));
+                                        at(time_s + 0.2));
       } else {
-        auto& w = fixture.worker(batch.machine.value().c_str());
-        fixture.apply(w, batch);
-        fixture.shard.on_command_result(batch, ShardManager::CommandResult::kExecuted, w, at(t + 0.2));
+        auto& worker = fixture.worker(batch.machine.value().c_str());
+        fixture.apply(worker, batch);
+        fixture.shard.on_command_result(batch, ShardManager::CommandResult::kExecuted, worker,
+                                        at(time_s + 0.2));
       }
     }
-    for (auto& m : fixture.shard.take_machines_to_delete(at(t))) {
-      deleted.push_back(m);
-      fixture.shard.on_machine_terminated(m, at(t));
+    for (auto& name : fixture.shard.take_machines_to_delete(at(time_s))) {
+      deleted.push_back(name);
+      fixture.shard.on_machine_terminated(name, at(time_s));
     }
   }
   EXPECT_EQ(deleted, std::vector<MachineName>{MachineName("m1")});
@@ -96,7 +98,7 @@
   old.register_all(0);
   old.heartbeat("m1", 0);
   auto early = old.worker("m1");
-  for (int t = 1; t < 5; ++t) old.heartbeat("m1", t);
+  for (int time_s = 1; time_s < 5; ++time_s) old.heartbeat("m1", time_s);
   for (double late : {0.5, 3.0, 12.0, 60.0}) {
     // To the leader that has newer heartbeats, neither life nor absence.
     old.shard.on_worker_heartbeat(early, at(4 + late));
@@ -131,10 +133,10 @@
   fixture.execute_commands(0);
   auto early = fixture.worker("m1");
   fixture.heartbeat("m1", 1);
-  for (double t = 2; t < 13; t += 1) {
-    fixture.shard.on_worker_heartbeat(early, at(t));
-    fixture.shard.heartbeat_response(MachineName("m1"), at(t));
-    fixture.tick(t);
+  for (double time_s = 2; time_s < 13; time_s += 1) {
+    fixture.shard.on_worker_heartbeat(early, at(time_s));
+    fixture.shard.heartbeat_response(MachineName("m1"), at(time_s));
+    fixture.tick(time_s);
   }
   EXPECT_TRUE(fixture.shard.machines().at(MachineName("m1")).tasks.empty());
 }
@@ -145,28 +147,29 @@
   ShardFixture fixture;
   fixture.worker("m1");
   fixture.register_all(0);
-  auto& m = fixture.worker("m1");
-  EXPECT_TRUE(fixture.shard.should_redirect_here(m, at(0)));  // nothing to lose
+  auto& worker = fixture.worker("m1");
+  EXPECT_TRUE(fixture.shard.should_redirect_here(worker, at(0)));  // nothing to lose
   fixture.heartbeat("m1", 0);
   fixture.grant("run-1", 1, 5, 0);
   fixture.tick(0);
   fixture.execute_commands(0);
   // It was reachable a moment ago: redirected once.
-  EXPECT_TRUE(fixture.shard.should_redirect_here(m, at(1)));
-  EXPECT_FALSE(fixture.shard.should_redirect_here(m, at(3)));
+  EXPECT_TRUE(fixture.shard.should_redirect_here(worker, at(1)));
+  EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(3)));
   // Then as often as it has answered a probe, and no more than every 20 s.
-  for (double t = 5; t < 100; t += 1) {
-    EXPECT_FALSE(fixture.shard.should_redirect_here(m, at(t))) << t;
-    fixture.tick(t);
-    for (auto& x : fixture.shard.take_command_batches(at(t)))
-      fixture.shard.on_command_result(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(t + 0.5));
-    fixture.heartbeat("m1", t);
+  for (double time_s = 5; time_s < 100; time_s += 1) {
+    EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(time_s))) << time_s;
+    fixture.tick(time_s);
+    for (auto& batch : fixture.shard.take_command_batches(at(time_s)))
+      fixture.shard.on_command_result(batch, ShardManager::CommandResult::kNoAnswer, std::nullopt,
+                                      at(time_s + 0.5));
+    fixture.heartbeat("m1", time_s);
   }
-  EXPECT_FALSE(fixture.shard.should_redirect_here(m, at(100)));
+  EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(100)));
   fixture.tick(100.1);
   EXPECT_TRUE(fixture.execute_commands(100.2).empty());  // the probe, answered
-  EXPECT_TRUE(fixture.shard.should_redirect_here(m, at(101)));
-  EXPECT_FALSE(fixture.shard.should_redirect_here(m, at(102)));
+  EXPECT_TRUE(fixture.shard.should_redirect_here(worker, at(101)));
+  EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(102)));
 }
 
 // Found on the recorded days of both operators' deployments: in a controller's second partition from its
@@ -178,23 +181,24 @@
   fixture.grant("run-1", 1, 5, 0);
   fixture.tick(0);
   fixture.execute_commands(0);
-  auto& w = fixture.worker("m1");
-  auto commands = [&](double t, bool partitioned) {
-    fixture.tick(t);
-    if (!partitioned) return fixture.execute_commands(t);
-    for (auto& x : fixture.shard.take_command_batches(at(t)))
-      fixture.shard.on_command_result(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(t + 0.5));
+  auto& worker = fixture.worker("m1");
+  auto commands = [&](double time_s, bool partitioned) {
+    fixture.tick(time_s);
+    if (!partitioned) return fixture.execute_commands(time_s);
+    for (auto& batch : fixture.shard.take_command_batches(at(time_s)))
+      fixture.shard.on_command_result(batch, ShardManager::CommandResult::kNoAnswer, std::nullopt,
+                                      at(time_s + 0.5));
     return std::vector<protocol::Command>{};
   };
-  for (double t = 1; t < 120; t += 1) {
-    bool partitioned = (t > 10 && t < 40) || t > 70;
-    bool beyond_the_last_answer = (t > 14 && t < 40) || t > 74;
+  for (double time_s = 1; time_s < 120; time_s += 1) {
+    bool partitioned = (time_s > 10 && time_s < 40) || time_s > 70;
+    bool beyond_the_last_answer = (time_s > 14 && time_s < 40) || time_s > 74;
     if (beyond_the_last_answer) {
-      EXPECT_FALSE(fixture.shard.should_redirect_here(w, at(t))) << t;
+      EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(time_s))) << time_s;
     }
-    fixture.heartbeat("m1", t);
-    if (!partitioned) fixture.shard.on_direct_contact(w.machine);
-    commands(t, partitioned);
+    fixture.heartbeat("m1", time_s);
+    if (!partitioned) fixture.shard.on_direct_contact(worker.machine);
+    commands(time_s, partitioned);
   }
 }
 
@@ -206,18 +210,18 @@
   fixture.execute_commands(0);
   fixture.publish("run-1", 1, TerminalState::kCancelled);
   fixture.tick(1);
-  for (auto& x : fixture.shard.take_command_batches(at(1)))
-    fixture.shard.on_command_result(x, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(3));
-  auto a = fixture.shard.heartbeat_response(MachineName("m1"), at(3.5));
-  ASSERT_EQ(a.commands.size(), 2u);
-  for (auto& c : a.commands) EXPECT_EQ(c.op, protocol::Command::Op::kStop);
+  for (auto& batch : fixture.shard.take_command_batches(at(1)))
+    fixture.shard.on_command_result(batch, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(3));
+  auto response = fixture.shard.heartbeat_response(MachineName("m1"), at(3.5));
+  ASSERT_EQ(response.commands.size(), 2u);
+  for (auto& command : response.commands) EXPECT_EQ(command.op, protocol::Command::Op::kStop);
 }
 
 // Loss of contact, and what the shard leader concludes from it.
 TEST(ContactLoss, DeletesOneMachineButNotMany) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1", "m2", "m3", "m4"});
-  for (const char* n : {"m2", "m3", "m4"}) fixture.heartbeat(n, 5.5);
+  for (const char* name : {"m2", "m3", "m4"}) fixture.heartbeat(name, 5.5);
   EXPECT_EQ(fixture.shard.take_machines_to_delete(at(6)), std::vector{MachineName("m1")});
   // No contact with any: this controller is partitioned, rather than four machines failed.
   EXPECT_TRUE(fixture.shard.take_machines_to_delete(at(30)).empty());
@@ -237,25 +241,25 @@
       {"the zone was partitioned until 20 s", false, 20, 25},
       {"this controller paused until 20 s", true, 20, 25.5},
   };
-  for (const auto& c : cases) {
+  for (const auto& entry : cases) {
     ShardFixture fixture;
-    for (const char* n : {"m1", "m2", "m3", "m4", "m5", "m6"}) fixture.worker(n);
+    for (const char* name : {"m1", "m2", "m3", "m4", "m5", "m6"}) fixture.worker(name);
     fixture.register_all(0);
-    for (auto& [n, w] : fixture.workers) fixture.heartbeat(n.c_str(), 0.1);
+    for (auto& [name, worker] : fixture.workers) fixture.heartbeat(name.c_str(), 0.1);
     std::optional<double> first;
-    for (double t = 0.5; t < 40 && !first; t += 0.5) {
-      if (c.paused && t < c.again) continue;
-      if (c.paused && t == c.again) fixture.shard.on_process_pause(at(t));
-      if (t >= c.again)
-        for (const char* n : {"m1", "m2", "m3", "m4"}) {
-          fixture.worker(n).token =
-              fixture.shard.machines().at(MachineName(n)).token;  // it receives again, too
-          fixture.heartbeat(n, t);
+    for (double time_s = 0.5; time_s < 40 && !first; time_s += 0.5) {
+      if (entry.paused && time_s < entry.again) continue;
+      if (entry.paused && time_s == entry.again) fixture.shard.on_process_pause(at(time_s));
+      if (time_s >= entry.again)
+        for (const char* name : {"m1", "m2", "m3", "m4"}) {
+          fixture.worker(name).token =
+              fixture.shard.machines().at(MachineName(name)).token;  // it receives again, too
+          fixture.heartbeat(name, time_s);
         }
-      if (!fixture.shard.take_machines_to_delete(at(t)).empty()) first = t;
+      if (!fixture.shard.take_machines_to_delete(at(time_s)).empty()) first = time_s;
     }
-    ASSERT_TRUE(first) << c.what;
-    EXPECT_DOUBLE_EQ(*first, c.deleted) << c.what;
+    ASSERT_TRUE(first) << entry.what;
+    EXPECT_DOUBLE_EQ(*first, entry.deleted) << entry.what;
   }
 }
 
@@ -264,20 +268,21 @@
 TEST(ContactLoss, ALeaderWithRelayedHeartbeatsOnlyDeletesNone) {
   for (bool directly : {true, false}) {
     ShardFixture fixture;
-    for (const char* n : {"m1", "m2", "m3", "m4", "m5", "m6"}) fixture.worker(n);
+    for (const char* name : {"m1", "m2", "m3", "m4", "m5", "m6"}) fixture.worker(name);
     fixture.register_all(0);
     std::size_t deleted = 0;
-    for (double t = 0; t < 30; t += 1) {
-      for (const char* n : {"m1", "m2", "m3", "m4", "m5", "m6"}) {
-        if (t > 10 && (n == std::string("m5") || n == std::string("m6"))) continue;
-        auto& w = fixture.worker(n);
-        if (t == 0)
-          w.tasks.push_back({{JobId("run-1"), 0}, Attempt(1), TaskState::kRunning, EndCause::kDone, false});
-        if (!directly && t > 0) fixture.shard.should_redirect_here(w, at(t));
-        fixture.heartbeat(n, t);
-        if (directly) fixture.shard.on_direct_contact(w.machine);
+    for (double time_s = 0; time_s < 30; time_s += 1) {
+      for (const char* name : {"m1", "m2", "m3", "m4", "m5", "m6"}) {
+        if (time_s > 10 && (name == std::string("m5") || name == std::string("m6"))) continue;
+        auto& worker = fixture.worker(name);
+        if (time_s == 0)
+          worker.tasks.push_back(
+              {{JobId("run-1"), 0}, Attempt(1), TaskState::kRunning, EndCause::kDone, false});
+        if (!directly && time_s > 0) fixture.shard.should_redirect_here(worker, at(time_s));
+        fixture.heartbeat(name, time_s);
+        if (directly) fixture.shard.on_direct_contact(worker.machine);
       }
-      deleted += fixture.shard.take_machines_to_delete(at(t)).size();
+      deleted += fixture.shard.take_machines_to_delete(at(time_s)).size();
     }
     EXPECT_EQ(deleted, directly ? 2u : 0u) << directly;
   }
@@ -288,15 +293,15 @@
     double now, read;
     bool expired;
   };
-  for (const auto& c : {Case{9, 9, false}, Case{12, 5, false}, Case{12, 12, true}}) {
+  for (const auto& entry : {Case{9, 9, false}, Case{12, 5, false}, Case{12, 12, true}}) {
     ShardFixture fixture;
     fixture.add_ready_workers({"m1"});
     fixture.grant("run-1", 1, 5, 0);
     fixture.tick(0);
     fixture.execute_commands(0);
-    fixture.shard.tick(at(c.now), at(c.now), at(c.read));
-    EXPECT_EQ(fixture.shard.machines().at(MachineName("m1")).tasks.empty(), c.expired)
-        << c.now << ' ' << c.read;
+    fixture.shard.tick(at(entry.now), at(entry.now), at(entry.read));
+    EXPECT_EQ(fixture.shard.machines().at(MachineName("m1")).tasks.empty(), entry.expired)
+        << entry.now << ' ' << entry.read;
   }
 }
 
@@ -305,20 +310,21 @@
     double notice, ran;
     bool stopped;
   };
-  for (const auto& c : {Case{8, 1, true}, Case{8, 15, false}, Case{30, 0, false}}) {
+  for (const auto& entry : {Case{8, 1, true}, Case{8, 15, false}, Case{30, 0, false}}) {
     ShardFixture fixture;
     fixture.add_ready_workers({"m1"});
     fixture.grant("run-1", 1, 5, 0);
     fixture.tick(0);
     fixture.execute_commands(0);
     fixture.heartbeat("m1", 0.1);
-    for (double t = 1; t < c.ran; ++t) fixture.heartbeat("m1", t);
-    fixture.worker("m1").notice_s = c.notice;
-    fixture.heartbeat("m1", 0.1 + c.ran);
-    fixture.tick(0.1 + c.ran);
+    for (double time_s = 1; time_s < entry.ran; ++time_s) fixture.heartbeat("m1", time_s);
+    fixture.worker("m1").notice_s = entry.notice;
+    fixture.heartbeat("m1", 0.1 + entry.ran);
+    fixture.tick(0.1 + entry.ran);
     bool stopped = false;
-    for (auto& x : fixture.execute_commands(0.1 + c.ran)) stopped |= x.op == protocol::Command::Op::kStop;
-    EXPECT_EQ(stopped, c.stopped) << c.notice << ' ' << c.ran;
+    for (auto& command : fixture.execute_commands(0.1 + entry.ran))
+      stopped |= command.op == protocol::Command::Op::kStop;
+    EXPECT_EQ(stopped, entry.stopped) << entry.notice << ' ' << entry.ran;
   }
 }
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -16,12 +16,12 @@
   };
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
-  for (const auto& c : cases) {
-    protocol::ResourceRequest s;
-    s.each = c.each;
-    auto zones = estimate(fixture.shard.machines(), s, {c.cap, 0}, at(0));
-    std::uint32_t n = zones.empty() ? 0 : zones[0].free;
-    EXPECT_EQ(n, c.expected) << c.each.cpus << ' ' << c.each.memory_gb << ' ' << c.cap;
+  for (const auto& entry : cases) {
+    protocol::ResourceRequest request;
+    request.each = entry.each;
+    auto zones = estimate(fixture.shard.machines(), request, {entry.cap, 0}, at(0));
+    std::uint32_t free = zones.empty() ? 0 : zones[0].free;
+    EXPECT_EQ(free, entry.expected) << entry.each.cpus << ' ' << entry.each.memory_gb << ' ' << entry.cap;
   }
 }
 
@@ -44,39 +44,40 @@
       {"beside another fetch at last", "new", 14, false, {{"a", 3}, {"d", 3}, {"b", 4}, {"c", 2}}},
       {"never beside two", "new", 14, true, {{"a", 3}, {"d", 3}, {"b", 4}}},
   };
-  for (const auto& c : cases) {
+  for (const auto& entry : cases) {
     ShardFixture fixture;
-    for (const char* m : {"a", "b", "c", "d"}) fixture.worker(m);
-    auto has = [&](const char* m, const char* job, const char* image, std::uint32_t n, TaskState state) {
-      auto s = *spec(job, n);
-      s.image = ImageName(image);
-      fixture.jobs[job].record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
-      for (std::uint32_t i = 0; i < n; ++i)
-        fixture.worker(m).tasks.push_back({{JobId(job), i}, Attempt(1), state, EndCause::kDone, false});
-      fixture.grant(job, n, 5, 0);
+    for (const char* name : {"a", "b", "c", "d"}) fixture.worker(name);
+    auto has = [&](const char* name, const char* job, const char* image, std::uint32_t tasks,
+                   TaskState state) {
+      auto job_spec = *spec(job, tasks);
+      job_spec.image = ImageName(image);
+      fixture.jobs[job].record = {std::make_shared<const protocol::JobSpec>(job_spec), WallMs(0)};
+      for (std::uint32_t i = 0; i < tasks; ++i)
+        fixture.worker(name).tasks.push_back({{JobId(job), i}, Attempt(1), state, EndCause::kDone, false});
+      fixture.grant(job, tasks, 5, 0);
     };
     fixture.register_all(0);
     has("a", "run-1", "img", 1, TaskState::kRunning);
     has("c", "run-2", "coming", 2, TaskState::kFetching);
     has("d", "run-3", "img", 1, TaskState::kRunning);
-    if (c.busy) has("c", "run-4", "other", 1, TaskState::kFetching);
-    for (auto& [name, w] : fixture.workers) fixture.heartbeat(name.c_str(), 0.1);
-    auto s = *spec("run-9", c.tasks);
-    s.image = ImageName(c.image);
-    protocol::ResourceRequest resource_request = request_of(s, c.tasks);
+    if (entry.busy) has("c", "run-4", "other", 1, TaskState::kFetching);
+    for (auto& [name, worker] : fixture.workers) fixture.heartbeat(name.c_str(), 0.1);
+    auto job_spec = *spec("run-9", entry.tasks);
+    job_spec.image = ImageName(entry.image);
+    protocol::ResourceRequest resource_request = request_of(job_spec, entry.tasks);
     std::uint32_t free = 0, expected = 0;
-    for (const auto& z : fixture.shard.estimate(resource_request, at(0.2))) free += z.free;
-    fixture.jobs["run-9"].record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
-    fixture.grant("run-9", c.tasks, 5, 0.2);
+    for (const auto& zone : fixture.shard.estimate(resource_request, at(0.2))) free += zone.free;
+    fixture.jobs["run-9"].record = {std::make_shared<const protocol::JobSpec>(job_spec), WallMs(0)};
+    fixture.grant("run-9", entry.tasks, 5, 0.2);
     fixture.tick(0.2);
     std::map<std::string, std::size_t> got;
     for (auto& batch : fixture.shard.take_command_batches(at(0.2)))
       for (auto& command : batch.commands)
         if (command.task.job == JobId("run-9")) ++got[batch.machine.value()];
-    EXPECT_EQ(got, c.got) << c.what;
+    EXPECT_EQ(got, entry.got) << entry.what;
     // The shard offers no capacity that it then doesn't use.
-    for (const auto& [m, n] : got) expected += static_cast<std::uint32_t>(n);
-    EXPECT_EQ(std::min(free, c.tasks), expected) << c.what;
+    for (const auto& [name, tasks] : got) expected += static_cast<std::uint32_t>(tasks);
+    EXPECT_EQ(std::min(free, entry.tasks), expected) << entry.what;
   }
 }
 
@@ -99,12 +100,13 @@
       {"spot taken", std::nullopt, std::nullopt, true, true, true},
       {"ordinary for a spot job", std::nullopt, std::nullopt, false, true, true},
   };
-  for (const auto& c : cases) {
-    protocol::ResourceRequest s;
-    s.types = c.types;
-    s.zone = c.zone;
-    s.spot = c.spot_job;
-    EXPECT_EQ(is_allowed(s, MachineType("t4"), Zone("a"), c.spot_machine), c.allowed) << c.what;
+  for (const auto& entry : cases) {
+    protocol::ResourceRequest request;
+    request.types = entry.types;
+    request.zone = entry.zone;
+    request.spot = entry.spot_job;
+    EXPECT_EQ(is_allowed(request, MachineType("t4"), Zone("a"), entry.spot_machine), entry.allowed)
+        << entry.what;
   }
 }
 
@@ -126,28 +128,28 @@
 }
 
 TEST(Partitioning, SameAtEveryControllerAndEveryZoneHasAShard) {
-  config::Settings s;
   auto make = [&](const char* self, const char* zone,
                   std::vector<std::pair<const char*, const char*>> others) {
-    config::Settings x;
-    x.controller = ControllerName(self);
-    x.zone = Zone(zone);
-    for (auto& [n, z] : others) x.peers.push_back({ControllerName(n), Zone(z), ""});
-    x.zones = {Zone("a"), Zone("b"), Zone("c"), Zone("d")};
-    return Partitioning(x);
+    config::Settings settings;
+    settings.controller = ControllerName(self);
+    settings.zone = Zone(zone);
+    for (auto& [peer, peer_zone] : others)
+      settings.peers.push_back({ControllerName(peer), Zone(peer_zone), ""});
+    settings.zones = {Zone("a"), Zone("b"), Zone("c"), Zone("d")};
+    return Partitioning(settings);
   };
-  Partitioning p0 = make("n0", "a", {{"n1", "b"}, {"n2", "a"}});
-  Partitioning p2 = make("n2", "a", {{"n0", "a"}, {"n1", "b"}});
+  Partitioning first = make("n0", "a", {{"n1", "b"}, {"n2", "a"}});
+  Partitioning third = make("n2", "a", {{"n0", "a"}, {"n1", "b"}});
   std::map<std::uint32_t, int> used;
-  for (const char* z : {"a", "b", "c", "d", "unheard-of"})
+  for (const char* zone : {"a", "b", "c", "d", "unheard-of"})
     for (int i = 0; i < 50; ++i) {
-      MachineName m("host-" + std::to_string(i));
-      EXPECT_EQ(p0.shard_of(Zone(z), m), p2.shard_of(Zone(z), m));
-      ++used[p0.shard_of(Zone(z), m).value()];
+      MachineName machine("host-" + std::to_string(i));
+      EXPECT_EQ(first.shard_of(Zone(zone), machine), third.shard_of(Zone(zone), machine));
+      ++used[first.shard_of(Zone(zone), machine).value()];
     }
   EXPECT_EQ(used.size(), 3u);
-  EXPECT_EQ(p0.preferred_controller(p0.preferred_shard(ControllerName("n1"))), ControllerName("n1"));
-  EXPECT_EQ(p0.shard_of(Zone("b"), MachineName("x")), p0.preferred_shard(ControllerName("n1")));
+  EXPECT_EQ(first.preferred_controller(first.preferred_shard(ControllerName("n1"))), ControllerName("n1"));
+  EXPECT_EQ(first.shard_of(Zone("b"), MachineName("x")), first.preferred_shard(ControllerName("n1")));
 }
 
 TEST(Preemption, StopsWhatLosesLeastAndOnlyLowerPriority) {
@@ -156,7 +158,7 @@
   fixture.grant("run-1", 3, 5, 0);
   fixture.tick(0);
   fixture.execute_commands(0);
-  for (int t = 1; t <= 9; ++t) fixture.heartbeat("m1", t);
+  for (int time_s = 1; time_s <= 9; ++time_s) fixture.heartbeat("m1", time_s);
   fixture.grant("run-2", 1, 5, 9);  // the youngest loses least
   fixture.tick(9);
   fixture.execute_commands(9);
@@ -169,13 +171,13 @@
   EXPECT_EQ(commands[0].task.job, JobId("run-2"));
   fixture.tick(10.1);
   bool started = false;
-  for (auto& c : fixture.execute_commands(10.1))
-    started |= c.op == protocol::Command::Op::kStart && c.task.job == JobId("run-3");
+  for (auto& command : fixture.execute_commands(10.1))
+    started |= command.op == protocol::Command::Op::kStart && command.task.job == JobId("run-3");
   EXPECT_TRUE(started);
   // Work of the same priority is left alone.
   fixture.grant("run-4", 1, 5, 11, Priority::kNormal, true);
   fixture.tick(11);
-  for (auto& c : fixture.execute_commands(11)) EXPECT_NE(c.op, protocol::Command::Op::kStop);
+  for (auto& command : fixture.execute_commands(11)) EXPECT_NE(command.op, protocol::Command::Op::kStop);
 }
 
 // Found on days when services with the right to preempt waited for a second or two, some of them several
@@ -192,12 +194,12 @@
   fixture.grant("run-3", 1, 5, 1, Priority::kHigh, true);
   fixture.tick(1);
   std::size_t stops = 0;
-  for (auto& c : fixture.execute_commands(1)) stops += c.op == protocol::Command::Op::kStop;
+  for (auto& command : fixture.execute_commands(1)) stops += command.op == protocol::Command::Op::kStop;
   EXPECT_EQ(stops, 2u);
   fixture.tick(1.1);
   std::set<JobId> started;
-  for (auto& c : fixture.execute_commands(1.1))
-    if (c.op == protocol::Command::Op::kStart) started.insert(c.task.job);
+  for (auto& command : fixture.execute_commands(1.1))
+    if (command.op == protocol::Command::Op::kStart) started.insert(command.task.job);
   EXPECT_EQ(started, (std::set{JobId("run-2"), JobId("run-3")}));
 }
 
@@ -222,16 +224,16 @@
   EXPECT_EQ(fixture.execute_commands(0).size(), 6u);
   // All wait for an image still; one machine is deleted.
   auto& rest = fixture.worker("m2");
-  for (auto& t : rest.tasks) t.state = TaskState::kWaiting;
+  for (auto& task : rest.tasks) task.state = TaskState::kWaiting;
   fixture.heartbeat("m2", 1);
   fixture.shard.on_machine_terminated(MachineName("m1"), at(1.5));
   fixture.tick(1.6);
   auto commands = fixture.execute_commands(1.6);
   EXPECT_EQ(commands.size(), rest.tasks.size());
-  for (auto& c : commands) EXPECT_EQ(c.op, protocol::Command::Op::kStop);
+  for (auto& command : commands) EXPECT_EQ(command.op, protocol::Command::Op::kStop);
   // It isn't started again under this attempt, but released as a whole.
   fixture.tick(3);
-  for (auto& c : fixture.execute_commands(3)) EXPECT_NE(c.op, protocol::Command::Op::kStart);
+  for (auto& command : fixture.execute_commands(3)) EXPECT_NE(command.op, protocol::Command::Op::kStart);
   fixture.record(3);
   EXPECT_TRUE(fixture.jobs["run-1"].outstanding().empty());
 }
@@ -246,9 +248,9 @@
   fixture.tick(1);
   auto commands = fixture.execute_commands(1);
   ASSERT_EQ(commands.size(), 3u);
-  for (auto& c : commands) {
-    EXPECT_EQ(c.op, protocol::Command::Op::kStop);
-    EXPECT_EQ(c.grace_s, 2);
+  for (auto& command : commands) {
+    EXPECT_EQ(command.op, protocol::Command::Op::kStop);
+    EXPECT_EQ(command.grace_s, 2);
   }
   fixture.tick(1.1);
   fixture.record(1.1);
@@ -273,7 +275,8 @@
     fixture.publish("run-2", 1);
     fixture.tick(1);
     std::size_t stopped = 0;
-    for (const auto& c : fixture.execute_commands(1)) stopped += c.op == protocol::Command::Op::kStop;
+    for (const auto& command : fixture.execute_commands(1))
+      stopped += command.op == protocol::Command::Op::kStop;
     EXPECT_EQ(stopped, inherited ? 1u : 0u);
   }
 }
--- a/tests/shard_failover_test.cpp
+++ b/tests/shard_failover_test.cpp
@@ -8,37 +8,37 @@
 // its successor, which probes them instead.
 TEST(Failover, RegisteredMachinesAreProbed) {
   ShardFixture fixture;
-  auto& w = fixture.worker("m1");
-  w.incarnation = Incarnation(3);
-  fixture.shard.on_registry({{w.machine, w.type, w.zone, w.spot, "127.0.0.1:7"}}, at(0));
+  auto& worker = fixture.worker("m1");
+  worker.incarnation = Incarnation(3);
+  fixture.shard.on_registry({{worker.machine, worker.type, worker.zone, worker.spot, "127.0.0.1:7"}}, at(0));
   auto probes = fixture.shard.take_command_batches(at(0));
   ASSERT_EQ(probes.size(), 1u);
   EXPECT_EQ(probes[0].address, "127.0.0.1:7");
   EXPECT_TRUE(fixture.shard.take_command_batches(at(0.1)).empty());
   // The incarnation was guessed wrong; the answer shows it, and the second probe gets through.
-  w.sequence = Sequence(1);
-  fixture.shard.on_command_result(probes[0], ShardManager::CommandResult::kRejected, w, at(0.2));
+  worker.sequence = Sequence(1);
+  fixture.shard.on_command_result(probes[0], ShardManager::CommandResult::kRejected, worker, at(0.2));
   EXPECT_FALSE(fixture.shard.is_reconciled());
   probes = fixture.shard.take_command_batches(at(0.2));
   ASSERT_EQ(probes.size(), 1u);
   EXPECT_EQ(probes[0].incarnation, Incarnation(3));
-  fixture.apply(w, probes[0]);
-  fixture.shard.on_command_result(probes[0], ShardManager::CommandResult::kExecuted, w, at(0.3));
+  fixture.apply(worker, probes[0]);
+  fixture.shard.on_command_result(probes[0], ShardManager::CommandResult::kExecuted, worker, at(0.3));
   EXPECT_TRUE(fixture.shard.is_reconciled());
 }
 
 // A failover must not wait without end for a zone without contact, nor delete it at once.
 TEST(Failover, APartitionedZoneIsWaitedForButNotForever) {
   ShardFixture fixture;
-  for (auto* n : {"m1", "m2", "m3", "m4", "m5", "m6", "m7"})
-    fixture.worker(n).zone = Zone(n[1] > '4' ? "b" : "a");
+  for (auto* name : {"m1", "m2", "m3", "m4", "m5", "m6", "m7"})
+    fixture.worker(name).zone = Zone(name[1] > '4' ? "b" : "a");
   fixture.register_all(0);
   std::map<double, std::size_t> deleted;
-  for (double t = 0; t < 60; t += 0.5) {
-    for (auto* n : {"m1", "m2", "m3", "m4"}) fixture.heartbeat(n, t);
-    for (auto& m : fixture.shard.take_machines_to_delete(at(t))) {
-      ++deleted[t];
-      fixture.shard.on_machine_terminated(m, at(t));
+  for (double time_s = 0; time_s < 60; time_s += 0.5) {
+    for (auto* name : {"m1", "m2", "m3", "m4"}) fixture.heartbeat(name, time_s);
+    for (auto& name : fixture.shard.take_machines_to_delete(at(time_s))) {
+      ++deleted[time_s];
+      fixture.shard.on_machine_terminated(name, at(time_s));
     }
   }
   ASSERT_EQ(deleted.size(), 1u);
@@ -55,7 +55,7 @@
   ShardFixture fixture;
   std::vector<std::string> names;
   for (int i = 0; i < 250; ++i) names.push_back("host-" + std::to_string(1000 + i));
-  for (auto& n : names) fixture.worker(n.c_str());
+  for (auto& name : names) fixture.worker(name.c_str());
   fixture.register_all(0);
   fixture.grant("run-1", 1, 4, 0);
   auto first = fixture.shard.take_machines_to_delete(at(60));
@@ -71,12 +71,12 @@
   std::size_t stops = 0;
   for (auto& batch : fixture.shard.take_command_batches(at(60.5)))
     if (batch.machine == MachineName(last))
-      for (auto& c : batch.commands) stops += c.op == protocol::Command::Op::kStop;
+      for (auto& command : batch.commands) stops += command.op == protocol::Command::Op::kStop;
   EXPECT_EQ(stops, 1u);
   // Those without contact are deleted with the next requests, once this one is answered.
   for (const auto& name : first) fixture.shard.on_machine_terminated(name, at(60.6));
-  for (auto& n : names)
-    if (std::count(first.begin(), first.end(), MachineName(n)) == 0) fixture.heartbeat(n.c_str(), 60.5);
+  for (auto& name : names)
+    if (std::count(first.begin(), first.end(), MachineName(name)) == 0) fixture.heartbeat(name.c_str(), 60.5);
   EXPECT_TRUE(fixture.shard.take_machines_to_delete(at(61)).empty());
 }
 
@@ -112,19 +112,19 @@
   fixture.worker("m2");
   fixture.register_all(0);
   fixture.grant("run-1", 1, 5, 0);
-  auto& w = fixture.worker("m1");
-  w.tasks.push_back({{JobId("run-1"), 0}, Attempt(3), TaskState::kRunning, EndCause::kDone, false});
+  auto& worker = fixture.worker("m1");
+  worker.tasks.push_back({{JobId("run-1"), 0}, Attempt(3), TaskState::kRunning, EndCause::kDone, false});
   fixture.heartbeat("m1", 0.5);
   // The old leader may have proved m1 terminated and started it on m2 before m2 was fenced.
-  w.tasks[0].state = TaskState::kEnded;
-  w.tasks[0].cause = EndCause::kStopped;
+  worker.tasks[0].state = TaskState::kEnded;
+  worker.tasks[0].cause = EndCause::kStopped;
   fixture.heartbeat("m1", 1.0);
   fixture.tick(1.1);
-  for (auto& c : fixture.execute_commands(1.1)) EXPECT_NE(c.op, protocol::Command::Op::kStart);
+  for (auto& command : fixture.execute_commands(1.1)) EXPECT_NE(command.op, protocol::Command::Op::kStart);
   fixture.shard.on_machine_terminated(MachineName("m2"), at(1.5));
   fixture.tick(1.6);
   std::size_t starts = 0;
-  for (auto& c : fixture.execute_commands(1.6)) starts += c.op == protocol::Command::Op::kStart;
+  for (auto& command : fixture.execute_commands(1.6)) starts += command.op == protocol::Command::Op::kStart;
   EXPECT_EQ(starts, 1u);
 }
 
--- a/tests/shard_fixture.h
+++ b/tests/shard_fixture.h
@@ -29,17 +29,17 @@
 }
 
 inline std::shared_ptr<const protocol::JobSpec> spec(const char* id, std::uint32_t tasks,
-                                                     Priority p = Priority::kNormal) {
-  protocol::JobSpec s;
-  s.id = JobId(id);
-  s.team = Team("blue");
-  s.tasks = tasks;
-  s.each = {1, 0, 1};
-  s.image = ImageName("img");
-  s.image_gb = 1;
-  s.priority = p;
-  s.estimate_s = 20;
-  return std::make_shared<const protocol::JobSpec>(s);
+                                                     Priority priority = Priority::kNormal) {
+  protocol::JobSpec out;
+  out.id = JobId(id);
+  out.team = Team("blue");
+  out.tasks = tasks;
+  out.each = {1, 0, 1};
+  out.image = ImageName("img");
+  out.image_gb = 1;
+  out.priority = priority;
+  out.estimate_s = 20;
+  return std::make_shared<const protocol::JobSpec>(out);
 }
 
 // A shard with workers whose heartbeats the test composes, and a fake of the jobs' records.
@@ -49,9 +49,9 @@
   }
 
   protocol::WorkerHeartbeat& worker(const char* name) {
-    auto& w = workers[name];
-    if (w.machine.value().empty()) w = fixture::new_worker(name, Zone("a"));
-    return w;
+    auto& found = workers[name];
+    if (found.machine.value().empty()) found = fixture::new_worker(name, Zone("a"));
+    return found;
   }
   // Adds the workers, registers all and has these send a heartbeat, all at 0 s.
   void add_ready_workers(std::initializer_list<const char*> names) {
@@ -60,86 +60,97 @@
     for (const auto* name : names) heartbeat(name, 0);
   }
   // The worker sends a heartbeat; it has seen the shard's token unless `obeys` is false.
-  bool heartbeat(const char* name, double t, bool obeys = true) {
-    auto& w = worker(name);
-    if (obeys) w.token = std::max(w.token, FencingToken::first_of(shard.term()));
-    w.sequence = Sequence(w.sequence.value() + 1);
-    bool applied = shard.on_worker_heartbeat(w, at(t)) == HeartbeatResult::kApplied;
-    if (applied) shard.heartbeat_response(w.machine, at(t));
+  bool heartbeat(const char* name, double time_s, bool obeys = true) {
+    auto& sender = worker(name);
+    if (obeys) sender.token = std::max(sender.token, FencingToken::first_of(shard.term()));
+    sender.sequence = Sequence(sender.sequence.value() + 1);
+    bool applied = shard.on_worker_heartbeat(sender, at(time_s)) == HeartbeatResult::kApplied;
+    if (applied) shard.heartbeat_response(sender.machine, at(time_s));
     return applied;
   }
-  void register_all(double t) {
-    std::vector<state_store::MachineRecord> all;
-    for (auto& [n, w] : workers) all.push_back({w.machine, w.type, w.zone, w.spot});
-    shard.on_registry(all, at(t));
+  void register_all(double time_s) {
+    std::vector<state_store::MachineRecord> records;
+    for (auto& [name, sender] : workers)
+      records.push_back({sender.machine, sender.type, sender.zone, sender.spot});
+    shard.on_registry(records, at(time_s));
   }
-  void grant(const char* id, std::uint32_t tasks, std::uint64_t term, double t,
-             Priority p = Priority::kNormal, bool preempt = false) {
-    auto& j = jobs[id];
-    if (!j.record.spec) {
-      j.record = {spec(id, tasks, p), WallMs(0)};
-      j.created = Revision(1);
+  void grant(const char* id, std::uint32_t tasks, std::uint64_t term, double time_s,
+             Priority priority = Priority::kNormal, bool preempt = false) {
+    auto& job = jobs[id];
+    if (!job.record.spec) {
+      job.record = {spec(id, tasks, priority), WallMs(0)};
+      job.created = Revision(1);
     }
-    j.grants.value.last = Generation(j.grants.value.last.value() + 1);
-    j.grants.value.chunks = {
-        {j.grants.value.last, ShardId(0), Term(term), Ranges::span(0, tasks), std::nullopt, preempt, {}}};
-    j.grants.revision = Revision(++revision);
-    publish(id, t);
+    job.grants.value.last = Generation(job.grants.value.last.value() + 1);
+    job.grants.value.chunks = {
+        {job.grants.value.last, ShardId(0), Term(term), Ranges::span(0, tasks), std::nullopt, preempt, {}}};
+    job.grants.revision = Revision(++revision);
+    publish(id, time_s);
   }
-  void grant_gang(const char* id, std::uint32_t tasks, double t, bool revoke = false) {
-    auto s = *spec(id, tasks);
-    s.kind = JobKind::kGang;
-    s.checkpoint_s = 5;
-    s.save_s = 2;
-    auto& j = jobs[id];
-    j.record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
-    j.created = Revision(1);
+  void grant_gang(const char* id, std::uint32_t tasks, double time_s, bool revoke = false) {
+    auto gang_spec = *spec(id, tasks);
+    gang_spec.kind = JobKind::kGang;
+    gang_spec.checkpoint_s = 5;
+    gang_spec.save_s = 2;
+    auto& job = jobs[id];
+    job.record = {std::make_shared<const protocol::JobSpec>(gang_spec), WallMs(0)};
+    job.created = Revision(1);
     if (!revoke) {
-      auto n = j.grants.value.last.value() + 1;
-      j.grants.value = {{{Generation(n), ShardId(0), Term(5), Ranges::span(0, tasks), {}, false, Attempt(n)}},
-                        Generation(n)};
+      auto generation = job.grants.value.last.value() + 1;
+      job.grants.value = {{{Generation(generation),
+                            ShardId(0),
+                            Term(5),
+                            Ranges::span(0, tasks),
+                            {},
+                            false,
+                            Attempt(generation)}},
+                          Generation(generation)};
     }
-    j.grants.value.revoke = revoke;
-    j.grants.revision = Revision(++revision);
-    publish(id, t);
+    job.grants.value.revoke = revoke;
+    job.grants.revision = Revision(++revision);
+    publish(id, time_s);
   }
-  void publish(const char* id, double t, std::optional<TerminalState> end = std::nullopt) {
-    shard.on_job(JobId(id), &jobs[id], end, at(t));
+  void publish(const char* id, double time_s, std::optional<TerminalState> end = std::nullopt) {
+    shard.on_job(JobId(id), &jobs[id], end, at(time_s));
   }
   // What the state store does with unwritten progress.
-  void record(double t) {
-    for (auto& [id, p] : shard.unwritten_progress()) {
-      jobs[id.value()].progress[ShardId(0)] = {p, Revision(++revision)};
-      shard.on_job(id, &jobs[id.value()], std::nullopt, at(t));
+  void record(double time_s) {
+    for (auto& [id, progress] : shard.unwritten_progress()) {
+      jobs[id.value()].progress[ShardId(0)] = {progress, Revision(++revision)};
+      shard.on_job(id, &jobs[id.value()], std::nullopt, at(time_s));
     }
   }
   // Executes the batches that can be sent at their workers, and passes the answers on.
-  std::vector<protocol::Command> execute_commands(double t) {
+  std::vector<protocol::Command> execute_commands(double time_s) {
     std::vector<protocol::Command> all;
-    for (auto& b : shard.take_command_batches(at(t))) {
-      auto& w = worker(b.machine.value().c_str());
-      apply(w, b);
-      shard.on_command_result(b, ShardManager::CommandResult::kExecuted, w, at(t));
-      all.insert(all.end(), b.commands.begin(), b.commands.end());
+    for (auto& batch : shard.take_command_batches(at(time_s))) {
+      auto& receiver = worker(batch.machine.value().c_str());
+      apply(receiver, batch);
+      shard.on_command_result(batch, ShardManager::CommandResult::kExecuted, receiver, at(time_s));
+      all.insert(all.end(), batch.commands.begin(), batch.commands.end());
     }
     return all;
   }
-  void apply(protocol::WorkerHeartbeat& w, const ShardManager::Batch& b) {
-    w.token = std::max(w.token, b.token);
-    w.sequence = Sequence(w.sequence.value() + 1);
-    for (auto& c : b.commands) {
-      auto it = std::find_if(w.tasks.begin(), w.tasks.end(),
-                             [&](auto& x) { return x.task == c.task && x.attempt == c.attempt; });
-      if (c.op == protocol::Command::Op::kStart && it == w.tasks.end())
-        w.tasks.push_back({c.task, c.attempt, TaskState::kRunning, EndCause::kDone, false});
-      if (c.op == protocol::Command::Op::kStop && it != w.tasks.end()) {
-        it->state = TaskState::kEnded;
-        it->cause = EndCause::kStopped;
+  // The worker executes the batch; what it would send next is changed accordingly.
+  void apply(protocol::WorkerHeartbeat& receiver, const ShardManager::Batch& batch) {
+    receiver.token = std::max(receiver.token, batch.token);
+    receiver.sequence = Sequence(receiver.sequence.value() + 1);
+    for (auto& command : batch.commands) {
+      auto task = std::find_if(receiver.tasks.begin(), receiver.tasks.end(), [&](auto& listed) {
+        return listed.task == command.task && listed.attempt == command.attempt;
+      });
+      if (command.op == protocol::Command::Op::kStart && task == receiver.tasks.end())
+        receiver.tasks.push_back(
+            {command.task, command.attempt, TaskState::kRunning, EndCause::kDone, false});
+      if (command.op == protocol::Command::Op::kStop && task != receiver.tasks.end()) {
+        task->state = TaskState::kEnded;
+        task->cause = EndCause::kStopped;
       }
-      if (c.op == protocol::Command::Op::kForget && it != w.tasks.end()) w.tasks.erase(it);
+      if (command.op == protocol::Command::Op::kForget && task != receiver.tasks.end())
+        receiver.tasks.erase(task);
     }
   }
-  void tick(double t) { shard.tick(at(t), at(t), at(t)); }
+  void tick(double time_s) { shard.tick(at(time_s), at(time_s), at(time_s)); }
 
   ShardManager shard;
   std::map<std::string, protocol::WorkerHeartbeat> workers;
--- a/tests/shard_manager_test.cpp
+++ b/tests/shard_manager_test.cpp
@@ -1,4 +1,4 @@
-// The life of granted tasks: starts and how they are resolved, progress, failures, cost of an event.
+// The life of granted tasks: starts and how they are resolved, progress, cost of an event.
 #include "shard_fixture.h"
 
 namespace beaconsill::shard {
@@ -10,8 +10,8 @@
   fixture.grant("run-1", 2, 5, 0);
   fixture.tick(0);
   EXPECT_EQ(fixture.execute_commands(0).size(), 2u);
-  auto& w = fixture.worker("m1");
-  w.tasks[0].state = TaskState::kEnded;
+  auto& worker = fixture.worker("m1");
+  worker.tasks[0].state = TaskState::kEnded;
   fixture.heartbeat("m1", 1);
   // Not cleared before it's recorded: the heartbeat is the only other place that has it.
   fixture.tick(1);
@@ -41,13 +41,13 @@
   for (int i = 0; i < kMachines; ++i) names.push_back("host-" + std::to_string(1000 + i));
   for (int i = 0; i < kMachines; ++i) {
     auto job = "run-" + std::to_string(i);
-    for (std::uint32_t n = 0; n < kTasks; ++n)
+    for (std::uint32_t task = 0; task < kTasks; ++task)
       fixture.worker(names[i].c_str())
-          .tasks.push_back({{JobId(job), n}, Attempt(1), TaskState::kRunning, EndCause::kDone, false});
+          .tasks.push_back({{JobId(job), task}, Attempt(1), TaskState::kRunning, EndCause::kDone, false});
     fixture.grant(job.c_str(), kTasks, 5, 0);
   }
   fixture.register_all(0);
-  for (auto& n : names) fixture.heartbeat(n.c_str(), 0);
+  for (auto& name : names) fixture.heartbeat(name.c_str(), 0);
   fixture.tick(0);
   fixture.execute_commands(0);
   auto cost = [&, last = fixture.shard.visited_count()]() mutable {
@@ -98,9 +98,9 @@
        },
        6 * all},
   };
-  for (const auto& c : cases) {
-    c.event();
-    EXPECT_LE(cost(), c.bound) << c.what;
+  for (const auto& entry : cases) {
+    entry.event();
+    EXPECT_LE(cost(), entry.bound) << entry.what;
   }
 }
 
@@ -148,22 +148,23 @@
       {"listed at the fencing token", true, true, false, false},
       {"new incarnation", false, false, true, true},
   };
-  for (const auto& c : cases) {
+  for (const auto& entry : cases) {
     ShardFixture fixture;
     fixture.add_ready_workers({"m1"});
     fixture.grant("run-1", 1, 5, 0);
     fixture.tick(0);
     auto batches = fixture.shard.take_command_batches(at(0));
     ASSERT_EQ(batches.size(), 1u);
-    auto& w = fixture.worker("m1");
-    if (c.executed) fixture.apply(w, batches[0]);
+    auto& worker = fixture.worker("m1");
+    if (entry.executed) fixture.apply(worker, batches[0]);
     fixture.shard.on_command_result(batches[0], ShardManager::CommandResult::kNoAnswer, std::nullopt, at(2));
     // Only probes are sent until it is resolved.
-    for (auto& p : fixture.shard.take_command_batches(at(2))) EXPECT_TRUE(p.commands.empty()) << c.what;
-    if (c.sees_fencing_token) w.token = fixture.shard.machines().at(MachineName("m1")).token;
-    if (c.new_incarnation) {
-      w.incarnation = Incarnation(2);
-      w.sequence = Sequence(0);
+    for (auto& batch : fixture.shard.take_command_batches(at(2)))
+      EXPECT_TRUE(batch.commands.empty()) << entry.what;
+    if (entry.sees_fencing_token) worker.token = fixture.shard.machines().at(MachineName("m1")).token;
+    if (entry.new_incarnation) {
+      worker.incarnation = Incarnation(2);
+      worker.sequence = Sequence(0);
     }
     fixture.heartbeat("m1", 2.5);
     fixture.worker("m2");
@@ -171,9 +172,9 @@
     fixture.heartbeat("m2", 2.6);
     fixture.tick(2.7);
     std::size_t starts = 0;
-    for (auto& p : fixture.shard.take_command_batches(at(2.7)))
-      for (auto& x : p.commands) starts += x.op == protocol::Command::Op::kStart;
-    EXPECT_EQ(starts > 0, c.may_run_elsewhere) << c.what;
+    for (auto& batch : fixture.shard.take_command_batches(at(2.7)))
+      for (auto& command : batch.commands) starts += command.op == protocol::Command::Op::kStart;
+    EXPECT_EQ(starts > 0, entry.may_run_elsewhere) << entry.what;
   }
 }
 
@@ -201,10 +202,10 @@
   fixture.grant("run-1", 1, 5, 0);
   fixture.tick(0);
   auto batches = fixture.shard.take_command_batches(at(0));
-  auto& w = fixture.worker("m1");
-  w.incarnation = Incarnation(2);
-  w.sequence = Sequence(1);
-  fixture.shard.on_command_result(batches.at(0), ShardManager::CommandResult::kRejected, w, at(0.1));
+  auto& worker = fixture.worker("m1");
+  worker.incarnation = Incarnation(2);
+  worker.sequence = Sequence(1);
+  fixture.shard.on_command_result(batches.at(0), ShardManager::CommandResult::kRejected, worker, at(0.1));
   fixture.tick(0.2);
   auto again = fixture.shard.take_command_batches(at(0.2));
   ASSERT_EQ(again.size(), 1u);
@@ -263,11 +264,11 @@
   fixture.tick(0.5);
   auto commands = fixture.execute_commands(0.5);
   EXPECT_EQ(commands.size(), 4u);
-  for (auto& c : commands) EXPECT_EQ(c.op, protocol::Command::Op::kStop);
+  for (auto& command : commands) EXPECT_EQ(command.op, protocol::Command::Op::kStop);
   fixture.tick(0.6);
-  auto p = fixture.shard.unwritten_progress();
-  ASSERT_EQ(p.size(), 1u);
-  EXPECT_EQ(p.begin()->second.released.at(0).tasks.count(), 6u);
+  auto progress = fixture.shard.unwritten_progress();
+  ASSERT_EQ(progress.size(), 1u);
+  EXPECT_EQ(progress.begin()->second.released.at(0).tasks.count(), 6u);
 }
 
 TEST(ShardManager, WithoutRecentCancellationsNothingStarts) {
@@ -280,165 +281,5 @@
   EXPECT_TRUE(fixture.execute_commands(20).empty());
 }
 
-// Plays jobs on machines of which some fail every task, while some jobs fail everywhere, in half seconds: a
-// heartbeat, a tick, then the commands.
-struct FailingJobsFixture {
-  void play(double from, double to) {
-    for (double t = from; t < to; t += 0.5) {
-      for (auto& [name, w] : fixture.workers) {
-        for (auto& x : w.tasks) {
-          bool fails = faulty.contains(name) || mistaken.contains(x.task.job.value());
-          if (x.state != TaskState::kRunning || (!fails && t < began[name] + runs_s)) continue;
-          x.state = TaskState::kEnded;
-          x.cause = fails ? EndCause::kError : EndCause::kDone;
-        }
-        fixture.heartbeat(name.c_str(), t);
-      }
-      fixture.tick(t);
-      for (auto& c : fixture.execute_commands(t + 0.1)) {
-        if (c.op != protocol::Command::Op::kStart) continue;
-        ++starts[c.task.job.value()];
-        for (auto& [name, w] : fixture.workers)
-          for (auto& x : w.tasks)
-            if (x.task == c.task && x.attempt == c.attempt) began[name] = t;
-      }
-      fixture.record(t);
-    }
-  }
-  bool is_quarantined(const char* name) { return fixture.shard.machines().at(MachineName(name)).quarantined; }
-
-  ShardFixture fixture;
-  std::set<std::string> faulty, mistaken;
-  double runs_s = 2;
-  std::map<std::string, double> began;
-  std::map<std::string, int> starts;
-};
-
-// This used to quarantine the machine at the second job that failed on it, whatever became of them elsewhere.
-// Found on both operators' deployments: two jobs submitted with a mistake had dozens of sound machines
-// deleted.
-TEST(Failures, AMachineOnWhichJobsFailThatWorkElsewhereIsQuarantined) {
-  FailingJobsFixture w;
-  w.faulty = {"m1"};
-  w.fixture.add_ready_workers({"m1", "m2", "m3"});
-  w.fixture.grant("run-1", 3, 5, 0);
-  w.fixture.grant("run-2", 3, 5, 0);
-  w.play(0.5, 8);
-  EXPECT_TRUE(w.is_quarantined("m1"));
-  EXPECT_FALSE(w.is_quarantined("m2") || w.is_quarantined("m3"));
-  // Found on a recorded day of failovers: each new leader found the faulty machines out anew. It's recorded.
-  auto buckets = w.fixture.shard.registry_buckets_to_write();
-  std::optional<state_store::MachineRecord> record;
-  for (auto& [bucket, records] : buckets)
-    for (auto& r : records)
-      if (r.name == MachineName("m1")) record = r;
-  ASSERT_TRUE(record);
-  EXPECT_TRUE(record->quarantined);
-  ShardFixture next(6);
-  next.shard.on_registry({*record}, at(9));
-  next.heartbeat("m1", 9);
-  EXPECT_FALSE(next.shard.machines().at(MachineName("m1")).usable(at(9)));
-  EXPECT_EQ(w.fixture.shard.take_machines_to_delete(at(9)), std::vector{MachineName("m1")});
-}
-
-TEST(Failures, HealthyMachinesAreKeptWhateverFailsThere) {
-  struct Case {
-    std::set<std::string> jobs, mistaken;
-    std::uint32_t tasks;
-  };
-  for (const auto& c :
-       {Case{{"run-1", "run-2"}, {"run-1", "run-2"}, 1}, Case{{"run-1", "run-2"}, {"run-1", "run-2"}, 12},
-        Case{{"run-1", "run-2", "run-3", "run-4"}, {"run-1", "run-2", "run-3"}, 3},
-        Case{{"run-1", "run-2", "run-3", "run-4", "run-5"}, {"run-1"}, 12}}) {
-    FailingJobsFixture w;
-    w.mistaken = c.mistaken;
-    w.fixture.add_ready_workers({"m1", "m2", "m3", "m4"});
-    for (const auto& id : c.jobs) w.fixture.grant(id.c_str(), c.tasks, 5, 0);
-    w.play(0.5, 4);
-    // Their users call them off, and the next ones come.
-    for (const auto& id : c.mistaken) w.fixture.publish(id.c_str(), 4, TerminalState::kCancelled);
-    w.mistaken = {"run-8", "run-9"};
-    for (const char* id : {"run-8", "run-9"}) w.fixture.grant(id, c.tasks, 5, 4);
-    w.play(4.5, 30);
-    for (const char* m : {"m1", "m2", "m3", "m4"}) EXPECT_FALSE(w.is_quarantined(m)) << m << ' ' << c.tasks;
-  }
-}
-
-// Where no job is known to work anywhere, many that fail on one machine are enough.
-TEST(Failures, AMachineOnWhichEveryJobFailsIsQuarantined) {
-  FailingJobsFixture w;
-  w.faulty = {"m1"};
-  w.fixture.add_ready_workers({"m1"});
-  for (int i = 1; i <= 12; ++i) {
-    w.fixture.grant(("run-" + std::to_string(i)).c_str(), 1, 5, 5 * i);
-    w.play(5 * i, 5 * i + 5);
-  }
-  EXPECT_TRUE(w.is_quarantined("m1"));
-}
-
-TEST(Failures, ALargeArrayThatFailsEverywhereIsTriedByOneTaskAtATime) {
-  FailingJobsFixture w;
-  w.mistaken = {"run-1"};
-  w.fixture.add_ready_workers({"m1", "m2", "m3", "m4"});
-  w.fixture.grant("run-1", 16, 5, 0);
-  w.play(0.5, 1.6);
-  EXPECT_LE(w.starts["run-1"], 32);
-  // The scheduler is notified once.
-  auto reports = w.fixture.shard.progress_report(true);
-  ASSERT_EQ(reports.size(), 1u);
-  EXPECT_EQ(reports[0].health, protocol::JobHealth::kFails);
-  for (auto& o : w.fixture.shard.progress_report(true)) EXPECT_EQ(o.health, protocol::JobHealth::kNone);
-  auto before = w.starts["run-1"];
-  w.fixture.grant("run-1", 16, 5, 2);
-  w.play(2, 10);
-  EXPECT_LE(w.starts["run-1"] - before, 4);
-}
-
-// A job that two faulty machines failed is taken up again as soon as one of its tasks runs well.
-TEST(Failures, AJobThatWorksAfterAllIsReportedToWork) {
-  FailingJobsFixture w;
-  w.faulty = {"m1", "m2"};
-  w.fixture.add_ready_workers({"m1", "m2"});
-  w.fixture.grant("run-1", 2, 5, 0);
-  w.play(0.5, 2);
-  ASSERT_EQ(w.fixture.shard.progress_report(true).at(0).health, protocol::JobHealth::kFails);
-  w.runs_s = 60;
-  w.fixture.worker("m3");
-  w.fixture.register_all(3);
-  w.play(3, 4);
-  w.fixture.grant("run-1", 1, 5, 4);
-  w.play(4, 18);
-  auto reports = w.fixture.shard.progress_report(true);
-  ASSERT_EQ(reports.size(), 1u);
-  EXPECT_EQ(reports[0].health, protocol::JobHealth::kWorks);
-}
-
-TEST(Failures, AJobThatFailsEverywhereBacksOff) {
-  ShardFixture fixture;
-  std::vector<std::string> names;
-  for (int i = 0; i < 8; ++i) names.push_back("m" + std::to_string(i));
-  for (auto& n : names) fixture.worker(n.c_str());
-  fixture.register_all(0);
-  for (auto& n : names) fixture.heartbeat(n.c_str(), 0);
-  fixture.grant("run-1", 1, 5, 0);
-  std::size_t starts = 0;
-  for (double t = 0; t < 20; t += 0.5) {
-    fixture.tick(t);
-    for (auto& c : fixture.execute_commands(t)) starts += c.op == protocol::Command::Op::kStart;
-    fixture.record(t);
-    if (fixture.jobs["run-1"].outstanding().empty()) fixture.grant("run-1", 1, 5, t);
-    for (auto& n : names) {
-      for (auto& x : fixture.worker(n.c_str()).tasks) {
-        x.state = TaskState::kEnded;
-        x.cause = EndCause::kError;
-      }
-      fixture.heartbeat(n.c_str(), t + 0.2);
-    }
-  }
-  EXPECT_GE(starts, 3u);
-  EXPECT_LE(starts, 8u);
-  for (auto& [n, m] : fixture.shard.machines()) EXPECT_FALSE(m.quarantined) << n.value();
-}
-
 }  // namespace
 }  // namespace beaconsill::shard
--- a/tests/shard_test_data.h
+++ b/tests/shard_test_data.h
@@ -15,17 +15,17 @@
 constexpr double kCancelLimit_s = 40;
 constexpr double kGrace_s = 5;
 
-inline Instant at(double s) {
-  return Instant{} + from_seconds(1000 + s);
+inline Instant at(double time_s) {
+  return Instant{} + from_seconds(1000 + time_s);
 }
 
 inline ShardParams params() {
-  ShardParams p;
-  p.heartbeat_period = from_seconds(kHeartbeat_s);
-  p.lease = from_seconds(kLease_s);
-  p.cancel_limit = from_seconds(kCancelLimit_s);
-  p.grace = from_seconds(kGrace_s);
-  return p;
+  ShardParams out;
+  out.heartbeat_period = from_seconds(kHeartbeat_s);
+  out.lease = from_seconds(kLease_s);
+  out.cancel_limit = from_seconds(kCancelLimit_s);
+  out.grace = from_seconds(kGrace_s);
+  return out;
 }
 
 // One type, with four CPUs, in these zones.
