--- a/tests/failover_shard_test.cpp
+++ b/tests/failover_shard_test.cpp
@@ -1,5 +1,5 @@
 // Failover of a shard leader: late copies of heartbeats, lost responses, commands of earlier leaders,
-// machines that receive nothing. See docs/failover-faults.md.
+// machines that receive nothing. See docs/fault-scenarios.md.
 #include <gtest/gtest.h>
 
 #include "shard_test_data.h"
@@ -24,50 +24,52 @@
   protocol::WorkerHeartbeat& worker(const std::string& name) {
     return workers.try_emplace(name, fixture::new_worker(name, Zone("a"))).first->second;
   }
-  void registered(std::initializer_list<const char*> names) {
+  void register_machines(std::initializer_list<const char*> names) {
     std::vector<state_store::MachineRecord> records;
     for (auto* name : names) records.push_back(fixture::machine_record(worker(name)));
     shard.on_registry(records, at(0));
   }
-  void runs(const std::string& name, const char* job, std::uint32_t index, std::uint64_t attempt) {
+  void run_task(const std::string& name, const char* job, std::uint32_t index, std::uint64_t attempt) {
     worker(name).tasks.push_back(
         {TaskId{JobId(job), index}, Attempt(attempt), TaskState::kRunning, EndCause::kDone, false});
   }
-  // A report of the worker as it is now; `obeys`: it has seen this owner's term.
-  protocol::WorkerHeartbeat next_report(const std::string& name, bool obeys) {
-    auto& w = worker(name);
-    if (obeys) w.token = std::max(w.token, FencingToken::first_of(kTerm));
-    w.sequence = Sequence(w.sequence.value() + 1);
-    return w;
+  // The worker's next heartbeat. `obeys`: it has seen this leader's term.
+  protocol::WorkerHeartbeat next_heartbeat(const std::string& name, bool obeys) {
+    auto& sender = worker(name);
+    if (obeys) sender.token = std::max(sender.token, FencingToken::first_of(kTerm));
+    sender.sequence = Sequence(sender.sequence.value() + 1);
+    return sender;
   }
-  void take(const protocol::WorkerHeartbeat& r, double t) {
-    if (shard.on_worker_heartbeat(r, at(t)) == HeartbeatResult::kApplied)
-      shard.heartbeat_response(r.machine, at(t));
+  void deliver(const protocol::WorkerHeartbeat& heartbeat, double time_s) {
+    if (shard.on_worker_heartbeat(heartbeat, at(time_s)) == HeartbeatResult::kApplied)
+      shard.heartbeat_response(heartbeat.machine, at(time_s));
   }
-  void heartbeat(const std::string& name, double t, bool obeys = true) { take(next_report(name, obeys), t); }
-  void grant(const char* id, std::uint32_t tasks, Term term, double t) {
+  void heartbeat(const std::string& name, double time_s, bool obeys = true) {
+    deliver(next_heartbeat(name, obeys), time_s);
+  }
+  void grant(const char* id, std::uint32_t tasks, Term term, double time_s) {
     auto spec = fixture::job_spec(JobId(id), tasks);
     spec.image_gb = 1;
-    auto& j = jobs[id];
-    fixture::record_job(j, spec);
-    j.grants.value = {{{Generation(1), ShardId(0), term, Ranges::span(0, tasks), {}, false, {}}},
-                      Generation(1)};
-    j.grants.revision = Revision(2);
-    publish(id, t);
+    auto& job = jobs[id];
+    fixture::record_job(job, spec);
+    job.grants.value = {{{Generation(1), ShardId(0), term, Ranges::span(0, tasks), {}, false, {}}},
+                        Generation(1)};
+    job.grants.revision = Revision(2);
+    publish(id, time_s);
   }
-  void publish(const char* id, double t, std::optional<TerminalState> end = std::nullopt) {
-    shard.on_job(JobId(id), &jobs[id], end, at(t));
+  void publish(const char* id, double time_s, std::optional<TerminalState> end = std::nullopt) {
+    shard.on_job(JobId(id), &jobs[id], end, at(time_s));
   }
-  void tick(double t) { shard.tick(at(t), at(t), at(t)); }
+  void tick(double time_s) { shard.tick(at(time_s), at(time_s), at(time_s)); }
   static std::size_t count(const std::vector<ShardManager::Batch>& batches, Command::Op op) {
-    std::size_t n = 0;
-    for (const auto& b : batches)
-      for (const auto& c : b.commands) n += c.op == op;
-    return n;
+    std::size_t matching = 0;
+    for (const auto& batch : batches)
+      for (const auto& command : batch.commands) matching += command.op == op;
+    return matching;
   }
-  std::size_t starts(double t) {
-    tick(t);
-    return count(shard.take_command_batches(at(t)), Command::Op::kStart);
+  std::size_t starts(double time_s) {
+    tick(time_s);
+    return count(shard.take_command_batches(at(time_s)), Command::Op::kStart);
   }
 
   ShardManager shard;
@@ -77,67 +79,67 @@
 
 // A heartbeat is delayed until a new shard leader has begun, or copies of old ones reach every controller
 // then: a task that has since moved from m1 to m2 must neither be stopped on m2 nor started once more, in
-// whatever order the copy and the true reports come.
+// whatever order the copy and the true heartbeats come.
 TEST(ShardFailover, AStaleHeartbeatDoesNotStopTheRunningTask) {
   struct Case {
     const char* what;
     bool copy_first;
     bool m1_registered;              // false: it was deleted, and its copy is all that is left of it
-    bool m2_reported_before;         // under this owner's term, before its task is known here
+    bool m2_confirmed_before;        // under this leader's term, before its task is known here
     std::uint64_t copy_incarnation;  // of m1, whose true incarnation is 2
   };
   const Case cases[] = {
       {"copy of an earlier incarnation first", true, true, false, 1},
       {"copy of the same incarnation first", true, true, false, 2},
-      {"copy of a machine that is gone first", true, false, false, 1},
-      {"copy of a machine that is gone last", false, false, false, 1},
+      {"copy of a machine that is terminated first", true, false, false, 1},
+      {"copy of a machine that is terminated last", false, false, false, 1},
       {"copy last", false, true, true, 1},
       {"copy first, the other obeys at once", true, true, true, 1},
   };
-  for (const auto& c : cases) {
-    ShardLeader o;
-    o.registered({"m2"});
-    if (c.m1_registered) o.registered({"m1", "m2"});
-    o.grant("run-1", 1, Term(4), 0);
-    auto copy = o.worker("m1");
-    copy.incarnation = Incarnation(c.copy_incarnation);
+  for (const auto& entry : cases) {
+    ShardLeader leader;
+    leader.register_machines({"m2"});
+    if (entry.m1_registered) leader.register_machines({"m1", "m2"});
+    leader.grant("run-1", 1, Term(4), 0);
+    auto copy = leader.worker("m1");
+    copy.incarnation = Incarnation(entry.copy_incarnation);
     copy.sequence = Sequence(3);
     copy.tasks = {{TaskId{JobId("run-1"), 0}, Attempt(7), TaskState::kRunning, EndCause::kDone, false}};
-    o.worker("m1").incarnation = Incarnation(2);
-    o.worker("m1").sequence = Sequence(9);
-    o.runs("m2", "run-1", 0, 8);
-    if (c.copy_first) o.take(copy, 1);
-    o.heartbeat("m2", 1.1, c.m2_reported_before);
-    o.heartbeat("m2", 1.5);
-    if (!c.copy_first) o.take(copy, 1.6);
-    if (c.m1_registered) o.heartbeat("m1", 1.8);
+    leader.worker("m1").incarnation = Incarnation(2);
+    leader.worker("m1").sequence = Sequence(9);
+    leader.run_task("m2", "run-1", 0, 8);
+    if (entry.copy_first) leader.deliver(copy, 1);
+    leader.heartbeat("m2", 1.1, entry.m2_confirmed_before);
+    leader.heartbeat("m2", 1.5);
+    if (!entry.copy_first) leader.deliver(copy, 1.6);
+    if (entry.m1_registered) leader.heartbeat("m1", 1.8);
     std::size_t stops = 0, starts = 0;
-    for (double t = 2; t < 5; t += 0.5) {
-      o.heartbeat("m2", t);
-      if (c.m1_registered) o.heartbeat("m1", t);
-      o.tick(t);
-      for (const auto& b : o.shard.take_command_batches(at(t))) {
-        stops += ShardLeader::count({b}, Command::Op::kStop);
-        starts += ShardLeader::count({b}, Command::Op::kStart);
+    for (double time_s = 2; time_s < 5; time_s += 0.5) {
+      leader.heartbeat("m2", time_s);
+      if (entry.m1_registered) leader.heartbeat("m1", time_s);
+      leader.tick(time_s);
+      for (const auto& batch : leader.shard.take_command_batches(at(time_s))) {
+        stops += ShardLeader::count({batch}, Command::Op::kStop);
+        starts += ShardLeader::count({batch}, Command::Op::kStart);
       }
     }
-    EXPECT_EQ(stops, 0u) << c.what;
-    EXPECT_EQ(starts, 0u) << c.what;
-    EXPECT_EQ(o.shard.running(JobId("run-1")), c.m1_registered ? 1u : 2u) << c.what;
+    EXPECT_EQ(stops, 0u) << entry.what;
+    EXPECT_EQ(starts, 0u) << entry.what;
+    EXPECT_EQ(leader.shard.running(JobId("run-1")), entry.m1_registered ? 1u : 2u) << entry.what;
   }
 }
 
-// When two machines that obey this owner both list the task, one of the two is stopped all the same.
+// When two machines that obey this leader both list the task, one of the two is stopped all the same.
 TEST(ShardFailover, DuplicateExecutionIsStoppedOnOneMachine) {
-  ShardLeader o;
-  o.registered({"m1", "m2"});
-  o.grant("run-1", 1, Term(4), 0);
-  o.runs("m1", "run-1", 0, 7);
-  o.runs("m2", "run-1", 0, 8);
-  o.heartbeat("m1", 1);
-  o.heartbeat("m2", 1);
-  o.tick(2);
-  EXPECT_EQ(ShardLeader::count(o.shard.take_command_batches(at(2)), Command::Op::kStop), 1u);
+  ShardLeader leader;
+  leader.register_machines({"m1", "m2"});
+  leader.grant("run-1", 1, Term(4), 0);
+  leader.run_task("m1", "run-1", 0, 7);
+  leader.run_task("m2", "run-1", 0, 8);
+  leader.heartbeat("m1", 1);
+  leader.heartbeat("m2", 1);
+  leader.tick(2);
+  EXPECT_EQ(ShardLeader::count(leader.shard.take_command_batches(at(2)), Command::Op::kStop), 1u);
 }
 
 // A shard leader crashes while a machine receives nothing of its successor but sends heartbeats all the same:
@@ -153,95 +155,96 @@
       {"it is reachable within the grace period", 4, false},
       {"it is never reachable", 1e9, true},
   };
-  for (const auto& c : cases) {
-    ShardLeader o;
-    o.registered({"m1", "m2", "m3"});
-    o.grant("run-1", 2, Term(4), 0);
-    o.runs("m1", "run-1", 0, 7);
+  for (const auto& entry : cases) {
+    ShardLeader leader;
+    leader.register_machines({"m1", "m2", "m3"});
+    leader.grant("run-1", 2, Term(4), 0);
+    leader.run_task("m1", "run-1", 0, 7);
     std::set<MachineName> deleted;
-    double is_reconciled = 0;
+    double reconciled_at = 0;
     std::size_t starts = 0;
-    for (double t = 0.5; t < 20; t += 0.5) {
-      o.heartbeat("m1", t);
-      o.heartbeat("m2", t);
-      if (deleted.empty()) o.heartbeat("m3", t, t >= c.reachable_from);
-      o.tick(t);
-      starts += ShardLeader::count(o.shard.take_command_batches(at(t)), Command::Op::kStart);
-      for (const auto& m : o.shard.take_machines_to_delete(at(t))) {
-        deleted.insert(m);
-        o.shard.on_machine_terminated(m, at(t));
+    for (double time_s = 0.5; time_s < 20; time_s += 0.5) {
+      leader.heartbeat("m1", time_s);
+      leader.heartbeat("m2", time_s);
+      if (deleted.empty()) leader.heartbeat("m3", time_s, time_s >= entry.reachable_from);
+      leader.tick(time_s);
+      starts += ShardLeader::count(leader.shard.take_command_batches(at(time_s)), Command::Op::kStart);
+      for (const auto& name : leader.shard.take_machines_to_delete(at(time_s))) {
+        deleted.insert(name);
+        leader.shard.on_machine_terminated(name, at(time_s));
       }
-      if (o.shard.is_reconciled() && is_reconciled == 0) is_reconciled = t;
+      if (leader.shard.is_reconciled() && reconciled_at == 0) reconciled_at = time_s;
     }
-    EXPECT_EQ(deleted.contains(MachineName("m3")), c.deleted) << c.what;
-    EXPECT_EQ(deleted.size(), c.deleted ? 1u : 0u) << c.what;
-    EXPECT_GT(is_reconciled, 0) << c.what;
-    EXPECT_LT(is_reconciled, kGrace_s + 4) << c.what;
-    EXPECT_EQ(starts, 1u) << c.what << ": the task that no machine has";
+    EXPECT_EQ(deleted.contains(MachineName("m3")), entry.deleted) << entry.what;
+    EXPECT_EQ(deleted.size(), entry.deleted ? 1u : 0u) << entry.what;
+    EXPECT_GT(reconciled_at, 0) << entry.what;
+    EXPECT_LT(reconciled_at, kGrace_s + 4) << entry.what;
+    EXPECT_EQ(starts, 1u) << entry.what << ": the task that no machine has";
   }
 }
 
-// The same for half a zone and more: then it's rather this controller that is cut off, and nothing is deleted
-// but after the time that a cancellation has.
+// The same for half a zone and more: then it's rather this controller that is partitioned, and nothing is
+// deleted before the time limit of a cancellation.
 TEST(ShardFailover, AnUnreachableZoneIsNotDeleted) {
-  ShardLeader o;
-  o.registered({"m1", "m2", "m3", "m4", "m5"});
-  for (double t = 0.5; t < kCancelLimit_s - 1; t += 0.5) {
-    for (const char* m : {"m1", "m2", "m3", "m4"}) o.heartbeat(m, t, false);
-    o.heartbeat("m5", t);
-    EXPECT_TRUE(o.shard.take_machines_to_delete(at(t)).empty()) << t;
+  ShardLeader leader;
+  leader.register_machines({"m1", "m2", "m3", "m4", "m5"});
+  for (double time_s = 0.5; time_s < kCancelLimit_s - 1; time_s += 0.5) {
+    for (const char* name : {"m1", "m2", "m3", "m4"}) leader.heartbeat(name, time_s, false);
+    leader.heartbeat("m5", time_s);
+    EXPECT_TRUE(leader.shard.take_machines_to_delete(at(time_s)).empty()) << time_s;
   }
 }
 
-// A command of an earlier owner reaches its machine late, before that has seen the new term: nothing that was
-// granted before may start anywhere until the machine has obeyed, and what it then runs is taken over.
+// A command of an earlier leader reaches its machine late, before that has seen the new term: nothing that
+// was granted before may start anywhere until the machine has shown the new term, and what it then runs is
+// kept.
 TEST(ShardFailover, ACommandOfAnEarlierLeaderArrivesBeforeTheNewTerm) {
-  ShardLeader o;
-  o.registered({"m1", "m2"});
-  o.grant("run-1", 1, Term(4), 0);
-  o.heartbeat("m2", 0.2);
-  for (double t = 0.5; t < 3; t += 0.5) {
-    o.heartbeat("m2", t);
-    EXPECT_EQ(o.starts(t), 0u) << t;
+  ShardLeader leader;
+  leader.register_machines({"m1", "m2"});
+  leader.grant("run-1", 1, Term(4), 0);
+  leader.heartbeat("m2", 0.2);
+  for (double time_s = 0.5; time_s < 3; time_s += 0.5) {
+    leader.heartbeat("m2", time_s);
+    EXPECT_EQ(leader.starts(time_s), 0u) << time_s;
   }
-  o.runs("m1", "run-1", 0, 7);  // the late command, carried out
-  o.heartbeat("m1", 3.1);
-  EXPECT_EQ(o.starts(3.2), 0u);
-  EXPECT_TRUE(o.shard.is_reconciled());
-  EXPECT_EQ(o.shard.running(JobId("run-1")), 1u);
+  leader.run_task("m1", "run-1", 0, 7);  // the late command, executed
+  leader.heartbeat("m1", 3.1);
+  EXPECT_EQ(leader.starts(3.2), 0u);
+  EXPECT_TRUE(leader.shard.is_reconciled());
+  EXPECT_EQ(leader.shard.running(JobId("run-1")), 1u);
 }
 
-// A command or its answer is held up for seconds. Until the worker shows a raised token the task is nowhere
-// else, whatever older reports say.
+// A command or its answer is delayed for seconds. Until the worker shows a raised token the task is started
+// nowhere else, whatever older heartbeats list.
 TEST(ShardFailover, AnIndeterminateCommandIsResolvedByAHigherTokenOnly) {
-  ShardLeader o;
-  o.registered({"m1"});
-  o.heartbeat("m1", 0.1);
-  o.grant("run-1", 1, kTerm, 0.2);
-  o.tick(0.3);
-  auto sent = o.shard.take_command_batches(at(0.3));
+  ShardLeader leader;
+  leader.register_machines({"m1"});
+  leader.heartbeat("m1", 0.1);
+  leader.grant("run-1", 1, kTerm, 0.2);
+  leader.tick(0.3);
+  auto sent = leader.shard.take_command_batches(at(0.3));
   ASSERT_EQ(ShardLeader::count(sent, Command::Op::kStart), 1u);
-  o.registered({"m1", "m2"});
-  o.heartbeat("m2", 0.4);
-  o.shard.on_command_result(sent[0], ShardManager::CommandResult::kNoAnswer, std::nullopt, at(2.3));
-  // Reports that the worker sent without having seen any of it prove nothing.
-  for (double t = 2.5; t < 5; t += 0.5) {
-    o.heartbeat("m1", t);
-    o.heartbeat("m2", t);
-    EXPECT_EQ(o.starts(t), 0u) << t;
+  leader.register_machines({"m1", "m2"});
+  leader.heartbeat("m2", 0.4);
+  leader.shard.on_command_result(sent[0], ShardManager::CommandResult::kNoAnswer, std::nullopt, at(2.3));
+  // Heartbeats that the worker sent without having seen the command prove nothing.
+  for (double time_s = 2.5; time_s < 5; time_s += 0.5) {
+    leader.heartbeat("m1", time_s);
+    leader.heartbeat("m2", time_s);
+    EXPECT_EQ(leader.starts(time_s), 0u) << time_s;
   }
-  // It has seen the command's own token: the command may have been refused or carried out, and a report with
-  // a raised one only tells which.
-  o.worker("m1").token = sent[0].token;
-  o.heartbeat("m1", 5.1);
-  EXPECT_EQ(o.starts(5.2), 0u);
-  o.worker("m1").token = sent[0].token.raised();
-  o.heartbeat("m1", 5.5);
-  EXPECT_EQ(o.starts(5.8), 1u);
+  // It has seen the command's own token: the command may have been rejected or executed, and only a heartbeat
+  // with a raised one tells which.
+  leader.worker("m1").token = sent[0].token;
+  leader.heartbeat("m1", 5.1);
+  EXPECT_EQ(leader.starts(5.2), 0u);
+  leader.worker("m1").token = sent[0].token.raised();
+  leader.heartbeat("m1", 5.5);
+  EXPECT_EQ(leader.starts(5.8), 1u);
 }
 
 // The cancellation comes at the moment at which the last task ends. The record stands, whichever was written:
-// the owner only has to finish its accounting, and never starts the task again.
+// the leader has nothing left to do for the job, and never starts the task again.
 TEST(ShardFailover, ACancellationAtTheCompletionOfTheLastTask) {
   struct Case {
     const char* what;
@@ -254,111 +257,113 @@
       {"failed, then cancelled", false, EndCause::kError},
       {"cancelled, then stopped", true, EndCause::kStopped},
   };
-  for (const auto& c : cases) {
-    ShardLeader o;
-    o.registered({"m1", "m2"});
-    o.heartbeat("m1", 0.1);
-    o.heartbeat("m2", 0.1);
-    o.grant("run-1", 1, kTerm, 0.2);
-    o.tick(0.3);
-    auto sent = o.shard.take_command_batches(at(0.3));
-    ASSERT_EQ(sent.size(), 1u) << c.what;
+  for (const auto& entry : cases) {
+    ShardLeader leader;
+    leader.register_machines({"m1", "m2"});
+    leader.heartbeat("m1", 0.1);
+    leader.heartbeat("m2", 0.1);
+    leader.grant("run-1", 1, kTerm, 0.2);
+    leader.tick(0.3);
+    auto sent = leader.shard.take_command_batches(at(0.3));
+    ASSERT_EQ(sent.size(), 1u) << entry.what;
     auto name = sent[0].machine.value();
-    auto& w = o.worker(name);
-    w.token = sent[0].token;
-    w.tasks = {{sent[0].commands[0].task, sent[0].commands[0].attempt, TaskState::kRunning, {}, false}};
-    o.shard.on_command_result(sent[0], ShardManager::CommandResult::kExecuted, o.next_report(name, true),
-                              at(0.4));
-    if (c.cancelled_first) o.publish("run-1", 1, TerminalState::kCancelled);
-    w.tasks[0].state = TaskState::kEnded;
-    w.tasks[0].cause = c.cause;
-    o.heartbeat(name, 1.1);
-    if (!c.cancelled_first) o.publish("run-1", 1.2, TerminalState::kCancelled);
-    for (double t = 1.5; t < 5; t += 0.5) EXPECT_EQ(o.starts(t), 0u) << c.what;
-    EXPECT_TRUE(o.shard.holds_no_tasks_of(JobId("run-1"))) << c.what;
+    auto& worker = leader.worker(name);
+    worker.token = sent[0].token;
+    worker.tasks = {{sent[0].commands[0].task, sent[0].commands[0].attempt, TaskState::kRunning, {}, false}};
+    leader.shard.on_command_result(sent[0], ShardManager::CommandResult::kExecuted,
+                                   leader.next_heartbeat(name, true), at(0.4));
+    if (entry.cancelled_first) leader.publish("run-1", 1, TerminalState::kCancelled);
+    worker.tasks[0].state = TaskState::kEnded;
+    worker.tasks[0].cause = entry.cause;
+    leader.heartbeat(name, 1.1);
+    if (!entry.cancelled_first) leader.publish("run-1", 1.2, TerminalState::kCancelled);
+    for (double time_s = 1.5; time_s < 5; time_s += 0.5) EXPECT_EQ(leader.starts(time_s), 0u) << entry.what;
+    EXPECT_TRUE(leader.shard.holds_no_tasks_of(JobId("run-1"))) << entry.what;
   }
 }
 
-// A leader that is cut from the state store and from its peers goes on with its workers: it starts nothing
-// without recent word of cancellations, and stops for good when a worker shows a higher term.
+// A leader that is partitioned from the state store and from its peers still leads its workers: it starts
+// nothing without recent knowledge of cancellations, and stops for good when a worker shows a higher term.
 TEST(ShardFailover, ALeaderWithoutNewsOfCancellationsStartsNothing) {
   struct Case {
-    double word_age_s;
+    double knowledge_age_s;
     std::size_t starts;
   };
-  for (auto c : {Case{kCancelLimit_s / 4 - 1, 1}, Case{kCancelLimit_s / 4 + 0.5, 0}}) {
-    ShardLeader o;
-    o.registered({"m1"});
-    o.heartbeat("m1", 20);
-    o.grant("run-1", 1, kTerm, 20);
-    o.shard.tick(at(20.2), at(20.2 - c.word_age_s), at(0));
-    EXPECT_EQ(ShardLeader::count(o.shard.take_command_batches(at(20.2)), Command::Op::kStart), c.starts)
-        << c.word_age_s;
+  for (auto entry : {Case{kCancelLimit_s / 4 - 1, 1}, Case{kCancelLimit_s / 4 + 0.5, 0}}) {
+    ShardLeader leader;
+    leader.register_machines({"m1"});
+    leader.heartbeat("m1", 20);
+    leader.grant("run-1", 1, kTerm, 20);
+    leader.shard.tick(at(20.2), at(20.2 - entry.knowledge_age_s), at(0));
+    EXPECT_EQ(ShardLeader::count(leader.shard.take_command_batches(at(20.2)), Command::Op::kStart),
+              entry.starts)
+        << entry.knowledge_age_s;
   }
-  ShardLeader o;
-  o.registered({"m1"});
-  o.heartbeat("m1", 0.1);
-  o.grant("run-1", 1, kTerm, 0.2);
-  o.worker("m1").token = FencingToken::first_of(Term(6));
-  o.heartbeat("m1", 0.3);
-  EXPECT_TRUE(o.shard.superseded());
-  EXPECT_EQ(o.starts(0.4), 0u);
-  EXPECT_TRUE(o.shard.take_machines_to_delete(at(30)).empty());
+  ShardLeader leader;
+  leader.register_machines({"m1"});
+  leader.heartbeat("m1", 0.1);
+  leader.grant("run-1", 1, kTerm, 0.2);
+  leader.worker("m1").token = FencingToken::first_of(Term(6));
+  leader.heartbeat("m1", 0.3);
+  EXPECT_TRUE(leader.shard.superseded());
+  EXPECT_EQ(leader.starts(0.4), 0u);
+  EXPECT_TRUE(leader.shard.take_machines_to_delete(at(30)).empty());
 }
 
-// A zone is cut off for longer than a lease. Tasks of its machines are off them only once a read, begun after
-// the lease was over, shows that no successor has answered them.
+// A zone is partitioned for longer than a lease. Tasks of its machines count as ended only once a read, begun
+// after the lease had expired, shows that no successor has answered them.
 TEST(ShardFailover, AnExpiredLeaseCountsOnlyWithALaterRead) {
   struct Case {
     const char* what;
     double read;
     std::size_t starts;
   };
-  const double over = 1 + kLease_s * 1.002 + 0.5;
+  const double expiry = 1 + kLease_s * 1.002 + 0.5;
   const Case cases[] = {
       {"no read since", 1, 0},
-      {"read before it was over", over - 0.2, 0},
-      {"read after it was over", over + 0.1, 1},
+      {"read before it expired", expiry - 0.2, 0},
+      {"read after it expired", expiry + 0.1, 1},
   };
-  for (const auto& c : cases) {
-    ShardLeader o;
-    o.registered({"m1"});
-    o.grant("run-1", 1, Term(4), 0);
-    o.runs("m1", "run-1", 0, 7);
-    o.heartbeat("m1", 1);
-    o.registered({"m1", "m2"});
-    o.heartbeat("m2", 1);
-    for (double t = 2; t < over; t += 1) o.heartbeat("m2", t);
-    double now = over + 0.3;
-    o.heartbeat("m2", now);
-    o.shard.tick(at(now), at(now), at(c.read));
-    EXPECT_EQ(ShardLeader::count(o.shard.take_command_batches(at(now)), Command::Op::kStart), c.starts)
-        << c.what;
+  for (const auto& entry : cases) {
+    ShardLeader leader;
+    leader.register_machines({"m1"});
+    leader.grant("run-1", 1, Term(4), 0);
+    leader.run_task("m1", "run-1", 0, 7);
+    leader.heartbeat("m1", 1);
+    leader.register_machines({"m1", "m2"});
+    leader.heartbeat("m2", 1);
+    for (double time_s = 2; time_s < expiry; time_s += 1) leader.heartbeat("m2", time_s);
+    double now = expiry + 0.3;
+    leader.heartbeat("m2", now);
+    leader.shard.tick(at(now), at(now), at(entry.read));
+    EXPECT_EQ(ShardLeader::count(leader.shard.take_command_batches(at(now)), Command::Op::kStart),
+              entry.starts)
+        << entry.what;
   }
 }
 
 // Tasks of one job end far apart and the leader changes in between: a new leader gets all that isn't
 // recorded, not only what is new.
 TEST(ShardFailover, ANewSchedulerLeaderGetsAllUnrecordedProgress) {
-  ShardLeader o;
-  o.registered({"m1"});
-  o.grant("run-1", 2, Term(4), 0);
-  o.runs("m1", "run-1", 0, 7);
-  o.runs("m1", "run-1", 1, 8);
-  o.heartbeat("m1", 0.5);
-  auto& w = o.worker("m1");
-  w.tasks[0].state = TaskState::kEnded;
-  o.heartbeat("m1", 1);
-  auto first = o.shard.progress_report(false);
+  ShardLeader leader;
+  leader.register_machines({"m1"});
+  leader.grant("run-1", 2, Term(4), 0);
+  leader.run_task("m1", "run-1", 0, 7);
+  leader.run_task("m1", "run-1", 1, 8);
+  leader.heartbeat("m1", 0.5);
+  auto& worker = leader.worker("m1");
+  worker.tasks[0].state = TaskState::kEnded;
+  leader.heartbeat("m1", 1);
+  auto first = leader.shard.progress_report(false);
   ASSERT_EQ(first.size(), 1u);
   EXPECT_EQ(first[0].done.str(), "0");
-  EXPECT_TRUE(o.shard.progress_report(false).empty());
-  auto again = o.shard.progress_report(true);
+  EXPECT_TRUE(leader.shard.progress_report(false).empty());
+  auto again = leader.shard.progress_report(true);
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].done.str(), "0");
-  w.tasks[1].state = TaskState::kEnded;
-  o.heartbeat("m1", 60);
-  auto last = o.shard.progress_report(true);
+  worker.tasks[1].state = TaskState::kEnded;
+  leader.heartbeat("m1", 60);
+  auto last = leader.shard.progress_report(true);
   ASSERT_EQ(last.size(), 1u);
   EXPECT_EQ(last[0].done.str(), "0-1");
 }
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -13,8 +13,8 @@
 // A heartbeat is late after 1.6 periods; a late machine has 3.9 s to answer, and the probes need some steps.
 constexpr double kHungDeletedBy = 1.6 * kHeartbeatPeriod + 3.9 + 0.6;
 
-Instant at(double s) {
-  return Instant{} + from_seconds(1000 + s);
+Instant at(double time_s) {
+  return Instant{} + from_seconds(1000 + time_s);
 }
 
 enum class Fault {
@@ -27,8 +27,8 @@
 
 struct Worker {
   protocol::WorkerHeartbeat heartbeat;
-  double next = 0;       // heartbeat
-  double confirmed = 0;  // last time
+  double next_heartbeat_at = 0;
+  double last_contact_at = 0;
   double lease_from = 0;
   Fault fault = Fault::kNone;
 };
@@ -41,73 +41,91 @@
     shard.set_catalogue(catalogue);
     std::vector<state_store::MachineRecord> records;
     for (int i = 0; i < machines; ++i) {
-      Worker w;
-      w.heartbeat.machine = MachineName("m" + std::to_string(i));
-      w.heartbeat.address = "127.0.0.1:1";
-      w.heartbeat.type = MachineType("t4");
-      w.heartbeat.zone = Zone("a");
-      w.heartbeat.incarnation = Incarnation(1);
-      w.heartbeat.token = FencingToken::first_of(Term(5));
-      w.next = kHeartbeatPeriod * i / machines;
-      records.push_back(
-          {w.heartbeat.machine, w.heartbeat.type, w.heartbeat.zone, false, w.heartbeat.address, false});
-      workers[w.heartbeat.machine] = w;
+      Worker worker;
+      worker.heartbeat.machine = MachineName("m" + std::to_string(i));
+      worker.heartbeat.address = "127.0.0.1:1";
+      worker.heartbeat.type = MachineType("t4");
+      worker.heartbeat.zone = Zone("a");
+      worker.heartbeat.incarnation = Incarnation(1);
+      worker.heartbeat.token = FencingToken::first_of(Term(5));
+      worker.next_heartbeat_at = kHeartbeatPeriod * i / machines;
+      records.push_back({worker.heartbeat.machine, worker.heartbeat.type, worker.heartbeat.zone, false,
+                         worker.heartbeat.address, false});
+      workers[worker.heartbeat.machine] = worker;
     }
     shard.on_registry(records, at(0));
   }
 
   static ShardParams params() {
-    ShardParams p;
-    p.heartbeat_period = from_seconds(kHeartbeatPeriod);
-    p.lease = from_seconds(kLease);
-    p.cancel_limit = from_seconds(47.5);
-    p.grace = from_seconds(kGrace);
-    return p;
+    ShardParams out;
+    out.heartbeat_period = from_seconds(kHeartbeatPeriod);
+    out.lease = from_seconds(kLease);
+    out.cancel_limit = from_seconds(47.5);
+    out.grace = from_seconds(kGrace);
+    return out;
   }
 
-  protocol::WorkerHeartbeat next_heartbeat(Worker& w) {
-    w.heartbeat.sequence = Sequence(w.heartbeat.sequence.value() + 1);
-    return w.heartbeat;
+  protocol::WorkerHeartbeat next_heartbeat(Worker& worker) {
+    worker.heartbeat.sequence = Sequence(worker.heartbeat.sequence.value() + 1);
+    return worker.heartbeat;
   }
 
   void step() {
     now += kStep;
-    for (auto& [name, w] : workers) {
-      if (now - w.lease_from > kLease && w.fault != Fault::kHung) {
-        w.heartbeat.incarnation = Incarnation(w.heartbeat.incarnation.value() + 1);
-        w.heartbeat.tasks.clear();
-        w.lease_from = now;
-      }
-      if (now < w.next || w.fault == Fault::kHung || w.fault == Fault::kHeartbeatsLost) continue;
-      shard.on_worker_heartbeat(next_heartbeat(w), at(now));
-      w.confirmed = now;
-      if (!shard.find_machine(name)) continue;
-      shard.heartbeat_response(name, at(now));
-      if (w.fault != Fault::kReceivesNothing) w.lease_from = now;
-      w.next = now + (w.fault == Fault::kReceivesNothing ? 5
-                      : w.fault == Fault::kCommandsLost  ? 10
-                                                         : kHeartbeatPeriod);
+    for (auto& [name, worker] : workers) {
+      expire_lease(worker);
+      send_heartbeat_if_due(worker);
     }
     shard.tick(at(now), at(now), at(now));
-    for (auto& b : shard.take_command_batches(at(now))) {
-      auto& w = workers.at(b.machine);
-      if (b.commands.empty()) ++probes[b.machine];
-      if (w.fault != Fault::kNone && w.fault != Fault::kHeartbeatsLost) {
-        timeouts.emplace(now + kTimeout, b);
-        continue;
-      }
-      w.heartbeat.token = std::max(w.heartbeat.token, b.token);
-      for (const auto& c : b.commands)
-        if (c.op == protocol::Command::Op::kStart)
-          w.heartbeat.tasks.push_back({c.task, c.attempt, TaskState::kRunning, EndCause::kDone, false});
-      shard.on_command_result(b, ShardManager::CommandResult::kExecuted, next_heartbeat(w), at(now));
+    for (auto& batch : shard.take_command_batches(at(now))) deliver(batch);
+    time_out_unanswered();
+    delete_machines();
+  }
+  void expire_lease(Worker& worker) const {
+    if (now - worker.lease_from <= kLease || worker.fault == Fault::kHung) return;
+    worker.heartbeat.incarnation = Incarnation(worker.heartbeat.incarnation.value() + 1);
+    worker.heartbeat.tasks.clear();
+    worker.lease_from = now;
+  }
+  void send_heartbeat_if_due(Worker& worker) {
+    if (now < worker.next_heartbeat_at || worker.fault == Fault::kHung ||
+        worker.fault == Fault::kHeartbeatsLost)
+      return;
+    shard.on_worker_heartbeat(next_heartbeat(worker), at(now));
+    worker.last_contact_at = now;
+    if (!shard.find_machine(worker.heartbeat.machine)) return;
+    shard.heartbeat_response(worker.heartbeat.machine, at(now));
+    if (worker.fault != Fault::kReceivesNothing) worker.lease_from = now;
+    worker.next_heartbeat_at = now + heartbeat_period(worker.fault);
+  }
+  static double heartbeat_period(Fault fault) {
+    if (fault == Fault::kReceivesNothing) return 5;
+    if (fault == Fault::kCommandsLost) return 10;
+    return kHeartbeatPeriod;
+  }
+  void deliver(const ShardManager::Batch& batch) {
+    auto& worker = workers.at(batch.machine);
+    if (batch.commands.empty()) ++probes[batch.machine];
+    if (worker.fault != Fault::kNone && worker.fault != Fault::kHeartbeatsLost) {
+      timeouts.emplace(now + kTimeout, batch);
+      return;
     }
+    worker.heartbeat.token = std::max(worker.heartbeat.token, batch.token);
+    for (const auto& command : batch.commands)
+      if (command.op == protocol::Command::Op::kStart)
+        worker.heartbeat.tasks.push_back(
+            {command.task, command.attempt, TaskState::kRunning, EndCause::kDone, false});
+    shard.on_command_result(batch, ShardManager::CommandResult::kExecuted, next_heartbeat(worker), at(now));
+  }
+  void time_out_unanswered() {
     while (!timeouts.empty() && timeouts.begin()->first <= now) {
-      auto b = timeouts.extract(timeouts.begin()).mapped();
-      shard.on_command_result(b, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(now));
+      auto batch = timeouts.extract(timeouts.begin()).mapped();
+      shard.on_command_result(batch, ShardManager::CommandResult::kNoAnswer, std::nullopt, at(now));
     }
+  }
+  void delete_machines() {
     for (auto& name : shard.take_machines_to_delete(at(now))) {
-      deleted[name] = now - workers.at(name).confirmed;
+      deleted[name] = now - workers.at(name).last_contact_at;
       shard.on_machine_terminated(name, at(now));
     }
   }
@@ -125,11 +143,12 @@
         {Generation(1), ShardId(0), Term(5), Ranges::span(0, spec.tasks), std::nullopt, false, {}}};
     shard.on_job(spec.id, &job, std::nullopt, at(now));
   }
-  void run_until(double t) {
-    while (now < t) step();
+  void run_until(double time_s) {
+    while (now < time_s) step();
   }
-  void fault(int first, int last, Fault t) {
-    for (int i = first; i < last; ++i) workers.at(MachineName("m" + std::to_string(i))).fault = t;
+  // The fault of machines m`first` to, and without, m`last`.
+  void set_fault(int first, int last, Fault kind) {
+    for (int i = first; i < last; ++i) workers.at(MachineName("m" + std::to_string(i))).fault = kind;
   }
 
   ShardManager shard;
@@ -166,24 +185,24 @@
       {"receives nothing", 12, 1, Fault::kReceivesNothing, 60, 0, 5},
       {"no command gets through, one hangs", 12, 12, Fault::kCommandsLost, 30, kGrace, kGrace + 1},
   };
-  for (const auto& c : cases) {
-    Fleet fleet(c.machines);
+  for (const auto& entry : cases) {
+    Fleet fleet(entry.machines);
     fleet.run_until(30);
-    fleet.fault(0, c.faulty, c.fault);
-    if (c.work) fleet.grant_tasks();
-    if (c.fault == Fault::kCommandsLost) fleet.fault(0, 1, Fault::kHung);
-    fleet.run_until(30 + c.lasts);
-    fleet.fault(0, c.faulty, Fault::kNone);
+    fleet.set_fault(0, entry.faulty, entry.fault);
+    if (entry.work) fleet.grant_tasks();
+    if (entry.fault == Fault::kCommandsLost) fleet.set_fault(0, 1, Fault::kHung);
+    fleet.run_until(30 + entry.lasts);
+    fleet.set_fault(0, entry.faulty, Fault::kNone);
     fleet.run_until(100);
     for (const auto& [name, seconds] : fleet.deleted) {
       int index = std::stoi(name.value().substr(1));
-      EXPECT_LT(index, c.fault == Fault::kCommandsLost ? 1 : c.faulty) << c.what;
+      EXPECT_LT(index, entry.fault == Fault::kCommandsLost ? 1 : entry.faulty) << entry.what;
     }
-    EXPECT_EQ(!fleet.deleted.empty(), c.from.has_value()) << c.what;
-    if (fleet.deleted.empty() || !c.from) continue;
+    EXPECT_EQ(!fleet.deleted.empty(), entry.from.has_value()) << entry.what;
+    if (fleet.deleted.empty() || !entry.from) continue;
     for (const auto& [name, seconds] : fleet.deleted) {
-      EXPECT_GE(seconds, *c.from) << c.what;
-      EXPECT_LE(seconds, *c.until) << c.what;
+      EXPECT_GE(seconds, *entry.from) << entry.what;
+      EXPECT_LE(seconds, *entry.until) << entry.what;
     }
   }
 }
@@ -195,12 +214,12 @@
   fleet.run_until(30);
   EXPECT_TRUE(fleet.probes.size() <= 12 && fleet.probes[MachineName("m0")] <= 1);  // once, at the failover
   auto before = fleet.probes;
-  fleet.fault(0, 1, Fault::kHung);
+  fleet.set_fault(0, 1, Fault::kHung);
   fleet.run_until(35);
   EXPECT_GE(fleet.probes[MachineName("m0")] - before[MachineName("m0")], 1);
   int others = 0;
-  for (const auto& [name, n] : fleet.probes)
-    if (name != MachineName("m0")) others += n - before[name];
+  for (const auto& [name, count] : fleet.probes)
+    if (name != MachineName("m0")) others += count - before[name];
   EXPECT_GE(others, 1);
   EXPECT_LE(others, 5);
   EXPECT_FALSE(fleet.shard.machines().at(MachineName("m0")).usable(at(35)));
@@ -211,16 +230,16 @@
 TEST(FailureDetection, AProcessPauseIsNotHeldAgainstAMachine) {
   Fleet fleet(12);
   fleet.run_until(30);
-  fleet.fault(0, 1, Fault::kHung);
+  fleet.set_fault(0, 1, Fault::kHung);
   fleet.run_until(36);
   fleet.now = 44;  // the controller's, not the workers': they have waited meanwhile
   fleet.shard.on_process_pause(at(fleet.now));
-  fleet.fault(0, 1, Fault::kNone);
-  for (auto& [name, w] : fleet.workers) {
-    w.next = w.lease_from = fleet.now;
-    w.confirmed = fleet.now;
+  fleet.set_fault(0, 1, Fault::kNone);
+  for (auto& [name, worker] : fleet.workers) {
+    worker.next_heartbeat_at = worker.lease_from = fleet.now;
+    worker.last_contact_at = fleet.now;
   }
-  fleet.workers.at(MachineName("m0")).next = fleet.now + 3;
+  fleet.workers.at(MachineName("m0")).next_heartbeat_at = fleet.now + 3;
   fleet.run_until(80);
   EXPECT_TRUE(fleet.deleted.empty());
 }
@@ -232,28 +251,31 @@
   fleet.run_until(30);
   fleet.grant_tasks();
   fleet.run_until(31);
-  auto& w = fleet.workers.at(MachineName("m0"));
-  ASSERT_FALSE(w.heartbeat.tasks.empty());
+  auto& hung = fleet.workers.at(MachineName("m0"));
+  ASSERT_FALSE(hung.heartbeat.tasks.empty());
   fleet.run_until(35);
-  fleet.fault(0, 1, Fault::kHung);
-  double t = 35;
+  fleet.set_fault(0, 1, Fault::kHung);
+  double time_s = 35;
   std::vector<MachineName> marked;
-  for (; marked.empty() && t < 60; t += kStep) {
-    for (auto& [name, x] : fleet.workers)
-      if (name != MachineName("m0")) fleet.shard.on_worker_heartbeat(fleet.next_heartbeat(x), at(t));
-    marked = fleet.shard.take_machines_to_delete(at(t));
+  for (; marked.empty() && time_s < 60; time_s += kStep) {
+    for (auto& [name, worker] : fleet.workers)
+      if (name != MachineName("m0"))
+        fleet.shard.on_worker_heartbeat(fleet.next_heartbeat(worker), at(time_s));
+    marked = fleet.shard.take_machines_to_delete(at(time_s));
   }
   ASSERT_EQ(marked, std::vector{MachineName("m0")});
-  fleet.shard.on_job(JobId("run-1"), &fleet.job, state_store::TerminalState::kCancelled, at(t));
-  for (const auto& b : fleet.shard.take_command_batches(at(t))) EXPECT_NE(b.machine, MachineName("m0"));
+  fleet.shard.on_job(JobId("run-1"), &fleet.job, state_store::TerminalState::kCancelled, at(time_s));
+  for (const auto& batch : fleet.shard.take_command_batches(at(time_s)))
+    EXPECT_NE(batch.machine, MachineName("m0"));
   // The answer to a probe comes first, so that its heartbeat is none that ends a long pause.
-  ShardManager::Batch probe{MachineName("m0"), w.heartbeat.address, Incarnation(1), w.heartbeat.token, {}};
-  fleet.shard.on_command_result(probe, ShardManager::CommandResult::kExecuted, fleet.next_heartbeat(w),
-                                at(t));
-  fleet.shard.on_worker_heartbeat(fleet.next_heartbeat(w), at(t + 0.1));
-  auto answer = fleet.shard.heartbeat_response(MachineName("m0"), at(t + 0.1));
-  EXPECT_EQ(answer.commands.size(), w.heartbeat.tasks.size());
-  for (const auto& c : answer.commands) EXPECT_EQ(c.op, protocol::Command::Op::kStop);
+  ShardManager::Batch probe{
+      MachineName("m0"), hung.heartbeat.address, Incarnation(1), hung.heartbeat.token, {}};
+  fleet.shard.on_command_result(probe, ShardManager::CommandResult::kExecuted, fleet.next_heartbeat(hung),
+                                at(time_s));
+  fleet.shard.on_worker_heartbeat(fleet.next_heartbeat(hung), at(time_s + 0.1));
+  auto answer = fleet.shard.heartbeat_response(MachineName("m0"), at(time_s + 0.1));
+  EXPECT_EQ(answer.commands.size(), hung.heartbeat.tasks.size());
+  for (const auto& command : answer.commands) EXPECT_EQ(command.op, protocol::Command::Op::kStop);
 }
 
 // A machine recorded as quarantined keeps what runs there through a failover as well: before its first
@@ -263,16 +285,17 @@
     ShardManager shard(ShardId(0), Term(5), Fleet::params(), at(0));
     shard.on_registry({{MachineName("m1"), MachineType("t4"), Zone("a"), false, "127.0.0.1:1", true}}, at(0));
     EXPECT_TRUE(shard.take_machines_to_delete(at(0.1)).empty());
-    protocol::WorkerHeartbeat r;
-    r.machine = MachineName("m1");
-    r.type = MachineType("t4");
-    r.zone = Zone("a");
-    r.incarnation = Incarnation(1);
-    r.sequence = Sequence(1);
-    r.token = FencingToken::first_of(Term(5));
+    protocol::WorkerHeartbeat heartbeat;
+    heartbeat.machine = MachineName("m1");
+    heartbeat.type = MachineType("t4");
+    heartbeat.zone = Zone("a");
+    heartbeat.incarnation = Incarnation(1);
+    heartbeat.sequence = Sequence(1);
+    heartbeat.token = FencingToken::first_of(Term(5));
     if (runs)
-      r.tasks.push_back({{JobId("run-1"), 0}, Attempt(1), TaskState::kRunning, EndCause::kDone, false});
-    shard.on_worker_heartbeat(r, at(0.2));
+      heartbeat.tasks.push_back(
+          {{JobId("run-1"), 0}, Attempt(1), TaskState::kRunning, EndCause::kDone, false});
+    shard.on_worker_heartbeat(heartbeat, at(0.2));
     EXPECT_EQ(shard.take_machines_to_delete(at(0.3)).empty(), runs);
   }
 }
@@ -282,7 +305,7 @@
 TEST(FailureDetection, NoMoreAreMarkedForDeletionWhileARequestIsUnanswered) {
   Fleet fleet(250);
   fleet.run_until(kHeartbeatPeriod + 1);
-  for (const auto& [name, w] : fleet.workers) fleet.shard.release(name);
+  for (const auto& [name, worker] : fleet.workers) fleet.shard.release(name);
   auto first = fleet.shard.take_machines_to_delete(at(5));
   EXPECT_EQ(first.size(), protocol::kMaxDelete);
   EXPECT_TRUE(fleet.shard.take_machines_to_delete(at(5.1)).empty());
