--- a/tests/cancellation_barrier_test.cpp
+++ b/tests/cancellation_barrier_test.cpp
@@ -28,7 +28,7 @@
   protocol::CancellationSync send(Duration at) {
     return barrier.outgoing(kPeer, ++sequence, known(), kStart + at);
   }
-  // A heartbeat of the peer that echoes the one of this number.
+  // A heartbeat of the peer that echoes the one of this number. True: it has to be answered at once.
   bool receive(Duration at, std::uint64_t echo, std::optional<protocol::CancellationSync> d,
                Revision acknowledged_until = {}) {
     protocol::Heartbeat h;
@@ -36,7 +36,8 @@
     h.sequence = 1;
     h.echo = echo;
     h.cancellation_sync = std::move(d);
-    return barrier.on_heartbeat(kPeer, h, known(), kStart + at);
+    return barrier.on_heartbeat(kPeer, h, known(), kStart + at) ==
+           CancellationBarrier::NextHeartbeat::kAtOnce;
   }
   // The peer is in touch and has read everything up to this revision.
   void make_contact(Duration at, Revision peer_read = {}) {
@@ -47,7 +48,7 @@
   bool may(std::uint64_t revision, Duration at) const {
     return barrier.may_reveal(cancelled(revision), known(), kStart + at);
   }
-  Duration known_until(Duration at) const { return barrier.known_until(ready, kStart + at) - kStart; }
+  Duration known_until(Duration at) const { return barrier.known_until(ready, kStart + at).value() - kStart; }
 
   CancellationBarrier barrier;
   std::set<CancelledJob> jobs;
@@ -123,7 +124,7 @@
   EXPECT_EQ(sent.read_until, Revision());
   EXPECT_TRUE(sent.cancelled.empty());
   EXPECT_FALSE(fixture.may(101, 100s));
-  EXPECT_EQ(fixture.barrier.known_until(false, kStart + 20s), Instant{});
+  EXPECT_EQ(fixture.barrier.known_until(false, kStart + 20s), std::nullopt);
 }
 
 TEST(CancellationBarrierTest, APeerThatIsNotReadyGetsNeitherReadLeaseNorCancellations) {
@@ -200,7 +201,7 @@
   Fixture fixture;
   fixture.send(0s);
   fixture.receive(0s, 77, sync_of(true, true));
-  EXPECT_EQ(fixture.barrier.known_until(true, kStart + 1s), Instant{});
+  EXPECT_EQ(fixture.barrier.known_until(true, kStart + 1s), std::nullopt);
   fixture.receive(0s, 1, sync_of(true, true));
   EXPECT_EQ(fixture.known_until(1s), 1s);
   fixture.barrier.forget_sent(kPeer);
@@ -244,10 +245,10 @@
   Fixture fixture;
   fixture.send(0s);
   fixture.receive(0s, 1, sync_of(false, true));
-  EXPECT_EQ(fixture.barrier.known_until(true, kStart), Instant{});
+  EXPECT_EQ(fixture.barrier.known_until(true, kStart), std::nullopt);
   fixture.ready = false;
   fixture.receive(0s, 1, sync_of(true, true));
-  EXPECT_EQ(fixture.barrier.known_until(true, kStart), Instant{});
+  EXPECT_EQ(fixture.barrier.known_until(true, kStart), std::nullopt);
 }
 
 TEST(StateView, IndexesCancelledEnds) {
