--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -42,11 +42,11 @@
   return protocol::Condition{state_store::leader_role_key(), role.revision};
 }
 
-std::map<ShardId, Term> Leadership::shard_terms() const {
-  std::map<ShardId, Term> terms;
+scheduler::ShardTerms Leadership::shard_terms() const {
+  scheduler::ShardTerms terms;
   for (std::uint32_t number = 0; number < ctx_.partitioning.shard_count(); ++number) {
     const auto& role = ctx_.view().shard_role(ShardId(number));
-    if (role.exists()) terms[ShardId(number)] = role.value.term;
+    if (role.exists()) terms.set(ShardId(number), role.value.term);
   }
   return terms;
 }
--- a/src/controller/leadership.h
+++ b/src/controller/leadership.h
@@ -2,7 +2,6 @@
 #pragma once
 
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 
@@ -36,7 +35,7 @@
   // controller is the leader. None: it isn't the leader, as far as the view shows, or hasn't read the ledger.
   std::optional<protocol::Condition> still_leader() const;
   // The terms of all shards that have a leader, as the view shows them.
-  std::map<ShardId, Term> shard_terms() const;
+  scheduler::ShardTerms shard_terms() const;
   // The number of jobs that one transaction may change.
   std::size_t max_changes_per_txn() const;
 
--- a/src/scheduler/assumed_grants.h
+++ b/src/scheduler/assumed_grants.h
@@ -5,6 +5,7 @@
 #include <vector>
 
 #include "base/types.h"
+#include "scheduler/reserved_cpus.h"
 
 namespace beaconsill::scheduler {
 
@@ -18,12 +19,11 @@
   void acknowledge(ShardId shard, Revision seen) {
     std::erase_if(by_shard_[shard], [&](const Assumed& grant) { return grant.committed_at <= seen; });
   }
-  // CPUs assumed per shard; shards without any may be missing.
-  std::map<ShardId, double> cpus_by_shard() const {
-    std::map<ShardId, double> cpus;
+  ReservedCpus reserved_cpus() const {
+    ReservedCpus reserved;
     for (const auto& [shard, grants] : by_shard_)
-      for (const auto& grant : grants) cpus[shard] += grant.cpus;
-    return cpus;
+      for (const auto& grant : grants) reserved.add(shard, grant.cpus);
+    return reserved;
   }
 
  private:
--- a/src/scheduler/autoscaler.cpp
+++ b/src/scheduler/autoscaler.cpp
@@ -218,8 +218,8 @@
   return failed;
 }
 
-std::vector<MachineName> Autoscaler::idle_instances(const std::map<ShardId, protocol::Summary>& summaries,
-                                                    bool demand, bool jobs) const {
+std::vector<MachineName> Autoscaler::idle_instances(const ShardSummaries& summaries, bool demand,
+                                                    bool jobs) const {
   std::vector<MachineName> idle;
   if (demand) return idle;
   double idle_limit_s = to_seconds(jobs ? params_.idle_return : params_.quiet_return);
--- a/src/scheduler/autoscaler.h
+++ b/src/scheduler/autoscaler.h
@@ -11,6 +11,7 @@
 
 #include "protocol/cloud.h"
 #include "scheduler/boot_timeouts.h"
+#include "scheduler/shard_summaries.h"
 #include "scheduler/waiting_jobs.h"
 
 namespace beaconsill::scheduler {
@@ -56,8 +57,7 @@
   std::vector<MachineName> failed_instances(Instant now);
   // Idle instances that their shard leaders may return: none while there is demand; later while there are
   // jobs, whose next tasks may need them.
-  std::vector<MachineName> idle_instances(const std::map<ShardId, protocol::Summary>& summaries, bool demand,
-                                          bool jobs) const;
+  std::vector<MachineName> idle_instances(const ShardSummaries& summaries, bool demand, bool jobs) const;
 
  private:
   struct InstanceKind {
--- a/src/scheduler/grant_builder.cpp
+++ b/src/scheduler/grant_builder.cpp
@@ -15,7 +15,7 @@
 TasksByZone placed_tasks(const JobEntry& entry) {
   TasksByZone placed;
   for (const auto& retained : entry.retained_chunks)
-    if (retained.chunk.zone) placed[*retained.chunk.zone] += retained.unreleased_tasks;
+    if (retained.chunk.zone) placed.add(*retained.chunk.zone, retained.unreleased_tasks);
   return placed;
 }
 
@@ -32,7 +32,7 @@
   return grant;
 }
 
-GrantBuilder::GrantBuilder(const GrantInputs& inputs, std::map<ShardId, double> reserved_cpus)
+GrantBuilder::GrantBuilder(const GrantInputs& inputs, ReservedCpus reserved_cpus)
     : in_(inputs), usage_(inputs.quota.usage()), reserved_cpus_(std::move(reserved_cpus)) {}
 
 std::optional<JobGrant> GrantBuilder::build(const RoundCandidate& candidate) {
@@ -76,12 +76,12 @@
   const auto& spec = entry.spec();
   OfferedCapacity offered(spec.one_zone || spec.spread);
   for (const auto& [shard, term] : in_.terms) {
-    auto reserved_tasks = spec.each.cpus > 0 ? ceil_count(reserved_cpus_[shard] / spec.each.cpus) : 0;
+    auto reserved_tasks = spec.each.cpus > 0 ? ceil_count(reserved_cpus_.on(shard) / spec.each.cpus) : 0;
     if (const auto* capacity = in_.round.capacity(shard, candidate)) {
       offered.add_shard(shard, *capacity, reserved_tasks);
-    } else if (auto summary = in_.summaries.find(shard); summary != in_.summaries.end()) {
+    } else if (const auto* summary = in_.summaries.find(shard)) {
       const auto& request = in_.round.resource_request(candidate);
-      offered.add_shard(shard, shard::estimate(summary->second, request, in_.rules), reserved_tasks);
+      offered.add_shard(shard, shard::estimate(*summary, request, in_.rules), reserved_tasks);
     }
   }
   if (spec.one_zone) offered.restrict_to_one_zone(placed_tasks(entry));
@@ -104,7 +104,7 @@
       grant.grants.chunks.push_back({grant.grants.last, allocation.shard, in_.terms.at(allocation.shard),
                                      pending.take(allocation.tasks), allocation.zone, preempt, attempt,
                                      inherited});
-      reserved_cpus_[allocation.shard] += spec.each.cpus * allocation.tasks;
+      reserved_cpus_.add(allocation.shard, spec.each.cpus * allocation.tasks);
       usage_.charge(spec.team, spec.each * static_cast<double>(allocation.tasks));
     }
   };
--- a/src/scheduler/grant_builder.h
+++ b/src/scheduler/grant_builder.h
@@ -1,7 +1,6 @@
 // Turns the responses of an estimation round into grants, one job after the other.
 #pragma once
 
-#include <map>
 #include <optional>
 
 #include "base/types.h"
@@ -11,6 +10,9 @@
 #include "scheduler/job_table.h"
 #include "scheduler/offered_capacity.h"
 #include "scheduler/quota_ledger.h"
+#include "scheduler/reserved_cpus.h"
+#include "scheduler/shard_summaries.h"
+#include "scheduler/shard_terms.h"
 #include "scheduler/team_usage.h"
 #include "scheduler/waiting_jobs.h"
 #include "shard/estimator.h"
@@ -26,8 +28,8 @@
   const JobTable& jobs;
   const QuotaLedger& quota;
   const WaitingJobs& waiting;
-  const std::map<ShardId, protocol::Summary>& summaries;  // for shards that haven't responded
-  const std::map<ShardId, Term>& terms;                   // of all shards that may be granted tasks
+  const ShardSummaries& summaries;  // for shards that haven't responded
+  const ShardTerms& terms;          // of all shards that may be granted tasks
   const shard::PackingRules& rules;
   Duration heartbeat_period;
   Instant now;
@@ -38,7 +40,7 @@
 class GrantBuilder {
  public:
   // `reserved_cpus`: on each shard, for grants that its response may not account for.
-  GrantBuilder(const GrantInputs& inputs, std::map<ShardId, double> reserved_cpus);
+  GrantBuilder(const GrantInputs& inputs, ReservedCpus reserved_cpus);
 
   // The job's grants with new chunks for its pending tasks, or with a gang's revocation; none if it's to be
   // granted nothing now. To be called in the order in which the jobs are served.
@@ -53,7 +55,7 @@
 
   GrantInputs in_;
   TeamUsage usage_;
-  std::map<ShardId, double> reserved_cpus_;
+  ReservedCpus reserved_cpus_;
   bool arrays_yield_ = false;  // a starving gang found no capacity
 };
 
--- a/src/scheduler/offered_capacity.cpp
+++ b/src/scheduler/offered_capacity.cpp
@@ -1,6 +1,7 @@
 #include "scheduler/offered_capacity.h"
 
 #include <algorithm>
+#include <map>
 #include <optional>
 #include <utility>
 
@@ -79,7 +80,8 @@
 }
 
 void OfferedCapacity::restrict_to_one_zone(const TasksByZone& placed) {
-  auto zone = placed.empty() ? largest_zone(free_) : placed.begin()->first;
+  auto zone = placed.first_zone();
+  if (!zone) zone = largest_zone(free_);
   auto elsewhere = [&](const ShardCapacity& capacity) { return !zone || *capacity.zone != *zone; };
   std::erase_if(free_, elsewhere);
   std::erase_if(preemptible_, elsewhere);
@@ -89,9 +91,8 @@
   auto tasks_in_zone = placed;
   for (auto* list : {&free_, &preemptible_}) {
     for (auto& capacity : *list) {
-      auto& tasks = tasks_in_zone[*capacity.zone];
-      capacity.tasks = std::min(capacity.tasks, minus(limit, tasks));
-      tasks += capacity.tasks;
+      capacity.tasks = std::min(capacity.tasks, minus(limit, tasks_in_zone.in(*capacity.zone)));
+      tasks_in_zone.add(*capacity.zone, capacity.tasks);
     }
   }
 }
--- a/src/scheduler/offered_capacity.h
+++ b/src/scheduler/offered_capacity.h
@@ -2,18 +2,16 @@
 #pragma once
 
 #include <cstdint>
-#include <map>
 #include <vector>
 
 #include "base/types.h"
 #include "protocol/api.h"
 #include "protocol/peer.h"
 #include "scheduler/apportionment.h"
+#include "scheduler/tasks_by_zone.h"
 
 namespace beaconsill::scheduler {
 
-using TasksByZone = std::map<Zone, std::uint32_t>;
-
 // How a job's tasks are divided among the shards.
 struct Placement {
   std::vector<ShardAllocation> free;
--- a/src/scheduler/reported_progress.cpp
+++ b/src/scheduler/reported_progress.cpp
@@ -18,13 +18,8 @@
 
 }  // namespace
 
-bool ReportedProgress::is_current(ShardId shard, Term term) const {
-  auto known = terms_.find(shard);
-  return known != terms_.end() && known->second == term;
-}
-
 void ReportedProgress::on_report(const protocol::ProgressReport& report) {
-  bool current = is_current(report.shard, report.term);
+  bool current = terms_.is_current(report.shard, report.term);
   for (const auto& job : report.jobs) {
     auto& known = by_job_[job.job][report.shard];
     known.progress.done.add(job.done);
@@ -36,13 +31,13 @@
   }
 }
 
-std::vector<JobId> ReportedProgress::on_terms(const std::map<ShardId, Term>& terms) {
+std::vector<JobId> ReportedProgress::on_terms(const ShardTerms& terms) {
   std::vector<JobId> changed;
   if (terms == terms_) return changed;
   terms_ = terms;
   for (auto& [job, shards] : by_job_) {
     for (auto& [shard, reported] : shards) {
-      if (reported.progress.released.empty() || is_current(shard, reported.term)) continue;
+      if (reported.progress.released.empty() || terms_.is_current(shard, reported.term)) continue;
       reported.progress.released.clear();
       changed.push_back(job);
     }
--- a/src/scheduler/reported_progress.h
+++ b/src/scheduler/reported_progress.h
@@ -6,6 +6,7 @@
 
 #include "base/types.h"
 #include "protocol/peer.h"
+#include "scheduler/shard_terms.h"
 #include "state_store/records.h"
 
 namespace beaconsill::scheduler {
@@ -15,6 +16,7 @@
   Term term;  // of the shard leader that reported the releases
   state_store::Progress progress;
 };
+// What all leaders of the shards that were granted tasks of the job reported about it.
 using ProgressByShard = std::map<ShardId, ShardProgress>;
 
 // Keeps reports until the job is removed. That a task is done stays true under every term; that it was
@@ -26,16 +28,14 @@
   void on_report(const protocol::ProgressReport& report);
   // Replaces the current terms. Returns the jobs of which some reported release counts no longer; a job is
   // listed once for each shard concerned.
-  std::vector<JobId> on_terms(const std::map<ShardId, Term>& terms);
+  std::vector<JobId> on_terms(const ShardTerms& terms);
   // Null if nothing was reported about the job. Valid until the next call of a non-const function.
   const ProgressByShard* find(const JobId& job) const;
   void erase(const JobId& job) { by_job_.erase(job); }
 
  private:
-  bool is_current(ShardId shard, Term term) const;
-
   std::map<JobId, ProgressByShard> by_job_;
-  std::map<ShardId, Term> terms_;
+  ShardTerms terms_;
 };
 
 }  // namespace beaconsill::scheduler
--- /dev/null
+++ b/src/scheduler/reserved_cpus.h
@@ -0,0 +1,30 @@
+// CPUs of the shards that are spoken for, although estimates show them as free.
+#pragma once
+
+#include <initializer_list>
+#include <map>
+#include <utility>
+
+#include "base/types.h"
+
+namespace beaconsill::scheduler {
+
+// A value type: a round works on a copy and adds to it what it grants.
+class ReservedCpus {
+ public:
+  ReservedCpus() = default;
+  ReservedCpus(std::initializer_list<std::pair<const ShardId, double>> cpus) : by_shard_(cpus) {}
+
+  void add(ShardId shard, double cpus) { by_shard_[shard] += cpus; }
+  // Zero for a shard on which none were reserved.
+  double on(ShardId shard) const {
+    auto reserved = by_shard_.find(shard);
+    return reserved == by_shard_.end() ? 0 : reserved->second;
+  }
+  bool operator==(const ReservedCpus&) const = default;
+
+ private:
+  std::map<ShardId, double> by_shard_;
+};
+
+}  // namespace beaconsill::scheduler
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -101,13 +101,12 @@
   crash_loops_.on_job_health(id, health, entry->last_granted, now);
 }
 
-std::vector<JobId> Scheduler::on_terms(const std::map<ShardId, Term>& terms) {
+std::vector<JobId> Scheduler::on_terms(const ShardTerms& terms) {
   return reported_.on_terms(terms);
 }
 
 void Scheduler::on_summary(const protocol::Summary& summary, Instant) {
-  auto& known = summaries_[summary.shard];
-  if (summary.term >= known.term) known = summary;
+  summaries_.update(summary);
 }
 
 void Scheduler::on_estimate_response(const protocol::EstimateResponse& response, Instant) {
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -4,7 +4,6 @@
 
 #include <cstddef>
 #include <cstdint>
-#include <map>
 #include <optional>
 #include <set>
 #include <vector>
@@ -21,6 +20,8 @@
 #include "scheduler/job_table.h"
 #include "scheduler/quota_ledger.h"
 #include "scheduler/reported_progress.h"
+#include "scheduler/shard_summaries.h"
+#include "scheduler/shard_terms.h"
 #include "scheduler/waiting_jobs.h"
 #include "shard/estimator.h"
 #include "state_store/state_view.h"
@@ -52,7 +53,7 @@
   void on_progress_report(const protocol::ProgressReport& report, Instant now);
   // The present terms of the shards. Releases reported under another term count no more; returns the jobs
   // concerned, for which on_job must be called.
-  std::vector<JobId> on_terms(const std::map<ShardId, Term>& terms);
+  std::vector<JobId> on_terms(const ShardTerms& terms);
   void on_summary(const protocol::Summary& summary, Instant now);
   void on_estimate_response(const protocol::EstimateResponse& response, Instant now);
 
@@ -66,7 +67,7 @@
   // of each shard. At most `max_jobs` jobs are granted tasks, by default as many as fit into a transaction.
   // If there are grants, they have to be written in one transaction and `on_granted` called; else the round
   // is over.
-  std::optional<std::vector<Grant>> decide(Instant now, const std::map<ShardId, Term>& terms,
+  std::optional<std::vector<Grant>> decide(Instant now, const ShardTerms& terms,
                                            std::optional<std::size_t> max_jobs = std::nullopt);
   // Whether the open round has some service among its jobs.
   bool has_services() const;
@@ -91,7 +92,7 @@
 
   // ---- Queries
   std::vector<Demand> demand(Instant now) const { return waiting_jobs().demand(now); }
-  const std::map<ShardId, protocol::Summary>& summaries() const { return summaries_; }
+  const ShardSummaries& summaries() const { return summaries_; }
   // Whether any job isn't over.
   bool busy() const { return !inherited_.empty() || !jobs_.open().empty(); }
 
@@ -108,7 +109,7 @@
   void refresh_requirements();
   void on_job_health(const JobId& id, protocol::JobHealth health, Instant now);
 
-  std::vector<Grant> build_grants(Instant now, const std::map<ShardId, Term>& terms, std::size_t max_jobs,
+  std::vector<Grant> build_grants(Instant now, const ShardTerms& terms, std::size_t max_jobs,
                                   std::set<JobId>& superseding) const;
   void add_superseding(const std::set<JobId>& superseding, std::vector<Grant>& grants) const;
 
@@ -121,7 +122,7 @@
   ReportedProgress reported_;
   AssumedGrants assumed_;
   IndeterminateGrants indeterminate_;
-  std::map<ShardId, protocol::Summary> summaries_;
+  ShardSummaries summaries_;
   std::optional<EstimationRound> round_;
   std::uint64_t next_round_ = 1;
   Instant last_round_{};
--- a/src/scheduler/scheduler_rounds.cpp
+++ b/src/scheduler/scheduler_rounds.cpp
@@ -42,8 +42,7 @@
                                });
 }
 
-std::optional<std::vector<Scheduler::Grant>> Scheduler::decide(Instant now,
-                                                               const std::map<ShardId, Term>& terms,
+std::optional<std::vector<Scheduler::Grant>> Scheduler::decide(Instant now, const ShardTerms& terms,
                                                                std::optional<std::size_t> max_jobs) {
   if (!round_ || round_->writing()) return std::nullopt;
   if (!round_->responses_complete(now, params_.reply_wait)) return std::nullopt;
@@ -66,13 +65,13 @@
 
 // Removes from `superseding` the jobs that are granted something, as those grants are superseding writes as
 // well.
-std::vector<Scheduler::Grant> Scheduler::build_grants(Instant now, const std::map<ShardId, Term>& terms,
+std::vector<Scheduler::Grant> Scheduler::build_grants(Instant now, const ShardTerms& terms,
                                                       std::size_t max_jobs,
                                                       std::set<JobId>& superseding) const {
   const auto waiting = waiting_jobs();
   GrantBuilder builder(
       {*round_, jobs_, quota_, waiting, summaries_, terms, params_.rules, params_.heartbeat_period, now},
-      assumed_.cpus_by_shard());
+      assumed_.reserved_cpus());
   auto max_grants = std::max(std::min(max_jobs, params_.max_writes), superseding.size() + 1);
   std::vector<Grant> grants;
   for (const auto& candidate : round_->candidates()) {
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -87,9 +87,11 @@
         Case{70, false, true, true}, Case{70, true, true, false}}) {
     Autoscaler autoscaler({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64},
                           "t7-");
-    std::map<ShardId, protocol::Summary> summaries;
-    summaries[ShardId(0)].machines = {
+    protocol::Summary summary;
+    summary.machines = {
         {MachineName("m"), MachineType("t"), Zone("a"), false, {4, 0, 8}, test_case.idle, true}};
+    ShardSummaries summaries;
+    summaries.update(summary);
     EXPECT_EQ(!autoscaler.idle_instances(summaries, test_case.demand, test_case.jobs).empty(),
               test_case.released)
         << test_case.idle << test_case.demand << test_case.jobs;
--- a/tests/concurrent_faults_scheduler_test.cpp
+++ b/tests/concurrent_faults_scheduler_test.cpp
@@ -75,7 +75,7 @@
   }
 
   Scheduler scheduler;
-  std::map<ShardId, Term> now_terms;
+  ShardTerms now_terms;
   std::map<std::string, state_store::Job> jobs;
   std::map<std::string, TerminalState> ends;
   std::uint64_t revision = 10;
--- a/tests/failover_scheduler_test.cpp
+++ b/tests/failover_scheduler_test.cpp
@@ -15,7 +15,7 @@
   return Instant{} + from_seconds(1000 + s);
 }
 
-std::map<ShardId, Term> terms(std::uint64_t of_first_shard) {
+ShardTerms terms(std::uint64_t of_first_shard) {
   return {{ShardId(0), Term(of_first_shard)}, {ShardId(1), Term(1)}};
 }
 
--- a/tests/indeterminate_grants_test.cpp
+++ b/tests/indeterminate_grants_test.cpp
@@ -78,13 +78,13 @@
   assumed.add(ShardId(0), Revision(5), 2);
   assumed.add(ShardId(0), Revision(7), 3);
   assumed.add(ShardId(1), Revision(7), 4);
-  EXPECT_EQ(assumed.cpus_by_shard(), (std::map<ShardId, double>{{ShardId(0), 5}, {ShardId(1), 4}}));
+  EXPECT_EQ(assumed.reserved_cpus(), (ReservedCpus{{ShardId(0), 5}, {ShardId(1), 4}}));
   assumed.acknowledge(ShardId(0), Revision(4));
-  EXPECT_EQ(assumed.cpus_by_shard().at(ShardId(0)), 5);
+  EXPECT_EQ(assumed.reserved_cpus().on(ShardId(0)), 5);
   assumed.acknowledge(ShardId(0), Revision(5));
-  EXPECT_EQ(assumed.cpus_by_shard().at(ShardId(0)), 3);
+  EXPECT_EQ(assumed.reserved_cpus().on(ShardId(0)), 3);
   assumed.acknowledge(ShardId(0), Revision(7));
-  EXPECT_EQ(assumed.cpus_by_shard(), (std::map<ShardId, double>{{ShardId(1), 4}}));
+  EXPECT_EQ(assumed.reserved_cpus(), (ReservedCpus{{ShardId(1), 4}}));
 }
 
 }  // namespace
--- a/tests/sim/controller.h
+++ b/tests/sim/controller.h
@@ -115,7 +115,7 @@
   void acquire(const std::string& key, const state_store::Versioned<state_store::Role>& r,
                std::optional<ShardId> shard);
   void fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& r, ShardId shard);
-  std::map<ShardId, Term> terms() const;
+  scheduler::ShardTerms terms() const;
 
   // Shards (controller_shards.cpp)
   void acquire_shard(ShardId id, Term term);
--- a/tests/sim/controller_leader_election.cpp
+++ b/tests/sim/controller_leader_election.cpp
@@ -9,10 +9,10 @@
 constexpr int kUnstableFactor = 4;  // an unstable shard stays for so many times longer
 }  // namespace
 
-std::map<ShardId, Term> Controller::terms() const {
-  std::map<ShardId, Term> out;
+scheduler::ShardTerms Controller::terms() const {
+  scheduler::ShardTerms out;
   for (std::uint32_t p = 0; p < env_.partitioning.shard_count(); ++p)
-    if (const auto& r = view().shard_role(ShardId(p)); r.exists()) out[ShardId(p)] = r.value.term;
+    if (const auto& r = view().shard_role(ShardId(p)); r.exists()) out.set(ShardId(p), r.value.term);
   return out;
 }
 
