--- a/src/controller/autoscaler_service.cpp
+++ b/src/controller/autoscaler_service.cpp
@@ -9,10 +9,10 @@
 constexpr Duration kListPeriod = std::chrono::milliseconds(2500);
 }  // namespace
 
-AutoscalerService::AutoscalerService(ControllerContext& ctx, PeerService& peers, ShardService& shards,
+AutoscalerService::AutoscalerService(ControllerContext& ctx, PeerMessenger& messenger, ShardService& shards,
                                      Leadership& leadership)
     : ctx_(ctx),
-      peers_(peers),
+      messenger_(messenger),
       shards_(shards),
       leadership_(leadership),
       run_timer_(ctx.io, [this] { run(); }),
@@ -88,7 +88,7 @@
   if (failed.empty()) return;
   ctx_.cloud->remove(failed, [this, failed](bool deleted) {
     if (!deleted || stopped_) return;
-    peers_.broadcast(protocol::TerminatedMachines{failed});
+    messenger_.broadcast(protocol::TerminatedMachines{failed});
     shards_.on_machines_terminated(failed);
   });
 }
@@ -98,7 +98,7 @@
   auto idle = autoscaler_->idle_instances(scheduler.summaries(), !scheduler.demand(ctx_.now()).empty(),
                                           scheduler.busy());
   if (idle.empty()) return;
-  peers_.broadcast(protocol::ReleaseMachines{idle});
+  messenger_.broadcast(protocol::ReleaseMachines{idle});
   shards_.on_release(idle);
 }
 
--- a/src/controller/autoscaler_service.h
+++ b/src/controller/autoscaler_service.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "controller/leadership.h"
-#include "controller/peer_service.h"
+#include "controller/peer_messenger.h"
 #include "controller/shard_service.h"
 #include "controller/timers.h"
 #include "scheduler/autoscaler.h"
@@ -18,7 +18,8 @@
 // tick. Throws nothing; one thread.
 class AutoscalerService {
  public:
-  AutoscalerService(ControllerContext& ctx, PeerService& peers, ShardService& shards, Leadership& leadership);
+  AutoscalerService(ControllerContext& ctx, PeerMessenger& messenger, ShardService& shards,
+                    Leadership& leadership);
   void start();
   void stop();
 
@@ -39,7 +40,7 @@
   void release_idle_instances();
 
   ControllerContext& ctx_;
-  PeerService& peers_;
+  PeerMessenger& messenger_;
   ShardService& shards_;
   Leadership& leadership_;
   PeriodicTimer run_timer_, list_timer_;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -68,9 +68,10 @@
       ctx_, *peers_, [this](protocol::ProgressReport report) { send_to_leader(std::move(report)); });
   scheduler_ = std::make_unique<SchedulerService>(ctx_, *peers_, *shards_);
   catalogue_refresher_ = std::make_unique<CatalogueRefresher>(ctx_, [this] { on_catalogue(); });
-  summaries_ = std::make_unique<SummaryExchange>(ctx_, *peers_, *shards_, *scheduler_);
+  summaries_ = std::make_unique<SummaryExchange>(ctx_, peers_->messenger(), *shards_, *scheduler_);
   rate_limits_ = std::make_unique<RateLimitApportioner>(ctx_, *scheduler_);
-  dispatcher_ = std::make_unique<PeerMessageDispatcher>(ctx_, *peers_, *shards_, *scheduler_, *summaries_);
+  dispatcher_ =
+      std::make_unique<PeerMessageDispatcher>(ctx_, peers_->messenger(), *shards_, *scheduler_, *summaries_);
 }
 
 void Controller::make_election() {
@@ -89,8 +90,10 @@
 void Controller::make_api() {
   api::Api::Hooks hooks;
   hooks.catalogue = [this] { return ctx_.catalogue.get(); };
-  hooks.changed = [this](Revision revision) { peers_->broadcast(protocol::ChangeNotification{revision}); };
-  hooks.may_reveal_cancellation = [this](const JobId& id) { return peers_->may_reveal_cancellation(id); };
+  hooks.changed = [this](Revision revision) {
+    peers_->messenger().broadcast(protocol::ChangeNotification{revision});
+  };
+  hooks.may_reveal_cancellation = [this](const JobId& id) { return peers_->cancellations().may_reveal(id); };
   hooks.running = [this](const JobId& id) { return summaries_->running(id); };
   hooks.healthy = [this] { return healthy(); };
   hooks.all_support = [this](std::uint32_t version) {
@@ -148,7 +151,7 @@
     scheduler_->on_progress_report(report);
     return;
   }
-  for (auto& page : protocol::paged(std::move(report))) peers_->send(leader, std::move(page));
+  for (auto& page : protocol::paged(std::move(report))) peers_->messenger().send(leader, std::move(page));
 }
 
 void Controller::on_request(const net::Request& request, net::HttpServer::Reply reply) {
@@ -177,7 +180,7 @@
 bool Controller::healthy() const {
   if (!ctx_.watch_cache->ready() || !ctx_.catalogue) return false;
   return ctx_.now() - ctx_.watch_cache->up_to_date_at() < kUnhealthyAfter ||
-         !peers_->others_reach_state_store();
+         !peers_->status().others_reach_state_store();
 }
 
 }  // namespace beaconsill::controller
--- a/src/controller/grant_writer.cpp
+++ b/src/controller/grant_writer.cpp
@@ -17,9 +17,9 @@
 constexpr double kValueShare = 0.9;
 }  // namespace
 
-GrantWriter::GrantWriter(ControllerContext& ctx, PeerService& peers, Leadership& leadership,
+GrantWriter::GrantWriter(ControllerContext& ctx, PeerMessenger& messenger, Leadership& leadership,
                          std::function<void()> on_written)
-    : ctx_(ctx), peers_(peers), leadership_(leadership), on_written_(std::move(on_written)) {}
+    : ctx_(ctx), messenger_(messenger), leadership_(leadership), on_written_(std::move(on_written)) {}
 
 void GrantWriter::write(Grants grants, const protocol::Condition& leader, state_store::Urgency urgency) {
   drop_oversized(grants);
@@ -50,7 +50,7 @@
                     chunk.shard.value(), chunk.tasks.count(), chunk.preempt);
   leadership_.scheduler().on_granted(grants, revision, ctx_.now());
   ctx_.watch_cache->apply_own(txn, revision);
-  peers_.broadcast(protocol::ChangeNotification{revision});
+  messenger_.broadcast(protocol::ChangeNotification{revision});
   on_written_();
 }
 
--- a/src/controller/grant_writer.h
+++ b/src/controller/grant_writer.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "controller/leadership.h"
-#include "controller/peer_service.h"
+#include "controller/peer_messenger.h"
 
 namespace beaconsill::controller {
 
@@ -16,7 +16,7 @@
   using Grants = std::vector<scheduler::Scheduler::Grant>;
 
   // `on_written` is called after grants were written: the next round may begin.
-  GrantWriter(ControllerContext& ctx, PeerService& peers, Leadership& leadership,
+  GrantWriter(ControllerContext& ctx, PeerMessenger& messenger, Leadership& leadership,
               std::function<void()> on_written);
 
   // Writes those of `grants` that fit into one transaction. `leader`: see Leadership::still_leader.
@@ -30,7 +30,7 @@
   void on_written(const Grants& grants, const protocol::Txn& txn, Revision revision);
 
   ControllerContext& ctx_;
-  PeerService& peers_;
+  PeerMessenger& messenger_;
   Leadership& leadership_;
   std::function<void()> on_written_;
 };
--- a/src/controller/heartbeat_endpoint.cpp
+++ b/src/controller/heartbeat_endpoint.cpp
@@ -23,9 +23,15 @@
 }
 }  // namespace
 
-HeartbeatEndpoint::HeartbeatEndpoint(ControllerContext& ctx, PeerService& peers, LedShards& shards,
-                                     std::function<void()> on_heartbeat)
-    : ctx_(ctx), peers_(peers), shards_(shards), on_heartbeat_(std::move(on_heartbeat)), relay_(ctx, peers) {}
+HeartbeatEndpoint::HeartbeatEndpoint(ControllerContext& ctx, PeerMessenger& messenger,
+                                     const PeerStatus& peers, const CancellationVisibility& cancellations,
+                                     LedShards& shards, std::function<void()> on_heartbeat)
+    : ctx_(ctx),
+      messenger_(messenger),
+      cancellations_(cancellations),
+      shards_(shards),
+      on_heartbeat_(std::move(on_heartbeat)),
+      relay_(ctx, messenger, peers) {}
 
 LedShard* HeartbeatEndpoint::find_current(ShardId id) {
   auto* shard = shards_.find(id);
@@ -63,7 +69,7 @@
   // After this long without knowing all cancellations, the leases of tasks that may be cancelled have to run
   // out.
   auto max_age = from_seconds(ctx_.settings.cancel_s - ctx_.settings.lease_s - kCancelMarginSeconds);
-  if (ctx_.now() - peers_.cancellations_known_until() > max_age) return unavailable("out of touch");
+  if (ctx_.now() - cancellations_.known_until() > max_age) return unavailable("out of touch");
   manager.on_worker_heartbeat(heartbeat, ctx_.now());
   if (manager.superseded()) {
     ctx_.watch_cache->sync([](bool) {});
@@ -77,7 +83,7 @@
 
 void HeartbeatEndpoint::on_relayed_heartbeat(const ControllerName& from,
                                              const protocol::RelayedHeartbeat& relayed) {
-  peers_.send(from, answer_relayed(relayed));
+  messenger_.send(from, answer_relayed(relayed));
 }
 
 protocol::RelayedReply HeartbeatEndpoint::answer_relayed(const protocol::RelayedHeartbeat& relayed) {
--- a/src/controller/heartbeat_endpoint.h
+++ b/src/controller/heartbeat_endpoint.h
@@ -3,10 +3,12 @@
 
 #include <functional>
 
+#include "controller/cancellation_visibility.h"
 #include "controller/controller_context.h"
 #include "controller/heartbeat_relay.h"
 #include "controller/led_shards.h"
-#include "controller/peer_service.h"
+#include "controller/peer_messenger.h"
+#include "controller/peer_status.h"
 #include "net/http_server.h"
 #include "protocol/worker.h"
 
@@ -17,7 +19,8 @@
 class HeartbeatEndpoint {
  public:
   // `on_heartbeat` is called after a shard has taken in a heartbeat.
-  HeartbeatEndpoint(ControllerContext& ctx, PeerService& peers, LedShards& shards,
+  HeartbeatEndpoint(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers,
+                    const CancellationVisibility& cancellations, LedShards& shards,
                     std::function<void()> on_heartbeat);
 
   // `reply` is called once, now or within a second.
@@ -34,7 +37,8 @@
   protocol::RelayedReply answer_relayed(const protocol::RelayedHeartbeat& relayed);
 
   ControllerContext& ctx_;
-  PeerService& peers_;
+  PeerMessenger& messenger_;
+  const CancellationVisibility& cancellations_;
   LedShards& shards_;
   std::function<void()> on_heartbeat_;
   HeartbeatRelay relay_;
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -11,8 +11,11 @@
 constexpr int kHttpMisdirected = 421;
 }  // namespace
 
-HeartbeatRelay::HeartbeatRelay(ControllerContext& ctx, PeerService& peers)
-    : ctx_(ctx), peers_(peers), max_pending_(plan_socket_limits(ctx.settings).served) {}
+HeartbeatRelay::HeartbeatRelay(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers)
+    : ctx_(ctx),
+      messenger_(messenger),
+      peers_(peers),
+      max_pending_(plan_socket_limits(ctx.settings).served) {}
 
 std::optional<ControllerName> HeartbeatRelay::shard_leader(ShardId shard) const {
   const auto& role = ctx_.view().shard_role(shard);
@@ -37,7 +40,7 @@
   }
   auto id = next_id_++;
   pending_[id] = {reply, shard, ctx_.now() + kRelayTimeout};
-  peers_.send(*leader, protocol::RelayedHeartbeat{id, heartbeat});
+  messenger_.send(*leader, protocol::RelayedHeartbeat{id, heartbeat});
 }
 
 void HeartbeatRelay::on_relayed_reply(const protocol::RelayedReply& relayed) {
--- a/src/controller/heartbeat_relay.h
+++ b/src/controller/heartbeat_relay.h
@@ -7,7 +7,8 @@
 #include <string>
 
 #include "controller/controller_context.h"
-#include "controller/peer_service.h"
+#include "controller/peer_messenger.h"
+#include "controller/peer_status.h"
 #include "net/http_server.h"
 
 namespace beaconsill::controller {
@@ -17,7 +18,7 @@
 // time the worker is redirected. Throws nothing; one thread.
 class HeartbeatRelay {
  public:
-  HeartbeatRelay(ControllerContext& ctx, PeerService& peers);
+  HeartbeatRelay(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers);
 
   // Passes the heartbeat (as it came) on to the shard's leader, or redirects the worker. `reply` is called
   // once.
@@ -38,7 +39,8 @@
   void redirect(ShardId shard, const net::HttpServer::Reply& reply) const;
 
   ControllerContext& ctx_;
-  PeerService& peers_;
+  PeerMessenger& messenger_;
+  const PeerStatus& peers_;
   std::size_t max_pending_;  // each occupies the connection that it came by
   std::map<std::uint64_t, PendingReply> pending_;
   std::uint64_t next_id_ = 1;
--- a/src/controller/peer_message_dispatcher.cpp
+++ b/src/controller/peer_message_dispatcher.cpp
@@ -20,7 +20,7 @@
 
 void PeerMessageDispatcher::handle(const ControllerName& from, const protocol::EstimateRequest& request) {
   shards_.on_estimate_request(
-      request, [&](protocol::EstimateResponse response) { peers_.send(from, std::move(response)); });
+      request, [&](protocol::EstimateResponse response) { messenger_.send(from, std::move(response)); });
 }
 
 void PeerMessageDispatcher::handle(const ControllerName& /*from*/,
--- a/src/controller/peer_message_dispatcher.h
+++ b/src/controller/peer_message_dispatcher.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "controller/controller_context.h"
-#include "controller/peer_service.h"
+#include "controller/peer_messenger.h"
 #include "controller/scheduler_service.h"
 #include "controller/shard_service.h"
 #include "controller/summary_exchange.h"
@@ -13,9 +13,9 @@
 // Throws nothing; one thread.
 class PeerMessageDispatcher {
  public:
-  PeerMessageDispatcher(ControllerContext& ctx, PeerService& peers, ShardService& shards,
+  PeerMessageDispatcher(ControllerContext& ctx, PeerMessenger& messenger, ShardService& shards,
                         SchedulerService& scheduler, SummaryExchange& summaries)
-      : ctx_(ctx), peers_(peers), shards_(shards), scheduler_(scheduler), summaries_(summaries) {}
+      : ctx_(ctx), messenger_(messenger), shards_(shards), scheduler_(scheduler), summaries_(summaries) {}
   void dispatch(const protocol::PeerMessage& message);
 
  private:
@@ -32,7 +32,7 @@
   void handle(const ControllerName& from, const protocol::ProgressReport& report);
 
   ControllerContext& ctx_;
-  PeerService& peers_;
+  PeerMessenger& messenger_;
   ShardService& shards_;
   SchedulerService& scheduler_;
   SummaryExchange& summaries_;
--- a/src/controller/progress_writer.cpp
+++ b/src/controller/progress_writer.cpp
@@ -78,7 +78,7 @@
     if (result.outcome == state_store::RequestOutcome::kOk) {
       finish();
       ctx_.watch_cache->apply_own(txn, result.revision);
-      peers_.broadcast(protocol::ChangeNotification{result.revision});
+      messenger_.broadcast(protocol::ChangeNotification{result.revision});
       return;
     }
     ctx_.watch_cache->sync([finish](bool) { finish(); });
--- a/src/controller/progress_writer.h
+++ b/src/controller/progress_writer.h
@@ -5,7 +5,8 @@
 
 #include "controller/controller_context.h"
 #include "controller/led_shards.h"
-#include "controller/peer_service.h"
+#include "controller/peer_messenger.h"
+#include "controller/peer_status.h"
 #include "state_store/txn_draft.h"
 
 namespace beaconsill::controller {
@@ -15,8 +16,8 @@
 // thread.
 class ProgressWriter {
  public:
-  ProgressWriter(ControllerContext& ctx, PeerService& peers, LedShards& shards)
-      : ctx_(ctx), peers_(peers), shards_(shards) {}
+  ProgressWriter(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers, LedShards& shards)
+      : ctx_(ctx), messenger_(messenger), peers_(peers), shards_(shards) {}
 
   void write(ShardId id, LedShard& shard);
 
@@ -28,7 +29,8 @@
                     state_store::TxnDraft& draft) const;
 
   ControllerContext& ctx_;
-  PeerService& peers_;
+  PeerMessenger& messenger_;
+  const PeerStatus& peers_;
   LedShards& shards_;
 };
 
--- a/src/controller/round_driver.cpp
+++ b/src/controller/round_driver.cpp
@@ -29,7 +29,7 @@
     if (peers_.reachable(ctx_.view().shard_role(shard).value.controller)) reachable.insert(shard);
   auto request = leadership_.scheduler().begin_round(ctx_.now(), ctx_.clock.wall(), reachable);
   if (!request) return;
-  peers_.broadcast(*request);
+  messenger_.broadcast(*request);
   shards_.on_estimate_request(*request, [this](const protocol::EstimateResponse& response) {
     leadership_.scheduler().on_estimate_response(response, ctx_.now());
   });
--- a/src/controller/round_driver.h
+++ b/src/controller/round_driver.h
@@ -3,7 +3,8 @@
 
 #include "controller/grant_writer.h"
 #include "controller/leadership.h"
-#include "controller/peer_service.h"
+#include "controller/peer_messenger.h"
+#include "controller/peer_status.h"
 #include "controller/shard_service.h"
 
 namespace beaconsill::controller {
@@ -11,9 +12,14 @@
 // Part of the SchedulerService, which calls run() on its timer. Throws nothing; one thread.
 class RoundDriver {
  public:
-  RoundDriver(ControllerContext& ctx, PeerService& peers, ShardService& shards, Leadership& leadership,
-              GrantWriter& grant_writer)
-      : ctx_(ctx), peers_(peers), shards_(shards), leadership_(leadership), grant_writer_(grant_writer) {}
+  RoundDriver(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers, ShardService& shards,
+              Leadership& leadership, GrantWriter& grant_writer)
+      : ctx_(ctx),
+        messenger_(messenger),
+        peers_(peers),
+        shards_(shards),
+        leadership_(leadership),
+        grant_writer_(grant_writer) {}
 
   // Begins a round if one is due, and ends the open one if all shards have answered or were waited for long
   // enough.
@@ -23,7 +29,8 @@
   void begin_round();
 
   ControllerContext& ctx_;
-  PeerService& peers_;
+  PeerMessenger& messenger_;
+  const PeerStatus& peers_;
   ShardService& shards_;
   Leadership& leadership_;
   GrantWriter& grant_writer_;
--- a/src/controller/scheduler_service.cpp
+++ b/src/controller/scheduler_service.cpp
@@ -8,11 +8,11 @@
 SchedulerService::SchedulerService(ControllerContext& ctx, PeerService& peers, ShardService& shards)
     : ctx_(ctx),
       leadership_(ctx),
-      grant_writer_(ctx, peers, leadership_, [this] { schedule_run(); }),
-      rounds_(ctx, peers, shards, leadership_, grant_writer_),
-      terminal_records_(ctx, peers, leadership_),
+      grant_writer_(ctx, peers.messenger(), leadership_, [this] { schedule_run(); }),
+      rounds_(ctx, peers.messenger(), peers.status(), shards, leadership_, grant_writer_),
+      terminal_records_(ctx, peers.messenger(), leadership_),
       versions_(ctx, leadership_),
-      autoscaler_(ctx, peers, shards, leadership_),
+      autoscaler_(ctx, peers.messenger(), shards, leadership_),
       garbage_collector_(ctx, leadership_),
       run_timer_(ctx.io, [this] { run(); }),
       early_run_timer_(ctx.io, [this] { run(); }) {}
--- a/src/controller/shard_service.cpp
+++ b/src/controller/shard_service.cpp
@@ -16,10 +16,11 @@
     : ctx_(ctx),
       peers_(peers),
       registry_(ctx, shards_, [this] { schedule_run(); }),
-      progress_(ctx, peers, shards_),
+      progress_(ctx, peers.messenger(), peers.status(), shards_),
       leader_notifier_(ctx, std::move(notify_leader)),
       commands_(ctx, shards_, [this] { schedule_run(); }),
-      heartbeats_(ctx, peers, shards_, [this] { schedule_run(); }),
+      heartbeats_(ctx, peers.messenger(), peers.status(), peers.cancellations(), shards_,
+                  [this] { schedule_run(); }),
       run_timer_(ctx.io, [this] { run_periodic(); }),
       early_run_timer_(ctx.io, [this] { run(); }) {}
 
@@ -133,7 +134,7 @@
   heartbeats_.redirect_expired();
   for (auto& [id, shard] : shards_) {
     registry_.read(id, shard);
-    shard.manager->tick(ctx_.now(), peers_.cancellations_known_until(), ctx_.watch_cache->up_to_date_at());
+    shard.manager->tick(ctx_.now(), peers_.cancellations().known_until(), ctx_.watch_cache->up_to_date_at());
     for (auto& batch : shard.manager->take_command_batches(ctx_.now()))
       commands_.send(id, shard, std::move(batch));
   }
@@ -167,7 +168,7 @@
   ctx_.cloud->remove(machines, [this, id, term = shard.manager->term(), machines](bool deleted) {
     if (stopped_) return;
     if (deleted) {
-      peers_.broadcast(protocol::TerminatedMachines{machines});
+      peers_.messenger().broadcast(protocol::TerminatedMachines{machines});
       on_machines_terminated(machines);
       return;
     }
--- a/src/controller/summary_exchange.cpp
+++ b/src/controller/summary_exchange.cpp
@@ -4,9 +4,11 @@
 
 namespace beaconsill::controller {
 
-SummaryExchange::SummaryExchange(ControllerContext& ctx, PeerService& peers, ShardService& shards,
+SummaryExchange::SummaryExchange(ControllerContext& ctx, PeerMessenger& messenger, ShardService& shards,
                                  SchedulerService& scheduler)
-    : ctx_(ctx), peers_(peers), shards_(shards), scheduler_(scheduler), timer_(ctx.io, [this] { send(); }) {}
+    : ctx_(ctx), messenger_(messenger), shards_(shards), scheduler_(scheduler), timer_(ctx.io, [this] {
+        send();
+      }) {}
 
 void SummaryExchange::start() {
   timer_.start(ctx_.policy.summary_period);
@@ -19,7 +21,7 @@
 void SummaryExchange::send() {
   for (auto& summary : shards_.summaries()) {
     scheduler_.on_summary(summary);
-    for (auto& page : protocol::paged(std::move(summary))) peers_.broadcast(std::move(page));
+    for (auto& page : protocol::paged(std::move(summary))) messenger_.broadcast(std::move(page));
   }
 }
 
--- a/src/controller/summary_exchange.h
+++ b/src/controller/summary_exchange.h
@@ -5,7 +5,7 @@
 #include <map>
 
 #include "controller/controller_context.h"
-#include "controller/peer_service.h"
+#include "controller/peer_messenger.h"
 #include "controller/scheduler_service.h"
 #include "controller/shard_service.h"
 #include "controller/timers.h"
@@ -17,7 +17,7 @@
 // one thread.
 class SummaryExchange {
  public:
-  SummaryExchange(ControllerContext& ctx, PeerService& peers, ShardService& shards,
+  SummaryExchange(ControllerContext& ctx, PeerMessenger& messenger, ShardService& shards,
                   SchedulerService& scheduler);
   void start();
   void stop();
@@ -30,7 +30,7 @@
   void send();
 
   ControllerContext& ctx_;
-  PeerService& peers_;
+  PeerMessenger& messenger_;
   ShardService& shards_;
   SchedulerService& scheduler_;
   PeriodicTimer timer_;
--- a/src/controller/terminal_record_writer.cpp
+++ b/src/controller/terminal_record_writer.cpp
@@ -52,7 +52,7 @@
   ctx_.watch_cache->commit(txn, urgency, [this, txn, ids](state_store::TxnResult result) {
     if (result.outcome == state_store::RequestOutcome::kOk) {
       ctx_.watch_cache->apply_own(txn, result.revision);
-      peers_.broadcast(protocol::ChangeNotification{result.revision});
+      messenger_.broadcast(protocol::ChangeNotification{result.revision});
       finish(ids);
       return;
     }
--- a/src/controller/terminal_record_writer.h
+++ b/src/controller/terminal_record_writer.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "controller/leadership.h"
-#include "controller/peer_service.h"
+#include "controller/peer_messenger.h"
 
 namespace beaconsill::controller {
 
@@ -14,8 +14,8 @@
 // scheduler's or the view's list, and is tried again after a delay. Throws nothing; one thread.
 class TerminalRecordWriter {
  public:
-  TerminalRecordWriter(ControllerContext& ctx, PeerService& peers, Leadership& leadership)
-      : ctx_(ctx), peers_(peers), leadership_(leadership) {}
+  TerminalRecordWriter(ControllerContext& ctx, PeerMessenger& messenger, Leadership& leadership)
+      : ctx_(ctx), messenger_(messenger), leadership_(leadership) {}
 
   // Jobs all of whose tasks are done.
   void write_completed();
@@ -34,7 +34,7 @@
   bool retry_delayed() const { return retry_at_ && ctx_.now() < *retry_at_; }
 
   ControllerContext& ctx_;
-  PeerService& peers_;
+  PeerMessenger& messenger_;
   Leadership& leadership_;
   std::set<JobId> in_progress_;  // a transaction with their records is under way
   std::optional<Instant> retry_at_;
--- a/tests/sim/heartbeats.h
+++ b/tests/sim/heartbeats.h
@@ -1,4 +1,4 @@
-// What a controller knows of the others by their heartbeats, as `controller::PeerService` keeps it.
+// What a controller knows of the others by their heartbeats, as `controller::PeerHeartbeats` keeps it.
 #pragma once
 
 #include <map>
