--- a/src/api/submission.cpp
+++ b/src/api/submission.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <utility>
 
-#include "api/admission.h"
 #include "base/log.h"
 #include "state_store/txn_draft.h"
 
@@ -26,8 +25,7 @@
   // What was accepted once is never judged again.
   if (auto state = status_.state(spec.id)) return handle_known(spec.id, *state, reply);
   const auto result = admit(spec, context_.settings, context_.hooks.catalogue());
-  if (result.kind != AdmissionResult::Kind::kAccept)
-    return refuse(spec.id, result.reason, result.kind == AdmissionResult::Kind::kNever, reply);
+  if (result.kind != AdmissionResult::Kind::kAccept) return refuse(spec.id, result, reply);
   if (first_unknown_dependency(spec)) return accept_after_read(spec, reply);
   accept(std::move(spec), reply);
 }
@@ -39,12 +37,13 @@
 }
 
 // Another controller may have accepted it, before the catalogue changed say: only what was read can tell.
-void Submission::refuse(const JobId& id, const std::string& reason, bool for_good, const Reply& reply) const {
-  context_.read_now([this, id, reason, for_good, reply](bool fresh) {
+void Submission::refuse(const JobId& id, const AdmissionResult& refusal, const Reply& reply) const {
+  context_.read_now([this, id, refusal, reply](bool fresh) {
     if (!fresh) return reply(retry_later(kUnreachable));
     if (auto state = status_.state(id)) return reply(status_.accepted_response(id, *state));
-    if (for_good) return reply({422, protocol::render_error(reason)});
-    reply(retry_later(reason, kRetryMuchLaterS));
+    if (refusal.kind == AdmissionResult::Kind::kNever)
+      return reply({422, protocol::render_error(refusal.reason)});
+    reply(retry_later(refusal.reason, kRetryMuchLaterS));
   });
 }
 
@@ -80,8 +79,9 @@
     if (response.status == 200) response.status = 201;
     reply(std::move(response));
   };
-  const auto view_age = context_.clock.now() - context_.reader->up_to_date_at();
-  const bool recent = view_age < from_seconds(context_.settings.cancel_s / 4);
+  const auto read_at = context_.reader->up_to_date_at();
+  const bool recent =
+      read_at && context_.clock.now() - *read_at < from_seconds(context_.settings.cancel_s / 4);
   if (!job || job->record.spec->depends_on.empty() || recent) return respond(true);
   context_.read_now(respond);
 }
--- a/src/api/submission.h
+++ b/src/api/submission.h
@@ -1,6 +1,7 @@
 // Submission of jobs by their users.
 #pragma once
 
+#include "api/admission.h"
 #include "api/context.h"
 #include "api/job_status.h"
 #include "state_store/value_sizes.h"
@@ -21,7 +22,7 @@
   // Repeated: the job is known already.
   void handle_known(const JobId& id, protocol::JobState state, const Reply& reply) const;
   // A job that can't run as things stand here.
-  void refuse(const JobId& id, const std::string& reason, bool for_good, const Reply& reply) const;
+  void refuse(const JobId& id, const AdmissionResult& refusal, const Reply& reply) const;
   // A job with a dependency that isn't in the view.
   void accept_after_read(const protocol::JobSpec& spec, const Reply& reply) const;
   // Writes the job's record; the job was found fit to run.
--- a/src/controller/cancellation_visibility.cpp
+++ b/src/controller/cancellation_visibility.cpp
@@ -43,8 +43,8 @@
 }
 
 Instant CancellationVisibility::known_until() const {
-  return std::max(ctx_.watch_cache->up_to_date_at(),
-                  barrier_.known_until(ctx_.watch_cache->ready(), ctx_.now()));
+  auto by_peers = barrier_.known_until(ctx_.watch_cache->ready(), ctx_.now());
+  return std::max(ctx_.watch_cache->up_to_date_at().value_or(by_peers), by_peers);
 }
 
 bool CancellationVisibility::has_cancelled(const state_store::StateView::ChangeSet& changes) const {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -179,8 +179,7 @@
 // can read it. If none can, going elsewhere doesn't help them.
 bool Controller::healthy() const {
   if (!ctx_.watch_cache->ready() || !ctx_.catalogue) return false;
-  return ctx_.now() - ctx_.watch_cache->up_to_date_at() < kUnhealthyAfter ||
-         !peers_->status().others_reach_state_store();
+  return ctx_.view_is_newer_than(kUnhealthyAfter) || !peers_->status().others_reach_state_store();
 }
 
 }  // namespace beaconsill::controller
--- a/src/controller/controller_context.h
+++ b/src/controller/controller_context.h
@@ -3,6 +3,7 @@
 
 #include <asio/io_context.hpp>
 #include <memory>
+#include <optional>
 #include <utility>
 
 #include "cloud/client.h"
@@ -41,7 +42,14 @@
   // conditional on a role's version, as transactions are, needs that: renting and deleting machines.
   bool roles_read_since_pause() {
     pause_detector.observe(now());
-    return watch_cache->up_to_date_at() > pause_detector.last_pause_end().value_or(Instant{});
+    auto read_at = watch_cache->up_to_date_at();
+    auto pause_end = pause_detector.last_pause_end();
+    return read_at && (!pause_end || *read_at > *pause_end);
+  }
+  // Whether the view holds all changes but those made within the last `age`.
+  bool view_is_newer_than(Duration age) const {
+    auto read_at = watch_cache->up_to_date_at();
+    return read_at && now() - *read_at < age;
   }
   const state_store::StateView& view() const { return watch_cache->view(); }
   Instant now() const { return clock.now(); }
--- a/src/controller/garbage_collector.cpp
+++ b/src/controller/garbage_collector.cpp
@@ -31,9 +31,9 @@
   state_store::TxnDraft draft(std::min({ctx_.store->sizes().txn_ops(), kMaxDeletedKeys, spare_writes}));
   draft.require(*leader);
   for (const auto& id : leadership_.scheduler().collectable())
-    if (!delete_job_keys(id, draft)) break;
+    if (delete_job_keys(id, draft) == DraftState::kFull) break;
   for (const auto& [id, keys] : ctx_.view().all_dependency_keys())
-    if (!delete_dependency_keys(id, keys, draft)) break;
+    if (delete_dependency_keys(id, keys, draft) == DraftState::kFull) break;
   if (draft.empty()) return;
   auto done = [this, txn = draft.txn()](state_store::TxnResult result) {
     if (result.outcome == state_store::RequestOutcome::kOk) {
@@ -46,11 +46,11 @@
   ctx_.store->txn(draft.txn(), state_store::Urgency::kGarbageCollection, std::move(done));
 }
 
-bool GarbageCollector::delete_job_keys(const JobId& id, state_store::TxnDraft& draft) {
+DraftState GarbageCollector::delete_job_keys(const JobId& id, state_store::TxnDraft& draft) {
   const auto* job = ctx_.view().job(id);
   // Without a terminal record of its own, the jobs that it was cancelled through are still needed to know its
   // state.
-  if (!job || !ctx_.view().terminal_record(id).exists()) return true;
+  if (!job || !ctx_.view().terminal_record(id).exists()) return DraftState::kOpen;
   // The job's record last: if not all go at once, what is left is still known to be of a job that is over.
   std::vector<protocol::Condition> keys;
   if (job->grants.exists()) keys.push_back({state_store::grants_key(id), job->grants.revision});
@@ -61,28 +61,31 @@
   std::vector<protocol::Write> deletions;
   deletions.reserve(keys.size());
   for (const auto& condition : keys) deletions.push_back({condition.key, std::nullopt, std::nullopt});
-  if (!draft.add(keys, deletions)) return draft.empty();
+  // A job whose keys alone are too many is passed over.
+  if (add_changes(draft, keys, deletions) == DraftState::kFull)
+    return draft.empty() ? DraftState::kOpen : DraftState::kFull;
   collecting_.insert(id);
-  return true;
+  return DraftState::kOpen;
 }
 
 // The keys with a job's dependencies go once its record is gone, or was never written and its user has long
 // given up. The first key goes first, on which the record's transaction is conditional.
-bool GarbageCollector::delete_dependency_keys(const JobId& id,
-                                              const state_store::StateView::DependencyKeys& keys,
-                                              state_store::TxnDraft& draft) const {
+DraftState GarbageCollector::delete_dependency_keys(const JobId& id,
+                                                    const state_store::StateView::DependencyKeys& keys,
+                                                    state_store::TxnDraft& draft) const {
   const auto& view = ctx_.view();
-  if (auto job = view.jobs().find(id); job != view.jobs().end() && job->second.record.spec) return true;
+  if (auto job = view.jobs().find(id); job != view.jobs().end() && job->second.record.spec)
+    return DraftState::kOpen;
   const auto age =
       std::chrono::milliseconds(ctx_.clock.wall().value() - keys.begin()->second.value.written.value());
-  if (!view.terminal_record(id).exists() && age < kAbandonedSubmissionAge) return true;
+  if (!view.terminal_record(id).exists() && age < kAbandonedSubmissionAge) return DraftState::kOpen;
   for (const auto& [piece, value] : keys) {
     auto key = state_store::dependency_key(id, piece);
-    if (!draft.add({{key, value.revision}, {state_store::job_key(id), Revision()}},
-                   {{key, std::nullopt, std::nullopt}}))
-      return false;
+    auto state = add_changes(draft, {{key, value.revision}, {state_store::job_key(id), Revision()}},
+                             {{key, std::nullopt, std::nullopt}});
+    if (state == DraftState::kFull) return state;
   }
-  return true;
+  return DraftState::kOpen;
 }
 
 }  // namespace beaconsill::controller
--- a/src/controller/garbage_collector.h
+++ b/src/controller/garbage_collector.h
@@ -3,6 +3,7 @@
 
 #include <set>
 
+#include "controller/draft_state.h"
 #include "controller/leadership.h"
 #include "controller/timers.h"
 #include "state_store/txn_draft.h"
@@ -22,10 +23,10 @@
 
  private:
   void run();
-  // Each adds deletions to the draft. False: no more fits into the transaction.
-  bool delete_job_keys(const JobId& id, state_store::TxnDraft& draft);
-  bool delete_dependency_keys(const JobId& id, const state_store::StateView::DependencyKeys& keys,
-                              state_store::TxnDraft& draft) const;
+  // Each adds deletions to the draft, if the job's keys are to be deleted.
+  DraftState delete_job_keys(const JobId& id, state_store::TxnDraft& draft);
+  DraftState delete_dependency_keys(const JobId& id, const state_store::StateView::DependencyKeys& keys,
+                                    state_store::TxnDraft& draft) const;
 
   ControllerContext& ctx_;
   Leadership& leadership_;
--- a/src/controller/peer_heartbeats.cpp
+++ b/src/controller/peer_heartbeats.cpp
@@ -62,8 +62,7 @@
   protocol::Heartbeat heartbeat;
   heartbeat.acknowledged_until = cancellations_.acknowledged_until();
   heartbeat.terms = led_terms_();
-  heartbeat.reaches_state_store =
-      ctx_.watch_cache->ready() && ctx_.now() - ctx_.watch_cache->up_to_date_at() < kStateStoreTimeout;
+  heartbeat.reaches_state_store = ctx_.watch_cache->ready() && ctx_.view_is_newer_than(kStateStoreTimeout);
   return heartbeat;
 }
 
@@ -96,7 +95,9 @@
 void PeerHeartbeats::schedule_heartbeat(Peer& peer) {
   peer.heartbeat_due = true;
   if (due_heartbeats_timer_.pending()) return;
-  due_heartbeats_timer_.set(std::max(Duration(0), last_due_heartbeats_ + kDueHeartbeatGap - ctx_.now()));
+  Duration delay(0);
+  if (last_due_heartbeats_) delay = std::max(delay, *last_due_heartbeats_ + kDueHeartbeatGap - ctx_.now());
+  due_heartbeats_timer_.set(delay);
 }
 
 void PeerHeartbeats::send_due_heartbeats() {
--- a/src/controller/peer_heartbeats.h
+++ b/src/controller/peer_heartbeats.h
@@ -57,7 +57,7 @@
   LedTerms led_terms_;
   PeriodicTimer heartbeat_timer_;
   OneShotTimer due_heartbeats_timer_;
-  Instant last_due_heartbeats_{};
+  std::optional<Instant> last_due_heartbeats_;
   std::map<ControllerName, Peer> peers_;
   std::uint64_t sequence_;  // of the last heartbeat sent
   std::map<ShardId, AdvertisedLeader> shard_leaders_;
--- a/src/controller/progress_writer.cpp
+++ b/src/controller/progress_writer.cpp
@@ -1,7 +1,6 @@
 #include "controller/progress_writer.h"
 
 #include <algorithm>
-#include <cstdint>
 #include <utility>
 
 #include "state_store/value_sizes.h"
@@ -40,23 +39,28 @@
   const auto& role = ctx_.view().shard_role(id);
   if (!role.exists() || role.value.term != shard.manager->term()) return;
   bool leader_notified = leader_reachable();
-  auto max_jobs = std::min<std::size_t>({ctx_.store->sizes().txn_ops(), kMaxJobsPerTxn,
-                                         leader_notified ? ctx_.store->spare_writes() : SIZE_MAX});
+  auto max_jobs = max_jobs_per_txn(leader_notified);
   if (max_jobs == 0) return;
   state_store::TxnDraft draft(max_jobs);
   draft.require({state_store::shard_role_key(id), role.revision});
   for (const auto& [job, progress] : unwritten) {
     auto since = shard.unwritten_since.try_emplace(job, now).first->second;
     if (now - since < batch_delay(leader_notified, progress)) continue;
-    if (!add_progress(id, job, progress, draft)) break;
+    if (add_progress(id, job, progress, draft) == DraftState::kFull) break;
   }
   if (!draft.empty()) commit(id, shard, draft.txn());
 }
 
-bool ProgressWriter::add_progress(ShardId id, const JobId& job, const state_store::Progress& progress,
-                                  state_store::TxnDraft& draft) const {
+// What the leader knows may wait until nothing else needs the writes.
+std::size_t ProgressWriter::max_jobs_per_txn(bool leader_notified) const {
+  auto max_jobs = std::min(ctx_.store->sizes().txn_ops(), kMaxJobsPerTxn);
+  return leader_notified ? std::min(max_jobs, ctx_.store->spare_writes()) : max_jobs;
+}
+
+DraftState ProgressWriter::add_progress(ShardId id, const JobId& job, const state_store::Progress& progress,
+                                        state_store::TxnDraft& draft) const {
   const auto* record = ctx_.view().job(job);
-  if (!record) return true;
+  if (!record) return DraftState::kOpen;
   auto max_bytes = ctx_.store->sizes().value_bytes();
   auto found = record->progress.find(id);
   auto recorded =
@@ -64,9 +68,9 @@
   auto value = state_store::fit_progress(recorded.value, progress, max_bytes);
   auto json = state_store::to_json(value);
   // Written under a higher limit: it gets shorter as the rest of the tasks end.
-  if (value == recorded.value || state_store::value_bytes(json) > max_bytes) return true;
+  if (value == recorded.value || state_store::value_bytes(json) > max_bytes) return DraftState::kOpen;
   auto key = state_store::progress_key(id, job);
-  return draft.add({{key, recorded.revision}}, {{key, std::move(json), std::nullopt}});
+  return add_changes(draft, {{key, recorded.revision}}, {{key, std::move(json), std::nullopt}});
 }
 
 void ProgressWriter::commit(ShardId id, LedShard& shard, const protocol::Txn& txn) {
--- a/src/controller/progress_writer.h
+++ b/src/controller/progress_writer.h
@@ -4,6 +4,7 @@
 #include <map>
 
 #include "controller/controller_context.h"
+#include "controller/draft_state.h"
 #include "controller/led_shards.h"
 #include "controller/peer_messenger.h"
 #include "controller/peer_status.h"
@@ -24,9 +25,11 @@
  private:
   void commit(ShardId id, LedShard& shard, const protocol::Txn& txn);
   bool leader_reachable() const;
-  // Adds the progress of one job. False: no more fits into the transaction.
-  bool add_progress(ShardId id, const JobId& job, const state_store::Progress& progress,
-                    state_store::TxnDraft& draft) const;
+  // Jobs whose progress one transaction may hold now.
+  std::size_t max_jobs_per_txn(bool leader_notified) const;
+  // Adds the progress of one job, if it differs from what is recorded.
+  DraftState add_progress(ShardId id, const JobId& job, const state_store::Progress& progress,
+                          state_store::TxnDraft& draft) const;
 
   ControllerContext& ctx_;
   PeerMessenger& messenger_;
--- a/src/controller/shard_service.cpp
+++ b/src/controller/shard_service.cpp
@@ -134,7 +134,9 @@
   heartbeats_.redirect_expired();
   for (auto& [id, shard] : shards_) {
     registry_.read(id, shard);
-    shard.manager->tick(ctx_.now(), peers_.cancellations().known_until(), ctx_.watch_cache->up_to_date_at());
+    // No shard is led before everything was read once.
+    if (auto read_at = ctx_.watch_cache->up_to_date_at())
+      shard.manager->tick(ctx_.now(), peers_.cancellations().known_until(), *read_at);
     for (auto& batch : shard.manager->take_command_batches(ctx_.now()))
       commands_.send(id, shard, std::move(batch));
   }
--- a/src/controller/worker_connection_pool.cpp
+++ b/src/controller/worker_connection_pool.cpp
@@ -6,7 +6,7 @@
                                                                 const std::string& address,
                                                                 const net::Tcp::endpoint& endpoint,
                                                                 Instant now) {
-  auto& connection = find_or_open(machine, address, endpoint);
+  auto& connection = find_or_open(machine, address, endpoint, now);
   ++connection.in_flight;
   connection.last_used = now;
   return connection;
@@ -14,14 +14,15 @@
 
 WorkerConnectionPool::Connection& WorkerConnectionPool::find_or_open(const MachineName& machine,
                                                                      const std::string& address,
-                                                                     const net::Tcp::endpoint& endpoint) {
+                                                                     const net::Tcp::endpoint& endpoint,
+                                                                     Instant now) {
   if (auto it = connections_.find(machine); it != connections_.end()) {
     if (it->second.address == address) return it->second;
     close(machine);
   }
   if (connections_.size() >= max_connections_) close_longest_idle();
   auto& connection = connections_[machine];
-  connection = {address, std::make_shared<net::HttpClient>(io_, endpoint, 1), 0, Instant{}};
+  connection = {address, std::make_shared<net::HttpClient>(io_, endpoint, 1), 0, now};
   return connection;
 }
 
--- a/src/controller/worker_connection_pool.h
+++ b/src/controller/worker_connection_pool.h
@@ -20,7 +20,7 @@
     std::string address;
     std::shared_ptr<net::HttpClient> client;
     std::size_t in_flight = 0;  // requests
-    Instant last_used{};
+    Instant last_used;
   };
 
   WorkerConnectionPool(asio::io_context& io, std::size_t max_connections)
@@ -37,7 +37,7 @@
 
  private:
   Connection& find_or_open(const MachineName& machine, const std::string& address,
-                           const net::Tcp::endpoint& endpoint);
+                           const net::Tcp::endpoint& endpoint, Instant now);
   void close_longest_idle();
 
   asio::io_context& io_;
--- a/src/protocol/paging.cpp
+++ b/src/protocol/paging.cpp
@@ -83,26 +83,26 @@
   return pager.take();
 }
 
-bool SummaryAssembler::append(Summary page) {
+SummaryAssembler::AppendResult SummaryAssembler::append(Summary page) {
   auto it = incomplete_.find(page.shard);
-  if (it == incomplete_.end()) return false;
+  if (it == incomplete_.end()) return AppendResult::kPageLost;
   auto& summary = it->second;
   if (summary.term != page.term || summary.page + 1 != page.page) {
     incomplete_.erase(it);
-    return false;
+    return AppendResult::kPageLost;
   }
   std::move(page.machines.begin(), page.machines.end(), std::back_inserter(summary.machines));
   std::move(page.running.begin(), page.running.end(), std::back_inserter(summary.running));
   summary.page = page.page;
   summary.more = page.more;
-  return true;
+  return AppendResult::kAppended;
 }
 
 std::optional<Summary> SummaryAssembler::add(Summary page) {
   const auto shard = page.shard;
   if (page.page == 0) {
     incomplete_.insert_or_assign(shard, std::move(page));
-  } else if (!append(std::move(page))) {
+  } else if (append(std::move(page)) == AppendResult::kPageLost) {
     return std::nullopt;
   }
   auto it = incomplete_.find(shard);
--- a/src/protocol/paging.h
+++ b/src/protocol/paging.h
@@ -30,8 +30,9 @@
   std::optional<Summary> add(Summary page);
 
  private:
-  // Appends a page to the summary that it belongs to. False: the page before it was lost.
-  bool append(Summary page);
+  enum class AppendResult { kAppended, kPageLost };
+  // Appends a page to the summary that it belongs to, unless the page before it was lost.
+  AppendResult append(Summary page);
 
   std::map<ShardId, Summary> incomplete_;
 };
--- a/src/state_store/access.h
+++ b/src/state_store/access.h
@@ -4,6 +4,7 @@
 
 #include <cstddef>
 #include <functional>
+#include <optional>
 
 #include "protocol/state_store.h"
 #include "state_store/state_view.h"
@@ -44,8 +45,8 @@
  public:
   virtual ~StateReader() = default;
   virtual const StateView& view() const = 0;
-  // The view holds all changes that were made before this time.
-  virtual Instant up_to_date_at() const = 0;
+  // The view holds all changes that were made before this time; none until everything was read once.
+  virtual std::optional<Instant> up_to_date_at() const = 0;
   // Everything was read since the process began.
   virtual bool ready() const = 0;
   // Calls back once the view holds all that was written before this call; false: could not be read.
--- a/src/state_store/watch_cache.h
+++ b/src/state_store/watch_cache.h
@@ -33,8 +33,7 @@
   bool ready() const override { return ready_; }
   // The view holds all changes up to this one, and more while the content is loaded anew.
   Revision revision() const { return revision_; }
-  // The view holds all changes that were made before this time.
-  Instant up_to_date_at() const override { return up_to_date_at_; }
+  std::optional<Instant> up_to_date_at() const override { return up_to_date_at_; }
 
   // Calls while a read is under way share the next one.
   void sync(std::function<void(bool)> done) override;
@@ -88,7 +87,7 @@
   // Keys that this controller deleted, with the revision of that, while no read has gone beyond it.
   std::map<std::string, Revision> own_deletions_;
   Revision announced_revision_;  // the highest that another controller has announced
-  Instant up_to_date_at_{};
+  std::optional<Instant> up_to_date_at_;
   SyncCallbacks waiting_syncs_;  // for the next read
   SyncCallbacks active_syncs_;   // for the read under way
   Instant read_started_{};       // of the last read; set once the content is loaded
--- a/tests/sim/controller_peers.cpp
+++ b/tests/sim/controller_peers.cpp
@@ -53,7 +53,7 @@
 Instant Controller::cancellations_known_until() const {
   auto by_peers =
       process_.heartbeats->cancellation_sync().known_until(process_.watch_cache->ready(), instant());
-  return std::max(process_.watch_cache->up_to_date_at(), by_peers);
+  return std::max(process_.watch_cache->up_to_date_at().value_or(by_peers), by_peers);
 }
 
 void Controller::send_summaries() {
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -102,7 +102,7 @@
   auto& o = process_.shards.at(id);
   auto term = o.shard->term();
   read_registry(id, o);
-  o.shard->tick(instant(), cancellations_known_until(), process_.watch_cache->up_to_date_at());
+  o.shard->tick(instant(), cancellations_known_until(), *process_.watch_cache->up_to_date_at());
   for (auto& b : o.shard->take_command_batches(instant())) command(id, term, b);
   notify_leader(id, o);
   write_registry(id, o);
--- a/tests/sim/watch_cache.h
+++ b/tests/sim/watch_cache.h
@@ -25,7 +25,7 @@
   void apply_cancelled(const std::vector<protocol::CancelledJob>& jobs);
   bool reading() const { return reading_; }
   // The view holds all changes that were made before this time.
-  Instant up_to_date_at() const override { return EventQueue::instant(synced_at_); }
+  std::optional<Instant> up_to_date_at() const override { return EventQueue::instant(synced_at_); }
   double synced_at_s() const { return synced_at_; }
   Revision revision() const;
 
@@ -55,7 +55,7 @@
   const state_store::StateView& view() const override { return watch_cache_->view(); }
   bool ready() const override { return watch_cache_->ready(); }
   void sync(std::function<void(bool)> done) override;
-  Instant up_to_date_at() const override { return watch_cache_->up_to_date_at(); }
+  std::optional<Instant> up_to_date_at() const override { return watch_cache_->up_to_date_at(); }
   bool is_responsive() const override { return watch_cache_->is_responsive(); }
   void commit(protocol::Txn t, state_store::Urgency u, std::function<void(state_store::TxnResult)> done,
               Duration queue_wait) override {
