--- /dev/null
+++ b/tests/fakes/watch_cache.h
@@ -0,0 +1,82 @@
+// A watch cache without a state store: the test fills its view, and answers its transactions and reads.
+#pragma once
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "state_store/watch_cache.h"
+
+namespace beaconsill::fakes {
+
+class WatchCache : public state_store::WatchCache {
+ public:
+  struct PendingTxn {
+    protocol::Txn txn;
+    state_store::Urgency urgency;
+    std::function<void(state_store::TxnResult)> done;
+  };
+
+  WatchCache(asio::io_context& io, const Clock& clock, std::shared_ptr<state_store::StoreClient> client)
+      : state_store::WatchCache(io, clock, std::move(client), std::chrono::seconds(1),
+                                [](const state_store::StateView::ChangeSet&) {}) {}
+
+  // ---- For the test
+  // Writes a key as if another controller had. Returns the revision.
+  Revision put(const std::string& key, const protocol::Json& value) {
+    apply({key, value, next_revision()});
+    return revision_;
+  }
+  void remove(const std::string& key) { apply({key, std::nullopt, next_revision()}); }
+  // Transactions and reads whose answers are awaited, the oldest first.
+  std::vector<PendingTxn> txns;
+  std::vector<std::function<void(bool)>> syncs;
+  // Transactions that were reported as this controller's own.
+  std::vector<Revision> applied;
+  // The oldest transaction is carried out. Returns its revision.
+  Revision commit_oldest() {
+    auto revision = next_revision();
+    take_oldest_txn().done({state_store::RequestOutcome::kOk, revision});
+    return revision;
+  }
+  // The oldest transaction isn't carried out.
+  void refuse_oldest(state_store::RequestOutcome outcome) { take_oldest_txn().done({outcome, Revision()}); }
+  // The oldest read ends.
+  void finish_oldest_sync(bool read) {
+    auto done = std::move(syncs.at(0));
+    syncs.erase(syncs.begin());
+    done(read);
+  }
+
+  // ---- As components see it
+  const state_store::StateView& view() const override { return view_; }
+  bool ready() const override { return true; }
+  void sync(std::function<void(bool)> done) override { syncs.push_back(std::move(done)); }
+  void commit(protocol::Txn txn, state_store::Urgency urgency,
+              std::function<void(state_store::TxnResult)> done, Duration /*queue_wait*/) override {
+    txns.push_back({std::move(txn), urgency, std::move(done)});
+  }
+  void apply_own(const protocol::Txn& txn, Revision revision) override {
+    for (const auto& write : txn.writes) apply({write.key, write.value, revision});
+    applied.push_back(revision);
+  }
+
+ private:
+  Revision next_revision() { return revision_ = Revision(revision_.value() + 1); }
+  void apply(const protocol::Change& change) {
+    view_.apply(change);
+    view_.complete_to(change.revision);
+  }
+  PendingTxn take_oldest_txn() {
+    auto txn = std::move(txns.at(0));
+    txns.erase(txns.begin());
+    return txn;
+  }
+
+  state_store::StateView view_;
+  Revision revision_;
+};
+
+}  // namespace beaconsill::fakes
--- /dev/null
+++ b/tests/progress_writer_test.cpp
@@ -0,0 +1,159 @@
+// The progress of a led shard's tasks on its way to the state store.
+#include "controller/progress_writer.h"
+
+#include "controller_component_fixture.h"
+#include "shard_test_data.h"
+
+namespace beaconsill::controller {
+namespace {
+
+using state_store::RequestOutcome;
+
+constexpr Term kTerm(5);
+constexpr Duration kBatchDelay = std::chrono::seconds(1);
+constexpr Duration kReleasedBatchDelay = std::chrono::seconds(2);
+constexpr Duration kCheckPeriod = std::chrono::milliseconds(500);
+constexpr std::size_t kMaxJobsPerTxn = 6;
+// Ample for the shard to release tasks that find no place.
+constexpr Duration kUnplacedTime = std::chrono::minutes(1);
+
+struct ProgressWriterTest : ComponentFixture {
+  ProgressWriterTest() {
+    set_shard_role(kSelf, kTerm);
+    auto& shard = shards.add(kShard);
+    shard.manager =
+        std::make_unique<shard::ShardManager>(kShard, kTerm, shard::fixture::params(), clock.now());
+    shard.manager->on_registry({}, clock.now());
+    shard.manager->tick(clock.now(), clock.now(), clock.now());
+  }
+  // The shard has progress to write: it releases tasks that no machine has taken for long enough.
+  void release_tasks_of(const JobId& id) {
+    cache->put(state_store::job_key(id), job_record_json(id, 2));
+    state_store::Grants grants{{{Generation(1), kShard, kTerm, Ranges::span(0, 2)}}, Generation(1)};
+    cache->put(state_store::grants_key(id), to_json(grants));
+    shard().manager->on_job(id, context.view().job(id), std::nullopt, clock.now());
+    clock.advance(kUnplacedTime);
+    shard().manager->tick(clock.now(), clock.now(), clock.now());
+    ASSERT_TRUE(shard().manager->unwritten_progress().contains(id));
+  }
+  void make_leader_reachable() {
+    set_leader(kPeer, Term(7));
+    peers.reachable_controllers = {kPeer};
+  }
+  LedShard& shard() { return *shards.find(kShard); }
+  void write() { writer.write(kShard, shard()); }
+  void write_after(Duration delay) {
+    clock.advance(delay);
+    write();
+  }
+
+  const JobId job{"run-1"};
+  LedShards shards;
+  ProgressWriter writer{context, messenger, peers, shards};
+};
+
+TEST_F(ProgressWriterTest, WritesSoonWhileTheLeaderIsNotReachable) {
+  release_tasks_of(job);
+  write();
+  write_after(kBatchDelay - std::chrono::milliseconds(1));
+  EXPECT_TRUE(cache->txns.empty());
+  write_after(kCheckPeriod);
+  ASSERT_EQ(cache->txns.size(), 1u);
+  EXPECT_EQ(cache->txns[0].urgency, state_store::Urgency::kBackground);
+  ASSERT_EQ(cache->txns[0].txn.writes.size(), 1u);
+  EXPECT_EQ(cache->txns[0].txn.writes[0].key, state_store::progress_key(kShard, job));
+}
+
+TEST_F(ProgressWriterTest, WritesReleasedTasksLaterIfTheLeaderWasNotified) {
+  make_leader_reachable();
+  release_tasks_of(job);
+  write();
+  write_after(kReleasedBatchDelay - kCheckPeriod);
+  EXPECT_TRUE(cache->txns.empty());
+  write_after(kCheckPeriod);
+  EXPECT_EQ(cache->txns.size(), 1u);
+}
+
+TEST_F(ProgressWriterTest, WritesUnderTheTermOfTheShardAndOverTheRecordThatItHasRead) {
+  release_tasks_of(job);
+  write();
+  write_after(kBatchDelay);
+  ASSERT_EQ(cache->txns.size(), 1u);
+  const auto& conditions = cache->txns[0].txn.conditions;
+  ASSERT_EQ(conditions.size(), 2u);
+  EXPECT_EQ(conditions[0].key, state_store::shard_role_key(kShard));
+  EXPECT_EQ(conditions[0].revision, context.view().shard_role(kShard).revision);
+  EXPECT_EQ(conditions[1].key, state_store::progress_key(kShard, job));
+  EXPECT_EQ(conditions[1].revision, Revision());
+}
+
+TEST_F(ProgressWriterTest, WritesNothingWhileTheRoleIsHeldUnderAnotherTerm) {
+  release_tasks_of(job);
+  set_shard_role(kPeer, Term(6));
+  write();
+  write_after(kBatchDelay);
+  write_after(kReleasedBatchDelay);
+  EXPECT_TRUE(cache->txns.empty());
+}
+
+TEST_F(ProgressWriterTest, AppliesAndAnnouncesWhatWasWritten) {
+  release_tasks_of(job);
+  write();
+  write_after(kBatchDelay);
+  ASSERT_EQ(cache->txns.size(), 1u);
+  auto revision = cache->commit_oldest();
+  EXPECT_EQ(cache->applied, std::vector{revision});
+  ASSERT_EQ(messenger.broadcasts.size(), 1u);
+  EXPECT_EQ(std::get<protocol::ChangeNotification>(messenger.broadcasts[0]).revision, revision);
+  EXPECT_EQ(context.view().job(job)->progress.at(kShard).value.released.size(), 1u);
+}
+
+TEST_F(ProgressWriterTest, OneTransactionIsUnderWayAtATime) {
+  release_tasks_of(job);
+  write();
+  write_after(kBatchDelay);
+  write_after(kBatchDelay);
+  EXPECT_EQ(cache->txns.size(), 1u);
+}
+
+TEST_F(ProgressWriterTest, RepeatsAFailedTransactionOnceTheStateWasRead) {
+  for (auto outcome : {RequestOutcome::kConflict, RequestOutcome::kRefused, RequestOutcome::kUnknown}) {
+    if (!shard().manager->unwritten_progress().contains(job)) release_tasks_of(job);
+    write_after(kCheckPeriod);
+    write_after(kBatchDelay);
+    ASSERT_EQ(cache->txns.size(), 1u);
+    cache->refuse_oldest(outcome);
+    EXPECT_TRUE(messenger.broadcasts.empty());
+    write_after(kCheckPeriod);
+    EXPECT_TRUE(cache->txns.empty());
+    ASSERT_EQ(cache->syncs.size(), 1u);
+    cache->finish_oldest_sync(false);
+  }
+  write_after(kCheckPeriod);
+  EXPECT_EQ(cache->txns.size(), 1u);
+}
+
+TEST_F(ProgressWriterTest, WritesAFewJobsAtATime) {
+  for (std::size_t number = 0; number < kMaxJobsPerTxn + 2; ++number)
+    release_tasks_of(JobId("run-" + std::to_string(number)));
+  write();
+  write_after(kBatchDelay);
+  ASSERT_EQ(cache->txns.size(), 1u);
+  EXPECT_EQ(cache->txns[0].txn.writes.size(), kMaxJobsPerTxn);
+}
+
+TEST_F(ProgressWriterTest, AnAnswerForAnEarlierTermDoesNotEndATransactionOfTheNext) {
+  release_tasks_of(job);
+  write();
+  write_after(kBatchDelay);
+  ASSERT_EQ(cache->txns.size(), 1u);
+  auto& next = shards.add(kShard);
+  next.manager =
+      std::make_unique<shard::ShardManager>(kShard, Term(6), shard::fixture::params(), clock.now());
+  next.writing_progress = true;
+  cache->commit_oldest();
+  EXPECT_TRUE(shard().writing_progress);
+}
+
+}  // namespace
+}  // namespace beaconsill::controller
