--- a/src/controller/progress_writer.h
+++ b/src/controller/progress_writer.h
@@ -4,8 +4,10 @@
 #include <map>
 
 #include "controller/controller_context.h"
+#include "controller/draft_state.h"
 #include "controller/led_shards.h"
-#include "controller/peer_service.h"
+#include "controller/peer_messenger.h"
+#include "controller/peer_status.h"
 #include "state_store/txn_draft.h"
 
 namespace beaconsill::controller {
@@ -15,20 +17,23 @@
 // thread.
 class ProgressWriter {
  public:
-  ProgressWriter(ControllerContext& ctx, PeerService& peers, LedShards& shards)
-      : ctx_(ctx), peers_(peers), shards_(shards) {}
+  ProgressWriter(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers, LedShards& shards)
+      : ctx_(ctx), messenger_(messenger), peers_(peers), shards_(shards) {}
 
   void write(ShardId id, LedShard& shard);
 
  private:
   void commit(ShardId id, LedShard& shard, const protocol::Txn& txn);
   bool leader_reachable() const;
-  // Adds the progress of one job. False: no more fits into the transaction.
-  bool add_progress(ShardId id, const JobId& job, const state_store::Progress& progress,
-                    state_store::TxnDraft& draft) const;
+  // Jobs whose progress one transaction may hold now.
+  std::size_t max_jobs_per_txn(bool leader_notified) const;
+  // Adds the progress of one job, if it differs from what is recorded.
+  DraftState add_progress(ShardId id, const JobId& job, const state_store::Progress& progress,
+                          state_store::TxnDraft& draft) const;
 
   ControllerContext& ctx_;
-  PeerService& peers_;
+  PeerMessenger& messenger_;
+  const PeerStatus& peers_;
   LedShards& shards_;
 };
 
--- a/tests/sim/controller.h
+++ b/tests/sim/controller.h
@@ -92,7 +92,7 @@
   protocol::Heartbeat heartbeat(int to);
   void on_heartbeat(int from, const protocol::Heartbeat& h);
   // All cancellations disclosed by any controller before this time are known here.
-  Instant cancellations_known_until() const;
+  std::optional<Instant> cancellations_known_until() const;
   Heartbeats::Known known() const;
   void send_heartbeat(int to);
   void share_cancellations(const state_store::StateView::ChangeSet& t);
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -102,7 +102,7 @@
   auto& o = process_.shards.at(id);
   auto term = o.shard->term();
   read_registry(id, o);
-  o.shard->tick(instant(), cancellations_known_until(), process_.watch_cache->up_to_date_at());
+  o.shard->tick(instant(), *cancellations_known_until(), *process_.watch_cache->up_to_date_at());
   for (auto& b : o.shard->take_command_batches(instant())) command(id, term, b);
   notify_leader(id, o);
   write_registry(id, o);
@@ -198,7 +198,7 @@
   auto& shard = *o.shard;
   // Without knowing of cancellations for this long, the leases of tasks that may be cancelled have to run
   // out.
-  if (instant() - cancellations_known_until() > from_seconds(kCancelLimit - kLease - kCancelMargin))
+  if (instant() - *cancellations_known_until() > from_seconds(kCancelLimit - kLease - kCancelMargin))
     return {};
   shard.on_worker_heartbeat(r, instant());
   if (shard.superseded()) {
