--- a/tests/check_dependencies_test.sh
+++ b/tests/check_dependencies_test.sh
@@ -3,13 +3,12 @@
 # What .ci/check-dependencies says of small trees of packages.
 set -euo pipefail
 script=$1
-directory=$(mktemp -d)
-trap 'rm -rf "$directory"' EXIT
-failures=0
+# shellcheck source=tests/script_test_lib.sh
+source "$(dirname "$0")/script_test_lib.sh"
 
 # base <- protocol <- shard <- app; net depends on base only.
 fresh_tree() {
-  rm -rf "${directory:?}"/*
+  remove_tree
   cat >"$directory/README.md" <<'END'
 | package (`src/`) | responsibility |
 | --- | --- |
@@ -36,17 +35,6 @@
 }
 include() { echo "#include \"$2/a.h\"" >>"$directory/src/$1/a.cpp"; }
 
-# expect WHAT VERDICT [OUTPUT]: the check passes or fails, and prints a line with this text.
-expect() {
-  local verdict=pass
-  "$script" "$directory" >"$directory/output" 2>&1 || verdict=fail
-  if [ "$verdict" != "$2" ] || ! grep -qF -- "${3:-}" <(echo; cat "$directory/output"); then
-    echo "FAILED: $1: expected $2 and '${3:-}', got $verdict:"
-    cat "$directory/output"
-    failures=$((failures + 1))
-  fi
-}
-
 fresh_tree
 include protocol base
 include shard protocol
@@ -77,4 +65,4 @@
 sed -i '/^package(shard/d' "$directory/CMakeLists.txt"
 expect "a package that isn't declared" fail "package shard isn't declared"
 
-[ "$failures" -eq 0 ]
+finish
--- a/tests/check_words_test.sh
+++ b/tests/check_words_test.sh
@@ -3,30 +3,18 @@
 # What .ci/check-words finds in small trees of sources.
 set -euo pipefail
 script=$1
-directory=$(mktemp -d)
-trap 'rm -rf "$directory"' EXIT
-failures=0
+# shellcheck source=tests/script_test_lib.sh
+source "$(dirname "$0")/script_test_lib.sh"
 
 # A tree without a retired word. "foo_bar" and "quux" are retired; "quux" is a name of the protocol.
 fresh_tree() {
-  rm -rf "${directory:?}"/*  "$directory/.ci"
+  remove_tree
   mkdir -p "$directory"/.ci "$directory"/src/protocol "$directory"/src/shard "$directory"/tests
   printf '# Comment lines count for nothing: lease\n\nquux\nfoo_bar\n' >"$directory/.ci/retired-words.txt"
   echo 'json["quux"] = token;' >"$directory/src/protocol/worker.cpp"
   echo 'int lease;' >"$directory/src/shard/shard.cpp"
 }
 
-# expect WHAT VERDICT [OUTPUT]: the check passes or fails, and prints a line with this text.
-expect() {
-  local verdict=pass
-  "$script" "$directory" >"$directory/output" 2>&1 || verdict=fail
-  if [ "$verdict" != "$2" ] || ! grep -qF -- "${3:-}" <(echo; cat "$directory/output"); then
-    echo "FAILED: $1: expected $2 and '${3:-}', got $verdict:"
-    cat "$directory/output"
-    failures=$((failures + 1))
-  fi
-}
-
 # One line of a file, in an otherwise clean tree.
 expect_line() {
   fresh_tree
@@ -66,4 +54,4 @@
 echo 'Quux' >"$directory/.ci/retired-words.txt"
 expect "a word that isn't in lower case" fail "not in lower case: Quux"
 
-[ "$failures" -eq 0 ]
+finish
