--- a/tests/decision_digest_test.cpp
+++ b/tests/decision_digest_test.cpp
@@ -33,40 +33,41 @@
   using Decisions = std::function<void(DecisionDigest&)>;
   const Decisions cases[] = {
       [](DecisionDigest&) {},
-      [](DecisionDigest& d) { d.on_transaction(0, {}); },
-      [](DecisionDigest& d) { d.on_transaction(1, {}); },
-      [](DecisionDigest& d) {
-        d.on_transaction(0, {{{"a", Revision(1)}}, {}});
+      [](DecisionDigest& digest) { digest.on_transaction(0, {}); },
+      [](DecisionDigest& digest) { digest.on_transaction(1, {}); },
+      [](DecisionDigest& digest) {
+        digest.on_transaction(0, {{{"a", Revision(1)}}, {}});
       },
-      [](DecisionDigest& d) {
-        d.on_transaction(0, {});
-        d.on_transaction(0, {});
+      [](DecisionDigest& digest) {
+        digest.on_transaction(0, {});
+        digest.on_transaction(0, {});
       },
-      [&](DecisionDigest& d) {
-        d.on_command_result(0, {machine, "", Incarnation(1), FencingToken(2), {}});
+      [&](DecisionDigest& digest) {
+        digest.on_commands(0, {machine, "", Incarnation(1), FencingToken(2), {}});
       },
-      [&](DecisionDigest& d) {
-        d.on_command_result(0, {machine, "", Incarnation(1), FencingToken(3), {}});
+      [&](DecisionDigest& digest) {
+        digest.on_commands(0, {machine, "", Incarnation(1), FencingToken(3), {}});
       },
-      [&](DecisionDigest& d) {
-        d.on_heartbeat_reply(0, machine, {std::nullopt, 1});
+      [&](DecisionDigest& digest) {
+        digest.on_heartbeat_reply(0, machine, {std::nullopt, 1});
       },
-      [&](DecisionDigest& d) {
-        d.on_heartbeat_reply(0, machine, {std::nullopt, 2});
+      [&](DecisionDigest& digest) {
+        digest.on_heartbeat_reply(0, machine, {std::nullopt, 2});
       },
-      [&](DecisionDigest& d) {
-        d.on_heartbeat_reply(0, machine, {shard::ShardManager::HeartbeatResponse{FencingToken(2), {}}, 2});
+      [&](DecisionDigest& digest) {
+        digest.on_heartbeat_reply(0, machine,
+                                  {shard::ShardManager::HeartbeatResponse{FencingToken(2), {}}, 2});
       },
-      [&](DecisionDigest& d) { d.on_deletion(0, machine); },
-      [&](DecisionDigest& d) { d.on_deletion(0, MachineName("host-2")); },
-      [&](DecisionDigest& d) {
-        d.on_user_response(0, job, {200, "{}", std::nullopt});
+      [&](DecisionDigest& digest) { digest.on_deletion(0, machine); },
+      [&](DecisionDigest& digest) { digest.on_deletion(0, MachineName("host-2")); },
+      [&](DecisionDigest& digest) {
+        digest.on_user_response(0, job, {200, "{}", std::nullopt});
       },
-      [&](DecisionDigest& d) {
-        d.on_user_response(0, job, {201, "{}", std::nullopt});
+      [&](DecisionDigest& digest) {
+        digest.on_user_response(0, job, {201, "{}", std::nullopt});
       },
-      [&](DecisionDigest& d) {
-        d.on_user_response(0, job, {200, "{}", 3});
+      [&](DecisionDigest& digest) {
+        digest.on_user_response(0, job, {200, "{}", 3});
       },
   };
   const EventQueue queue(1, false);
--- a/tests/sim/clock.h
+++ b/tests/sim/clock.h
@@ -16,34 +16,38 @@
 
   double now() const { return now_; }
   Instant instant() const { return instant(now_); }
-  static Instant instant(double t) { return Instant{} + from_seconds(1000 + t); }
+  static Instant instant(double time) { return Instant{} + from_seconds(1000 + time); }
   WallMs wall() const { return WallMs(static_cast<std::int64_t>(now_ * 1000)); }
 
   std::uint64_t draw() { return rng_(); }
   // From 0 to n - 1.
-  int draw_below(int n) { return static_cast<int>(draw() % static_cast<std::uint64_t>(n)); }
-  double uniform(double a, double b) { return a + (b - a) * static_cast<double>(draw() % 100000) / 100000; }
-  bool chance(double p) { return uniform(0, 1) < p; }
+  int draw_below(int bound) { return static_cast<int>(draw() % static_cast<std::uint64_t>(bound)); }
+  double uniform(double low, double high) {
+    return low + (high - low) * static_cast<double>(draw() % 100000) / 100000;
+  }
+  bool chance(double probability) { return uniform(0, 1) < probability; }
   // Whether a rare fault of a single message occurs. Never if the schedule is without noise.
-  bool random_fault(double p) { return noise_ && chance(p); }
+  bool random_fault(double probability) { return noise_ && chance(probability); }
 
-  void at(double t, std::function<void()> f) { events_.emplace(std::max(t, now_), std::move(f)); }
-  void after(double d, std::function<void()> f) { at(now_ + d, std::move(f)); }
-  void every(double d, std::function<void()> f) {
-    after(d, [this, d, f] {
-      f();
-      every(d, f);
+  void at(double time, std::function<void()> callback) {
+    events_.emplace(std::max(time, now_), std::move(callback));
+  }
+  void after(double delay, std::function<void()> callback) { at(now_ + delay, std::move(callback)); }
+  void every(double period, std::function<void()> callback) {
+    after(period, [this, period, callback] {
+      callback();
+      every(period, callback);
     });
   }
 
   bool empty() const { return events_.empty(); }
   // Runs the next event.
   void step() {
-    auto e = events_.begin();
-    now_ = e->first;
-    auto f = std::move(e->second);
-    events_.erase(e);
-    f();
+    auto event = events_.begin();
+    now_ = event->first;
+    auto callback = std::move(event->second);
+    events_.erase(event);
+    callback();
   }
 
  private:
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -5,33 +5,33 @@
 namespace beaconsill::sim {
 
 void Cloud::add_machine() {
-  auto i = next_++;
-  MachineName name("host-" + std::to_string(i));
-  auto& m = ledger_.machines[name];
-  m.name = name;
-  m.zone = zones()[static_cast<std::size_t>(i) % zones().size()];
-  m.lease_from = queue_.now();
-  m.controller = i % kControllers;
+  auto number = next_++;
+  MachineName name("host-" + std::to_string(number));
+  auto& machine = ledger_.machines[name];
+  machine.name = name;
+  machine.zone = zones()[static_cast<std::size_t>(number) % zones().size()];
+  machine.lease_from = queue_.now();
+  machine.controller = number % kControllers;
   on_added_(name);
 }
 
-void Cloud::kill(const MachineName& m) {
-  auto* x = ledger_.machine(m);
-  if (!x) return;
-  x->terminated = true;
-  x->tasks.clear();
+void Cloud::kill(const MachineName& name) {
+  auto* machine = ledger_.machine(name);
+  if (!machine) return;
+  machine->terminated = true;
+  machine->tasks.clear();
   double boot = queue_.now() < fast_boot_until_   ? queue_.uniform(0.2, 2)
                 : queue_.now() < slow_boot_until_ ? queue_.uniform(20, 60)
                                                   : queue_.uniform(3, 10);
   queue_.after(boot, [this] { add_machine(); });
 }
 
-void Cloud::remove(const MachineName& m, std::function<void(bool)> answer) {
+void Cloud::remove(const MachineName& name, std::function<void(bool)> answer) {
   ++deletions_;
-  queue_.after(queue_.uniform(0.1, 0.4), [this, m, answer] {
+  queue_.after(queue_.uniform(0.1, 0.4), [this, name, answer] {
     bool ok = !queue_.random_fault(0.1);
     bool done = ok || queue_.chance(0.3);  // carried out, though the answer says otherwise
-    if (done) kill(m);
+    if (done) kill(name);
     answer(ok);
   });
 }
--- a/tests/sim/controller.cpp
+++ b/tests/sim/controller.cpp
@@ -12,10 +12,11 @@
 void Controller::start() {
   env_.network.start(number_);
   process_ = Process{};
-  auto m = env_.options.seeded_bug;
+  auto seeded_bug = env_.options.seeded_bug;
   process_.watch_cache = std::make_shared<WatchCache>(
-      number_, env_.queue, env_.state, m, [this](const state_store::StateView::ChangeSet& t) { on_view(t); });
-  process_.endpoint_reader = std::make_shared<EndpointReader>(process_.watch_cache, m);
+      number_, env_.queue, env_.state, seeded_bug,
+      [this](const state_store::StateView::ChangeSet& changes) { on_view(changes); });
+  process_.endpoint_reader = std::make_shared<EndpointReader>(process_.watch_cache, seeded_bug);
   process_.heartbeats = std::make_unique<Heartbeats>(number_, env_.queue.wall(), instant());
   process_.ticked = now();
   process_.api = std::make_unique<api::Api>(
@@ -23,7 +24,9 @@
       process_.endpoint_reader,
       api::Api::Hooks{
           [this] { return env_.catalogue.get(); },
-          [this](Revision) { broadcast([](Controller& c) { c.process_.watch_cache->sync([](bool) {}); }); },
+          [this](Revision) {
+            broadcast([](Controller& controller) { controller.process_.watch_cache->sync([](bool) {}); });
+          },
           [this](const JobId& id) { return may_reveal_cancellation(id); },
           [this](const JobId& id) { return running(id); },
           [] { return true; },
@@ -50,13 +53,14 @@
   env_.network.later(number_, period, CallbackKind::kTimer, [this, period, work] { every(period, work); });
 }
 
-void Controller::send(int to, std::function<void(Controller&)> f) {
-  env_.network.peer(number_, to, [this, to, f = std::move(f)] { f(env_.controller(to)); });
+void Controller::send(int to, std::function<void(Controller&)> callback) {
+  env_.network.peer(number_, to,
+                    [this, to, callback = std::move(callback)] { callback(env_.controller(to)); });
 }
 
-void Controller::broadcast(const std::function<void(Controller&)>& f) {
+void Controller::broadcast(const std::function<void(Controller&)>& callback) {
   for (int to = 0; to < kControllers; ++to)
-    if (to != number_) send(to, f);
+    if (to != number_) send(to, callback);
 }
 
 void Controller::renew_lease() {
@@ -66,43 +70,44 @@
 void Controller::tick() {
   if (now() - process_.watch_cache->synced_at_s() > kReadPeriod && !process_.watch_cache->reading())
     process_.watch_cache->sync([](bool) {});
-  roles();
+  check_roles();
   if (process_.scheduler && !process_.records_read) read_records();
   tick_shards();
   tick_leader();
   process_.ticked = now();
 }
 
-void Controller::on_view(const state_store::StateView::ChangeSet& t) {
-  for (auto& [id, o] : process_.shards) {
-    if (o.read && t.machines.contains(id)) load_registry(id);
-    for (const auto& j : t.jobs) publish(*o.shard, j);
+void Controller::on_view(const state_store::StateView::ChangeSet& changes) {
+  for (auto& [id, led] : process_.shards) {
+    if (led.read && changes.machines.contains(id)) load_registry(id);
+    for (const auto& job : changes.jobs) publish(*led.shard, job);
   }
   if (process_.scheduler) {
-    auto jobs = t.jobs;
-    if (t.roles)
-      for (auto& j : process_.scheduler->on_terms(terms())) jobs.insert(j);
+    auto jobs = changes.jobs;
+    if (changes.roles)
+      for (auto& job : process_.scheduler->on_terms(terms())) jobs.insert(job);
     publish_to_scheduler(jobs);
   }
-  if (t.roles) roles();
-  share_cancellations(t);
+  if (changes.roles) check_roles();
+  share_cancellations(changes);
 }
 
-void Controller::on_user(const net::Request& r, net::HttpServer::Reply reply) {
-  if (has_bug(SeededBug::kRepeatedSubmissionRejected) && r.method == "POST" && r.path == "/v1/jobs") {
-    auto id = JobId(protocol::parse_object(r.body).value("ref", ""));
+void Controller::on_user(const net::Request& request, net::HttpServer::Reply reply) {
+  if (has_bug(SeededBug::kRepeatedSubmissionRejected) && request.method == "POST" &&
+      request.path == "/v1/jobs") {
+    auto id = JobId(protocol::parse_object(request.body).value("ref", ""));
     if (view().job(id)) return reply({422, "{}", std::nullopt});
   }
-  if (has_bug(SeededBug::kNoReadBarrierForKnownJobs) && r.method == "GET") {
-    JobId id(r.path.substr(r.path.rfind('/') + 1));
+  if (has_bug(SeededBug::kNoReadBarrierForKnownJobs) && request.method == "GET") {
+    JobId id(request.path.substr(request.path.rfind('/') + 1));
     if (view().job(id) && !view().terminal_state(id))
       return reply({200, protocol::render_status(id, protocol::JobState::kQueued, 0, 0), std::nullopt});
   }
-  if (!has_bug(SeededBug::kUnknownJobsReported)) return process_.api->handle(r, std::move(reply));
-  process_.api->handle(r, [reply](net::Response x) {
-    if (x.status == 404)
-      x = {200, protocol::render_status(JobId("run-0"), protocol::JobState::kQueued, 0, 0)};
-    reply(std::move(x));
+  if (!has_bug(SeededBug::kUnknownJobsReported)) return process_.api->handle(request, std::move(reply));
+  process_.api->handle(request, [reply](net::Response response) {
+    if (response.status == 404)
+      response = {200, protocol::render_status(JobId("run-0"), protocol::JobState::kQueued, 0, 0)};
+    reply(std::move(response));
   });
 }
 
--- a/tests/sim/controller.h
+++ b/tests/sim/controller.h
@@ -27,17 +27,17 @@
   bool ready() const { return process_.watch_cache && process_.watch_cache->ready(); }
   const state_store::StateView& view() const { return process_.watch_cache->view(); }
   bool is_leader() const { return process_.scheduler != nullptr; }
-  // The shards that this process owns, unless it knows that it lost them.
-  std::vector<protocol::ShardTerm> owned() const;
-  // Null unless it owns the shard.
+  // The shards that this process leads, unless it knows that it lost them.
+  std::vector<protocol::ShardTerm> led_shards() const;
+  // Null unless it leads the shard.
   const shard::ShardManager* shard(ShardId id) const;
 
   // ---- What comes in
-  void on_user(const net::Request& r, net::HttpServer::Reply reply);
-  void on_worker_heartbeat(const protocol::WorkerHeartbeat& r, const Workers::Reply& reply);
+  void on_user(const net::Request& request, net::HttpServer::Reply reply);
+  void on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat, const Workers::Reply& reply);
 
  private:
-  struct OwnedShard {
+  struct LedShard {
     std::unique_ptr<shard::ShardManager> shard;
     bool read = false;
     bool reading = false;
@@ -63,7 +63,7 @@
     std::unique_ptr<api::Api> api;
     std::unique_ptr<Heartbeats> heartbeats;
     double ticked = 0;
-    std::map<ShardId, OwnedShard> shards;
+    std::map<ShardId, LedShard> shards;
     std::map<std::string, RoleState> roles;
     std::unique_ptr<scheduler::Scheduler> scheduler;
     Term leader_term;
@@ -80,59 +80,59 @@
   ControllerName name() const { return controller_name(number_); }
   void every(double period, void (Controller::*work)());
   // Runs at the other controller when the message arrives there.
-  void send(int to, std::function<void(Controller&)> f);
-  void broadcast(const std::function<void(Controller&)>& f);
+  void send(int to, std::function<void(Controller&)> callback);
+  void broadcast(const std::function<void(Controller&)>& callback);
 
   void tick();
   void renew_lease();
-  void on_view(const state_store::StateView::ChangeSet& t);
+  void on_view(const state_store::StateView::ChangeSet& changes);
 
   // Other controllers (controller_peers.cpp)
   void send_heartbeats();
-  protocol::Heartbeat heartbeat(int to);
-  void on_heartbeat(int from, const protocol::Heartbeat& h);
+  void on_heartbeat(int from, const protocol::Heartbeat& heartbeat);
   // All cancellations disclosed by any controller before this time are known here.
   Instant cancellations_known_until() const;
   Heartbeats::Known known() const;
   void send_heartbeat(int to);
-  void share_cancellations(const state_store::StateView::ChangeSet& t);
+  void share_cancellations(const state_store::StateView::ChangeSet& changes);
   bool may_reveal_cancellation(const JobId& id) const;
   void send_summaries();
-  void on_summary(const protocol::Summary& s);
-  std::optional<int> owner_of(ShardId id) const;
-  void relay(ShardId id, const protocol::WorkerHeartbeat& r, const Workers::Reply& reply);
-  void on_relayed_heartbeat(int from, std::uint64_t id, const protocol::WorkerHeartbeat& r);
-  void on_relayed_reply(std::uint64_t id, const HeartbeatReply& r);
+  void on_summary(const protocol::Summary& summary);
+  std::optional<int> leader_of(ShardId id) const;
+  void relay(ShardId id, const protocol::WorkerHeartbeat& heartbeat, const Workers::Reply& reply);
+  void on_relayed_heartbeat(int from, std::uint64_t id, const protocol::WorkerHeartbeat& heartbeat);
+  void on_relayed_reply(std::uint64_t id, const HeartbeatReply& answer);
 
   // Leader election (controller_leader_election.cpp)
-  void roles();
-  void role(const std::string& key, const state_store::Versioned<state_store::Role>& r,
-            std::optional<ShardId> shard);
-  void lose_role(RoleState& s, std::optional<ShardId> shard);
-  void keep_or_fail_back(RoleState& s, const std::string& key,
-                         const state_store::Versioned<state_store::Role>& r, ShardId shard);
+  void check_roles();
+  void check_role(const std::string& key, const state_store::Versioned<state_store::Role>& role,
+                  std::optional<ShardId> shard);
+  void lose_role(RoleState& state, std::optional<ShardId> shard);
+  void keep_or_fail_back(RoleState& state, const std::string& key,
+                         const state_store::Versioned<state_store::Role>& role, ShardId shard);
   int rank(std::optional<ShardId> shard) const;
-  void acquire(const std::string& key, const state_store::Versioned<state_store::Role>& r,
+  void acquire(const std::string& key, const state_store::Versioned<state_store::Role>& role,
                std::optional<ShardId> shard);
-  void fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& r, ShardId shard);
+  void fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& role,
+                 ShardId shard);
   std::map<ShardId, Term> terms() const;
 
   // Shards (controller_shards.cpp)
   void acquire_shard(ShardId id, Term term);
-  OwnedShard* find(ShardId id, Term term);
+  LedShard* find(ShardId id, Term term);
   void publish(shard::ShardManager& shard, const JobId& job);
   void load_registry(ShardId id);
   void tick_shards();
   void tick_shard(ShardId id);
-  void read_registry(ShardId id, OwnedShard& o);
-  void notify_leader(ShardId id, OwnedShard& o);
-  void write(ShardId id, Term term, const protocol::Txn& t, bool OwnedShard::*flag);
-  void write_registry(ShardId id, OwnedShard& o);
-  void write_progress(ShardId id, OwnedShard& o);
-  HeartbeatReply answer(OwnedShard& o, ShardId id, const protocol::WorkerHeartbeat& r);
-  void command(ShardId id, Term term, const shard::ShardManager::Batch& b);
-  void remove(ShardId id, Term term, const MachineName& m);
-  void on_machine_terminated(const MachineName& m);
+  void read_registry(ShardId id, LedShard& led);
+  void notify_leader(ShardId id, LedShard& led);
+  void write(ShardId id, Term term, const protocol::Txn& txn, bool LedShard::*flag);
+  void write_registry(ShardId id, LedShard& led);
+  void write_progress(ShardId id, LedShard& led);
+  HeartbeatReply answer(LedShard& led, ShardId id, const protocol::WorkerHeartbeat& heartbeat);
+  void command(ShardId id, Term term, const shard::ShardManager::Batch& batch);
+  void remove(ShardId id, Term term, const MachineName& machine);
+  void on_machine_terminated(const MachineName& machine);
   void on_estimate_request(int leader, const protocol::EstimateRequest& estimate_request);
   std::uint32_t running(const JobId& id) const;
 
@@ -145,8 +145,8 @@
   void write_terminal_record(const JobId& id, const state_store::TerminalRecord& terminal_record);
   void collect_garbage();
   void publish_to_scheduler(const std::set<JobId>& jobs);
-  void on_progress_report(const protocol::ProgressReport& o);
-  void on_estimate_response(const protocol::EstimateResponse& a);
+  void on_progress_report(const protocol::ProgressReport& report);
+  void on_estimate_response(const protocol::EstimateResponse& response);
 
   int number_;
   Environment& env_;
--- a/tests/sim/controller_leader_election.cpp
+++ b/tests/sim/controller_leader_election.cpp
@@ -11,41 +11,43 @@
 
 std::map<ShardId, Term> Controller::terms() const {
   std::map<ShardId, Term> out;
-  for (std::uint32_t p = 0; p < env_.partitioning.shard_count(); ++p)
-    if (const auto& r = view().shard_role(ShardId(p)); r.exists()) out[ShardId(p)] = r.value.term;
+  for (std::uint32_t number = 0; number < env_.partitioning.shard_count(); ++number)
+    if (const auto& role = view().shard_role(ShardId(number)); role.exists())
+      out[ShardId(number)] = role.value.term;
   return out;
 }
 
-void Controller::roles() {
+void Controller::check_roles() {
   if (!ready()) return;
-  for (std::uint32_t p = 0; p < env_.partitioning.shard_count(); ++p)
-    role(state_store::shard_role_key(ShardId(p)), view().shard_role(ShardId(p)), ShardId(p));
-  role(state_store::leader_role_key(), view().leader(), std::nullopt);
+  for (std::uint32_t number = 0; number < env_.partitioning.shard_count(); ++number)
+    check_role(state_store::shard_role_key(ShardId(number)), view().shard_role(ShardId(number)),
+               ShardId(number));
+  check_role(state_store::leader_role_key(), view().leader(), std::nullopt);
 }
 
-void Controller::role(const std::string& key, const state_store::Versioned<state_store::Role>& r,
-                      std::optional<ShardId> shard) {
-  auto& s = process_.roles[key];
-  bool mine = r.exists() && r.value.controller == name();
-  if (s.held && (!mine || r.value.term > *s.held)) lose_role(s, shard);
-  if (s.acquiring) return;
-  if (s.held) {
-    if (shard) keep_or_fail_back(s, key, r, *shard);
+void Controller::check_role(const std::string& key, const state_store::Versioned<state_store::Role>& role,
+                            std::optional<ShardId> shard) {
+  auto& state = process_.roles[key];
+  bool mine = role.exists() && role.value.controller == name();
+  if (state.held && (!mine || role.value.term > *state.held)) lose_role(state, shard);
+  if (state.acquiring) return;
+  if (state.held) {
+    if (shard) keep_or_fail_back(state, key, role, *shard);
     return;
   }
   if (!view().alive(name())) return;
   // Held by an earlier process of this controller, or given to it.
-  if (mine) return acquire(key, r, shard);
-  if (r.exists() && view().alive(r.value.controller)) {
-    s.vacant_since.reset();
+  if (mine) return acquire(key, role, shard);
+  if (role.exists() && view().alive(role.value.controller)) {
+    state.vacant_since.reset();
     return;
   }
-  if (!s.vacant_since) s.vacant_since = now();
-  if (now() - *s.vacant_since >= rank(shard) * kCandidateDelay) acquire(key, r, shard);
+  if (!state.vacant_since) state.vacant_since = now();
+  if (now() - *state.vacant_since >= rank(shard) * kCandidateDelay) acquire(key, role, shard);
 }
 
-void Controller::lose_role(RoleState& s, std::optional<ShardId> shard) {
-  s.held.reset();
+void Controller::lose_role(RoleState& state, std::optional<ShardId> shard) {
+  state.held.reset();
   if (shard) {
     process_.shards.erase(*shard);
   } else {
@@ -54,20 +56,20 @@
   }
 }
 
-void Controller::keep_or_fail_back(RoleState& s, const std::string& key,
-                                   const state_store::Versioned<state_store::Role>& r, ShardId shard) {
+void Controller::keep_or_fail_back(RoleState& state, const std::string& key,
+                                   const state_store::Versioned<state_store::Role>& role, ShardId shard) {
   const auto& preferred_controller = env_.partitioning.preferred_controller(shard);
   if (preferred_controller == name() || !view().alive(preferred_controller)) {
-    s.preferred_alive_since.reset();
+    state.preferred_alive_since.reset();
     return;
   }
-  if (!s.preferred_alive_since) s.preferred_alive_since = now();
-  double away = now() - *s.preferred_alive_since;
+  if (!state.preferred_alive_since) state.preferred_alive_since = now();
+  double away = now() - *state.preferred_alive_since;
   auto owned = process_.shards.find(shard);
   bool is_stable = owned != process_.shards.end() && owned->second.shard->is_stable(instant());
   if (away <= kFailBackDelay || (!is_stable && away <= kUnstableFactor * kFailBackDelay)) return;
-  s.preferred_alive_since.reset();
-  fail_back(key, r, shard);
+  state.preferred_alive_since.reset();
+  fail_back(key, role, shard);
 }
 
 int Controller::rank(std::optional<ShardId> shard) const {
@@ -81,25 +83,26 @@
   return place;
 }
 
-void Controller::acquire(const std::string& key, const state_store::Versioned<state_store::Role>& r,
+void Controller::acquire(const std::string& key, const state_store::Versioned<state_store::Role>& role,
                          std::optional<ShardId> shard) {
   process_.roles[key].acquiring = true;
-  Term term(r.value.term.value() + 1);
-  protocol::Txn t{{{key, r.revision}},
-                  {{key, state_store::to_json(state_store::Role{name(), term, r.value.min_reader_version}),
-                    std::nullopt}}};
-  // Only an owner that has terminated, or is this very controller, may be replaced.
-  if (r.exists() && r.value.controller != name())
-    t.conditions.push_back({state_store::alive_key(r.value.controller), Revision()});
-  env_.state.txn(number_, t, [this, key, shard, term, t](state_store::TxnResult result) {
-    auto& s = process_.roles[key];
+  Term term(role.value.term.value() + 1);
+  protocol::Txn txn{
+      {{key, role.revision}},
+      {{key, state_store::to_json(state_store::Role{name(), term, role.value.min_reader_version}),
+        std::nullopt}}};
+  // Only a leader that has terminated, or is this very controller, may be replaced.
+  if (role.exists() && role.value.controller != name())
+    txn.conditions.push_back({state_store::alive_key(role.value.controller), Revision()});
+  env_.state.txn(number_, txn, [this, key, shard, term, txn](state_store::TxnResult result) {
+    auto& state = process_.roles[key];
     if (result.outcome != state_store::RequestOutcome::kOk)
       return process_.watch_cache->sync([this, key](bool) { process_.roles[key].acquiring = false; });
-    s.acquiring = false;
-    s.vacant_since.reset();
-    s.held = term;
-    process_.watch_cache->apply_own(t, result.revision);
-    if (!s.held) return;  // lost again within the call above
+    state.acquiring = false;
+    state.vacant_since.reset();
+    state.held = term;
+    process_.watch_cache->apply_own(txn, result.revision);
+    if (!state.held) return;  // lost again within the call above
     if (shard) {
       acquire_shard(*shard, term);
     } else {
@@ -108,17 +111,17 @@
   });
 }
 
-// This controller goes on as the owner until it sees that the change was applied.
-void Controller::fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& r,
+// This controller goes on as the shard leader until it sees that the change was applied.
+void Controller::fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& role,
                            ShardId shard) {
-  auto& s = process_.roles[key];
-  state_store::Role next{env_.partitioning.preferred_controller(shard), Term(s.held->value() + 1)};
-  protocol::Txn t{{{key, r.revision}}, {{key, state_store::to_json(next), std::nullopt}}};
-  s.acquiring = true;
-  env_.state.txn(number_, t, [this, key, t](state_store::TxnResult result) {
+  auto& state = process_.roles[key];
+  state_store::Role next{env_.partitioning.preferred_controller(shard), Term(state.held->value() + 1)};
+  protocol::Txn txn{{{key, role.revision}}, {{key, state_store::to_json(next), std::nullopt}}};
+  state.acquiring = true;
+  env_.state.txn(number_, txn, [this, key, txn](state_store::TxnResult result) {
     process_.roles[key].acquiring = false;
     if (result.outcome == state_store::RequestOutcome::kOk)
-      process_.watch_cache->apply_own(t, result.revision);
+      process_.watch_cache->apply_own(txn, result.revision);
   });
 }
 
--- a/tests/sim/controller_peers.cpp
+++ b/tests/sim/controller_peers.cpp
@@ -12,28 +12,29 @@
 }
 
 void Controller::send_heartbeat(int to) {
-  auto h = process_.heartbeats->next(to, known(), instant());
-  h.acknowledged_until = Revision(UINT64_MAX);  // for earlier versions only
-  h.terms = owned();
-  h.reaches_state_store = process_.watch_cache->ready();
-  send(to, [from = number_, h](Controller& c) { c.on_heartbeat(from, h); });
+  auto heartbeat = process_.heartbeats->next(to, known(), instant());
+  heartbeat.acknowledged_until = Revision(UINT64_MAX);  // for earlier versions only
+  heartbeat.terms = led_shards();
+  heartbeat.reaches_state_store = process_.watch_cache->ready();
+  send(to, [from = number_, heartbeat](Controller& controller) { controller.on_heartbeat(from, heartbeat); });
 }
 
 Heartbeats::Known Controller::known() const {
   return {process_.watch_cache->ready(), process_.watch_cache->revision(), view().cancelled()};
 }
 
-void Controller::on_heartbeat(int from, const protocol::Heartbeat& h) {
+void Controller::on_heartbeat(int from, const protocol::Heartbeat& heartbeat) {
   // Before anything is sent that acknowledges them.
-  if (h.cancellation_sync) process_.watch_cache->apply_cancelled(h.cancellation_sync->cancelled);
-  if (process_.heartbeats->on_heartbeat(from, h, known(), instant())) send_heartbeat(from);
-  for (const auto& t : h.terms)
-    if (auto it = process_.shards.find(t.shard); it != process_.shards.end())
-      it->second.shard->supersede(t.term);
+  if (heartbeat.cancellation_sync)
+    process_.watch_cache->apply_cancelled(heartbeat.cancellation_sync->cancelled);
+  if (process_.heartbeats->on_heartbeat(from, heartbeat, known(), instant())) send_heartbeat(from);
+  for (const auto& shard_term : heartbeat.terms)
+    if (auto it = process_.shards.find(shard_term.shard); it != process_.shards.end())
+      it->second.shard->supersede(shard_term.term);
 }
 
-void Controller::share_cancellations(const state_store::StateView::ChangeSet& t) {
-  bool any = std::any_of(t.jobs.begin(), t.jobs.end(), [&](const JobId& id) {
+void Controller::share_cancellations(const state_store::StateView::ChangeSet& changes) {
+  bool any = std::any_of(changes.jobs.begin(), changes.jobs.end(), [&](const JobId& id) {
     return view().terminal_state(id) == state_store::TerminalState::kCancelled;
   });
   if (!any) return;
@@ -57,64 +58,68 @@
 }
 
 void Controller::send_summaries() {
-  for (const auto& [id, o] : process_.shards) {
-    auto s = o.shard->summary(instant());
-    s.seen = process_.watch_cache->revision();
-    on_summary(s);
-    broadcast([s](Controller& c) { c.on_summary(s); });
+  for (const auto& [id, led] : process_.shards) {
+    auto summary = led.shard->summary(instant());
+    summary.seen = process_.watch_cache->revision();
+    on_summary(summary);
+    broadcast([summary](Controller& controller) { controller.on_summary(summary); });
   }
 }
 
-void Controller::on_summary(const protocol::Summary& s) {
-  process_.summaries[s.shard] = s;
-  if (process_.scheduler) process_.scheduler->on_summary(s, instant());
+void Controller::on_summary(const protocol::Summary& summary) {
+  process_.summaries[summary.shard] = summary;
+  if (process_.scheduler) process_.scheduler->on_summary(summary, instant());
 }
 
-// The owner of the highest term that the state store or another controller has announced, if it's there.
-std::optional<int> Controller::owner_of(ShardId id) const {
+// The shard leader of the highest term that the state store or another controller has announced, if it's
+// there and isn't this one.
+std::optional<int> Controller::leader_of(ShardId id) const {
   const auto& role = view().shard_role(id);
-  std::optional<int> owner;
-  if (role.exists() && view().alive(role.value.controller)) owner = controller_number(role.value.controller);
-  if (auto acknowledged_until = process_.heartbeats->owner(id);
-      acknowledged_until && acknowledged_until->term > role.value.term &&
-      process_.heartbeats->reachable(acknowledged_until->controller, instant()))
-    owner = acknowledged_until->controller;
-  if (owner == number_) owner.reset();
-  return owner;
+  std::optional<int> leader;
+  if (role.exists() && view().alive(role.value.controller)) leader = controller_number(role.value.controller);
+  if (auto announced = process_.heartbeats->shard_leader(id);
+      announced && announced->term > role.value.term &&
+      process_.heartbeats->reachable(announced->controller, instant()))
+    leader = announced->controller;
+  if (leader == number_) leader.reset();
+  return leader;
 }
 
-void Controller::relay(ShardId id, const protocol::WorkerHeartbeat& r, const Workers::Reply& reply) {
-  auto owner = owner_of(id);
-  if (!owner || !process_.heartbeats->reachable(*owner, instant()))
-    return reply({std::nullopt, owner.value_or(-1)});
+void Controller::relay(ShardId id, const protocol::WorkerHeartbeat& heartbeat, const Workers::Reply& reply) {
+  auto leader = leader_of(id);
+  if (!leader || !process_.heartbeats->reachable(*leader, instant()))
+    return reply({std::nullopt, leader.value_or(-1)});
   auto number = process_.next_relay++;
   process_.relayed[number] = {id, reply};
   env_.network.later(number_, kRelayWait, CallbackKind::kTimer, [this, number] {
     auto it = process_.relayed.find(number);
     if (it != process_.relayed.end())
-      on_relayed_reply(number, {std::nullopt, owner_of(it->second.shard).value_or(-1)});
+      on_relayed_reply(number, {std::nullopt, leader_of(it->second.shard).value_or(-1)});
+  });
+  send(*leader, [from = number_, number, heartbeat](Controller& controller) {
+    controller.on_relayed_heartbeat(from, number, heartbeat);
   });
-  send(*owner, [from = number_, number, r](Controller& c) { c.on_relayed_heartbeat(from, number, r); });
 }
 
-void Controller::on_relayed_heartbeat(int from, std::uint64_t number, const protocol::WorkerHeartbeat& r) {
-  auto id = env_.partitioning.shard_of(r.zone, r.machine);
+void Controller::on_relayed_heartbeat(int from, std::uint64_t number,
+                                      const protocol::WorkerHeartbeat& heartbeat) {
+  auto id = env_.partitioning.shard_of(heartbeat.zone, heartbeat.machine);
   auto it = process_.shards.find(id);
   HeartbeatReply out{std::nullopt, number_};
   if (it == process_.shards.end() || it->second.shard->superseded()) {
-    out.redirect = owner_of(id).value_or(-1);
-  } else if (!it->second.shard->should_redirect_here(r, instant())) {
-    out = answer(it->second, id, r);
+    out.redirect = leader_of(id).value_or(-1);
+  } else if (!it->second.shard->should_redirect_here(heartbeat, instant())) {
+    out = answer(it->second, id, heartbeat);
   }
-  send(from, [number, out](Controller& c) { c.on_relayed_reply(number, out); });
+  send(from, [number, out](Controller& controller) { controller.on_relayed_reply(number, out); });
 }
 
-void Controller::on_relayed_reply(std::uint64_t number, const HeartbeatReply& r) {
+void Controller::on_relayed_reply(std::uint64_t number, const HeartbeatReply& answer) {
   auto it = process_.relayed.find(number);
   if (it == process_.relayed.end()) return;
   auto reply = std::move(it->second.reply);
   process_.relayed.erase(it);
-  reply(r);
+  reply(answer);
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -10,17 +10,18 @@
 }  // namespace
 
 void Controller::become_leader(Term term) {
-  scheduler::SchedulerParams p;
-  p.reply_wait = from_seconds(kReplyWait);
-  p.heartbeat_period = from_seconds(env_.options.report_s);
-  p.longest_wait = from_seconds(kLongestWait);
+  scheduler::SchedulerParams params;
+  params.reply_wait = from_seconds(kReplyWait);
+  params.heartbeat_period = from_seconds(env_.options.heartbeat_period_s);
+  params.longest_wait = from_seconds(kLongestWait);
   auto limits = env_.settings.teams;
   if (has_bug(SeededBug::kLimitIgnored)) limits.clear();
-  process_.scheduler = std::make_unique<scheduler::Scheduler>(p, limits, std::vector<config::Objective>{});
+  process_.scheduler =
+      std::make_unique<scheduler::Scheduler>(params, limits, std::vector<config::Objective>{});
   process_.leader_term = term;
   process_.records_read = false;
   process_.scheduler->on_terms(terms());
-  for (const auto& [shard, s] : process_.summaries) process_.scheduler->on_summary(s, instant());
+  for (const auto& [shard, summary] : process_.summaries) process_.scheduler->on_summary(summary, instant());
   std::set<JobId> all;
   for (const auto& [id, job] : view().jobs()) all.insert(id);
   publish_to_scheduler(all);
@@ -28,14 +29,14 @@
 }
 
 void Controller::publish_to_scheduler(const std::set<JobId>& jobs) {
-  for (const auto& j : jobs) {
-    if (has_bug(SeededBug::kJobSkipped) && j == JobId("run-2")) continue;
+  for (const auto& id : jobs) {
+    if (has_bug(SeededBug::kJobSkipped) && id == JobId("run-2")) continue;
     const auto& dependencies = view().dependencies();
     // Cancelled through others: there is nothing to serve.
-    const auto* job = dependencies.unrecorded().contains(j) ? nullptr : view().job(j);
-    auto since = dependencies.ready_since(j);
+    const auto* job = dependencies.unrecorded().contains(id) ? nullptr : view().job(id);
+    auto since = dependencies.ready_since(id);
     if (has_bug(SeededBug::kDependenciesIgnored)) since = env_.queue.wall();
-    process_.scheduler->on_job(j, job, view().terminal_state(j), instant(), since);
+    process_.scheduler->on_job(id, job, view().terminal_state(id), instant(), since);
   }
 }
 
@@ -52,12 +53,13 @@
     return;
   auto all = terms();
   std::set<ShardId> reachable;
-  for (auto& [p, term] : all)
-    if (process_.heartbeats->reachable(controller_number(view().shard_role(p).value.controller), instant()))
-      reachable.insert(p);
+  for (auto& [shard, term] : all)
+    if (process_.heartbeats->reachable(controller_number(view().shard_role(shard).value.controller),
+                                       instant()))
+      reachable.insert(shard);
   if (auto estimate_request = process_.scheduler->begin_round(instant(), env_.queue.wall(), reachable)) {
-    broadcast([from = number_, estimate_request = *estimate_request](Controller& c) {
-      c.on_estimate_request(from, estimate_request);
+    broadcast([from = number_, estimate_request = *estimate_request](Controller& controller) {
+      controller.on_estimate_request(from, estimate_request);
     });
     on_estimate_request(number_, *estimate_request);
   }
@@ -73,38 +75,40 @@
 }
 
 void Controller::write_grants(const std::vector<scheduler::Scheduler::Grant>& grants) {
-  protocol::Txn t;
+  protocol::Txn txn;
   bool conditional = !has_bug(SeededBug::kNoFencing);
-  if (conditional) t.conditions.push_back({state_store::leader_role_key(), view().leader().revision});
+  if (conditional) txn.conditions.push_back({state_store::leader_role_key(), view().leader().revision});
   std::set<ShardId> depends_on_shards;
-  for (const auto& g : grants)
-    depends_on_shards.insert(g.depends_on_shards.begin(), g.depends_on_shards.end());
-  for (auto p : depends_on_shards)
-    t.conditions.push_back({state_store::shard_role_key(p), view().shard_role(p).revision});
-  for (const auto& g : grants) {
-    if (conditional) t.conditions.push_back({state_store::grants_key(g.job), g.expected});
-    t.conditions.push_back({state_store::terminal_key(g.job), Revision()});
-    t.writes.push_back({state_store::grants_key(g.job), state_store::to_json(g.grants), std::nullopt});
+  for (const auto& grant : grants)
+    depends_on_shards.insert(grant.depends_on_shards.begin(), grant.depends_on_shards.end());
+  for (auto shard : depends_on_shards)
+    txn.conditions.push_back({state_store::shard_role_key(shard), view().shard_role(shard).revision});
+  for (const auto& grant : grants) {
+    if (conditional) txn.conditions.push_back({state_store::grants_key(grant.job), grant.expected});
+    txn.conditions.push_back({state_store::terminal_key(grant.job), Revision()});
+    txn.writes.push_back(
+        {state_store::grants_key(grant.job), state_store::to_json(grant.grants), std::nullopt});
   }
-  env_.state.txn(number_, t, [this, term = process_.leader_term, t, grants](state_store::TxnResult r) {
-    if (!process_.scheduler || process_.leader_term != term) return;
-    if (r.outcome == state_store::RequestOutcome::kOk) {
-      process_.scheduler->on_granted(grants, r.revision, instant());
-      return process_.watch_cache->apply_own(t, r.revision);
-    }
-    process_.watch_cache->sync([this, term, grants](bool) {
-      if (process_.scheduler && process_.leader_term == term)
-        process_.scheduler->on_granted(grants, std::nullopt, instant());
-    });
-  });
+  env_.state.txn(number_, txn,
+                 [this, term = process_.leader_term, txn, grants](state_store::TxnResult result) {
+                   if (!process_.scheduler || process_.leader_term != term) return;
+                   if (result.outcome == state_store::RequestOutcome::kOk) {
+                     process_.scheduler->on_granted(grants, result.revision, instant());
+                     return process_.watch_cache->apply_own(txn, result.revision);
+                   }
+                   process_.watch_cache->sync([this, term, grants](bool) {
+                     if (process_.scheduler && process_.leader_term == term)
+                       process_.scheduler->on_granted(grants, std::nullopt, instant());
+                   });
+                 });
 }
 
 void Controller::write_terminal_records() {
   auto completed = process_.scheduler->completed();
   if (has_bug(SeededBug::kCompletedTooEarly))
-    for (const auto& [id, j] : view().jobs())
-      if (j.record.spec && j.record.spec->kind == JobKind::kArray && !view().terminal_state(id) &&
-          j.done().count() * 2 > j.record.spec->tasks)
+    for (const auto& [id, job] : view().jobs())
+      if (job.record.spec && job.record.spec->kind == JobKind::kArray && !view().terminal_state(id) &&
+          job.done().count() * 2 > job.record.spec->tasks)
         completed.push_back(id);
   auto end = has_bug(SeededBug::kCompletedRecordedAsCancelled) ? state_store::TerminalState::kCancelled
                                                                : state_store::TerminalState::kDone;
@@ -117,11 +121,12 @@
 
 void Controller::write_terminal_record(const JobId& id, const state_store::TerminalRecord& terminal_record) {
   if (!process_.terminal_record.insert(id).second) return;
-  protocol::Txn t{{{state_store::terminal_key(id), Revision()},
-                   {state_store::leader_role_key(), view().leader().revision}},
-                  {{state_store::terminal_key(id), state_store::to_json(terminal_record), std::nullopt}}};
-  env_.state.txn(number_, t, [this, id, t](state_store::TxnResult r) {
-    if (r.outcome == state_store::RequestOutcome::kOk) process_.watch_cache->apply_own(t, r.revision);
+  protocol::Txn txn{{{state_store::terminal_key(id), Revision()},
+                     {state_store::leader_role_key(), view().leader().revision}},
+                    {{state_store::terminal_key(id), state_store::to_json(terminal_record), std::nullopt}}};
+  env_.state.txn(number_, txn, [this, id, txn](state_store::TxnResult result) {
+    if (result.outcome == state_store::RequestOutcome::kOk)
+      process_.watch_cache->apply_own(txn, result.revision);
     process_.watch_cache->sync([this, id](bool) { process_.terminal_record.erase(id); });
   });
 }
@@ -135,35 +140,35 @@
     if (!job || !view().terminal_record(id).exists()) continue;
     std::vector<protocol::Condition> keys{{state_store::job_key(id), job->created}};
     if (job->grants.exists()) keys.push_back({state_store::grants_key(id), job->grants.revision});
-    for (const auto& [shard, p] : job->progress)
-      keys.push_back({state_store::progress_key(shard, id), p.revision});
-    protocol::Txn t{{{state_store::leader_role_key(), view().leader().revision}}, {}};
+    for (const auto& [shard, progress] : job->progress)
+      keys.push_back({state_store::progress_key(shard, id), progress.revision});
+    protocol::Txn txn{{{state_store::leader_role_key(), view().leader().revision}}, {}};
     for (auto shard : process_.scheduler->released_by_message(id))
-      t.conditions.push_back({state_store::shard_role_key(shard), view().shard_role(shard).revision});
-    for (auto& k : keys) {
-      t.writes.push_back({k.key, std::nullopt, std::nullopt});
-      t.conditions.push_back(k);
+      txn.conditions.push_back({state_store::shard_role_key(shard), view().shard_role(shard).revision});
+    for (auto& condition : keys) {
+      txn.writes.push_back({condition.key, std::nullopt, std::nullopt});
+      txn.conditions.push_back(condition);
     }
-    return env_.state.txn(number_, t,
+    return env_.state.txn(number_, txn,
                           [this](state_store::TxnResult) { process_.watch_cache->sync([](bool) {}); });
   }
 }
 
-void Controller::on_progress_report(const protocol::ProgressReport& o) {
+void Controller::on_progress_report(const protocol::ProgressReport& report) {
   if (!process_.scheduler) return;
-  protocol::ProgressReport known{o.shard, o.term, {}};
+  protocol::ProgressReport known{report.shard, report.term, {}};
   std::set<JobId> jobs;
-  for (auto& j : o.jobs) {
-    if (!view().job(j.job)) continue;
-    known.jobs.push_back(j);
-    jobs.insert(j.job);
+  for (auto& progress : report.jobs) {
+    if (!view().job(progress.job)) continue;
+    known.jobs.push_back(progress);
+    jobs.insert(progress.job);
   }
   process_.scheduler->on_progress_report(known, instant());
   publish_to_scheduler(jobs);
 }
 
-void Controller::on_estimate_response(const protocol::EstimateResponse& a) {
-  if (process_.scheduler) process_.scheduler->on_estimate_response(a, instant());
+void Controller::on_estimate_response(const protocol::EstimateResponse& response) {
+  if (process_.scheduler) process_.scheduler->on_estimate_response(response, instant());
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -15,26 +15,26 @@
 
 std::vector<ControllerName> all_controllers() {
   std::vector<ControllerName> controllers;
-  for (int n = 0; n < kControllers; ++n) controllers.push_back(controller_name(n));
+  for (int number = 0; number < kControllers; ++number) controllers.push_back(controller_name(number));
   return controllers;
 }
 }  // namespace
 
 void Controller::acquire_shard(ShardId id, Term term) {
-  shard::ShardParams p;
-  p.heartbeat_period = from_seconds(env_.options.report_s);
-  p.lease = from_seconds(kLease);
-  p.cancel_limit = from_seconds(kCancelLimit);
-  p.grace = from_seconds(kGrace);
-  auto& o = process_.shards[id];
-  o = {};
-  o.shard = std::make_unique<shard::ShardManager>(id, term, p, instant());
-  o.shard->set_catalogue(env_.catalogue);
-  for (const auto& [j, record] : view().jobs()) publish(*o.shard, j);
+  shard::ShardParams params;
+  params.heartbeat_period = from_seconds(env_.options.heartbeat_period_s);
+  params.lease = from_seconds(kLease);
+  params.cancel_limit = from_seconds(kCancelLimit);
+  params.grace = from_seconds(kGrace);
+  auto& led = process_.shards[id];
+  led = {};
+  led.shard = std::make_unique<shard::ShardManager>(id, term, params, instant());
+  led.shard->set_catalogue(env_.catalogue);
+  for (const auto& [job, record] : view().jobs()) publish(*led.shard, job);
   ++env_.outcome.shard_acquisitions;
 }
 
-Controller::OwnedShard* Controller::find(ShardId id, Term term) {
+Controller::LedShard* Controller::find(ShardId id, Term term) {
   auto it = process_.shards.find(id);
   return it == process_.shards.end() || it->second.shard->term() != term ? nullptr : &it->second;
 }
@@ -44,10 +44,10 @@
   return it == process_.shards.end() ? nullptr : it->second.shard.get();
 }
 
-std::vector<protocol::ShardTerm> Controller::owned() const {
+std::vector<protocol::ShardTerm> Controller::led_shards() const {
   std::vector<protocol::ShardTerm> out;
-  for (const auto& [id, o] : process_.shards)
-    if (!o.shard->superseded()) out.push_back({id, o.shard->term()});
+  for (const auto& [id, led] : process_.shards)
+    if (!led.shard->superseded()) out.push_back({id, led.shard->term()});
   return out;
 }
 
@@ -59,187 +59,190 @@
 
 // Tasks of the job that run, by what this controller knows.
 std::uint32_t Controller::running(const JobId& id) const {
-  std::uint32_t n = 0;
-  for (const auto& [shard, o] : process_.shards) n += o.shard->running(id);
-  for (const auto& [shard, s] : process_.summaries) {
+  std::uint32_t count = 0;
+  for (const auto& [shard, led] : process_.shards) count += led.shard->running(id);
+  for (const auto& [shard, summary] : process_.summaries) {
     if (process_.shards.contains(shard)) continue;
-    for (const auto& c : s.running)
-      if (c.job == id) n += c.running;
+    for (const auto& job : summary.running)
+      if (job.job == id) count += job.running;
   }
-  return n;
+  return count;
 }
 
 void Controller::load_registry(ShardId id) {
   auto all = state_store::registered_machines(view(), id);
   auto& shard = *process_.shards.at(id).shard;
   if (has_bug(SeededBug::kRegistryNotRead))
-    std::erase_if(all, [&](const auto& r) { return !shard.find_machine(r.name); });
+    std::erase_if(all, [&](const auto& machine) { return !shard.find_machine(machine.name); });
   shard.on_registry(all, instant());
 }
 
-void Controller::read_registry(ShardId id, OwnedShard& o) {
-  if (o.read || o.reading) return;
-  o.reading = true;
-  process_.watch_cache->sync([this, id, term = o.shard->term()](bool ok) {
-    auto* x = find(id, term);
-    if (!x) return;
-    x->reading = false;
+void Controller::read_registry(ShardId id, LedShard& led) {
+  if (led.read || led.reading) return;
+  led.reading = true;
+  process_.watch_cache->sync([this, id, term = led.shard->term()](bool ok) {
+    auto* still_led = find(id, term);
+    if (!still_led) return;
+    still_led->reading = false;
     if (!ok) return;
-    x->read = true;
+    still_led->read = true;
     load_registry(id);
   });
 }
 
 void Controller::tick_shards() {
   if (now() - process_.ticked > kPauseThreshold)
-    for (auto& [id, o] : process_.shards) o.shard->on_process_pause(instant());
+    for (auto& [id, led] : process_.shards) led.shard->on_process_pause(instant());
   std::vector<ShardId> ids;
-  for (auto& [id, o] : process_.shards) ids.push_back(id);
+  for (auto& [id, led] : process_.shards) ids.push_back(id);
   for (auto id : ids) tick_shard(id);
 }
 
 void Controller::tick_shard(ShardId id) {
-  auto& o = process_.shards.at(id);
-  auto term = o.shard->term();
-  read_registry(id, o);
-  o.shard->tick(instant(), cancellations_known_until(), process_.watch_cache->up_to_date_at());
-  for (auto& b : o.shard->take_command_batches(instant())) command(id, term, b);
-  notify_leader(id, o);
-  write_registry(id, o);
-  write_progress(id, o);
-  for (auto& m : o.shard->take_machines_to_delete(instant())) remove(id, term, m);
-}
-
-void Controller::notify_leader(ShardId id, OwnedShard& o) {
+  auto& led = process_.shards.at(id);
+  auto term = led.shard->term();
+  read_registry(id, led);
+  led.shard->tick(instant(), cancellations_known_until(), process_.watch_cache->up_to_date_at());
+  for (auto& batch : led.shard->take_command_batches(instant())) command(id, term, batch);
+  notify_leader(id, led);
+  write_registry(id, led);
+  write_progress(id, led);
+  for (auto& machine : led.shard->take_machines_to_delete(instant())) remove(id, term, machine);
+}
+
+void Controller::notify_leader(ShardId id, LedShard& led) {
   const auto& leader = view().leader();
-  if (o.shard->superseded() || !leader.exists()) return;
-  bool all = now() >= o.next_full_notification || o.reported_to != leader.value.term;
+  if (led.shard->superseded() || !leader.exists()) return;
+  bool all = now() >= led.next_full_notification || led.reported_to != leader.value.term;
   if (all) {
-    o.next_full_notification = now() + kFullReportPeriod;
-    o.reported_to = leader.value.term;
+    led.next_full_notification = now() + kFullReportPeriod;
+    led.reported_to = leader.value.term;
   }
-  auto jobs = o.shard->progress_report(all);
+  auto jobs = led.shard->progress_report(all);
   if (has_bug(SeededBug::kReleasesNotReported))
-    for (auto& j : jobs) j.released.clear();
+    for (auto& job : jobs) job.released.clear();
   if (has_bug(SeededBug::kFailuresNotReported))
-    for (auto& j : jobs) j.health = protocol::JobHealth::kNone;
+    for (auto& job : jobs) job.health = protocol::JobHealth::kNone;
   if (jobs.empty()) return;
-  protocol::ProgressReport progress_report{id, o.shard->term(), std::move(jobs)};
+  protocol::ProgressReport progress_report{id, led.shard->term(), std::move(jobs)};
   send(controller_number(leader.value.controller),
-       [progress_report](Controller& c) { c.on_progress_report(progress_report); });
+       [progress_report](Controller& controller) { controller.on_progress_report(progress_report); });
 }
 
 void Controller::on_estimate_request(int leader, const protocol::EstimateRequest& estimate_request) {
-  for (auto& [id, o] : process_.shards) {
-    protocol::EstimateResponse a{
-        estimate_request.round, id, o.shard->term(), process_.watch_cache->revision(), {}};
-    for (const auto& s : estimate_request.resource_requests)
-      a.capacities.push_back(o.shard->estimate(s, instant()));
-    send(leader, [a](Controller& c) { c.on_estimate_response(a); });
+  for (auto& [id, led] : process_.shards) {
+    protocol::EstimateResponse response{
+        estimate_request.round, id, led.shard->term(), process_.watch_cache->revision(), {}};
+    for (const auto& request : estimate_request.resource_requests)
+      response.capacities.push_back(led.shard->estimate(request, instant()));
+    send(leader, [response](Controller& controller) { controller.on_estimate_response(response); });
   }
 }
 
-void Controller::write(ShardId id, Term term, const protocol::Txn& t, bool OwnedShard::*flag) {
+void Controller::write(ShardId id, Term term, const protocol::Txn& txn, bool LedShard::*flag) {
   find(id, term)->*flag = true;
-  env_.state.txn(number_, t, [this, id, term, t, flag](state_store::TxnResult r) {
-    if (r.outcome == state_store::RequestOutcome::kOk) {
-      if (auto* o = find(id, term)) o->*flag = false;
-      return process_.watch_cache->apply_own(t, r.revision);
+  env_.state.txn(number_, txn, [this, id, term, txn, flag](state_store::TxnResult result) {
+    if (result.outcome == state_store::RequestOutcome::kOk) {
+      if (auto* led = find(id, term)) led->*flag = false;
+      return process_.watch_cache->apply_own(txn, result.revision);
     }
     process_.watch_cache->sync([this, id, term, flag](bool) {
-      if (auto* o = find(id, term)) o->*flag = false;
+      if (auto* led = find(id, term)) led->*flag = false;
     });
   });
 }
 
-void Controller::write_registry(ShardId id, OwnedShard& o) {
+void Controller::write_registry(ShardId id, LedShard& led) {
   const auto& role = view().shard_role(id);
-  if (o.registering || !role.exists() || role.value.term != o.shard->term()) return;
-  auto t = state_store::registry_txn(view(), id, o.shard->registry_buckets_to_write(), all_controllers(),
-                                     kRegistryLimits);
-  if (t) write(id, o.shard->term(), *t, &OwnedShard::registering);
+  if (led.registering || !role.exists() || role.value.term != led.shard->term()) return;
+  auto txn = state_store::registry_txn(view(), id, led.shard->registry_buckets_to_write(), all_controllers(),
+                                       kRegistryLimits);
+  if (txn) write(id, led.shard->term(), *txn, &LedShard::registering);
 }
 
-void Controller::write_progress(ShardId id, OwnedShard& o) {
+void Controller::write_progress(ShardId id, LedShard& led) {
   const auto& role = view().shard_role(id);
-  if (o.writing || !role.exists() || role.value.term != o.shard->term()) return;
-  auto unwritten_progress = o.shard->unwritten_progress();
-  std::erase_if(o.unwritten_progress, [&](const auto& u) { return !unwritten_progress.contains(u.first); });
+  if (led.writing || !role.exists() || role.value.term != led.shard->term()) return;
+  auto unwritten_progress = led.shard->unwritten_progress();
+  std::erase_if(led.unwritten_progress,
+                [&](const auto& entry) { return !unwritten_progress.contains(entry.first); });
   const auto& leader = view().leader();
   bool acknowledged = leader.exists() &&
                       process_.heartbeats->reachable(controller_number(leader.value.controller), instant());
-  protocol::Txn t{{{state_store::shard_role_key(id), role.revision}}, {}};
-  for (auto& [j, p] : unwritten_progress) {
-    double delay = !acknowledged        ? kProgressDelay
-                   : p.released.empty() ? kAcknowledgedProgressDelay
-                                        : kReleasedDelay;
-    if (now() - o.unwritten_progress.try_emplace(j, now()).first->second < delay) continue;
-    if (has_bug(SeededBug::kReleasesNotReported)) p.released.clear();
-    const auto* job = view().job(j);
+  protocol::Txn txn{{{state_store::shard_role_key(id), role.revision}}, {}};
+  for (auto& [job_id, progress] : unwritten_progress) {
+    double delay = !acknowledged               ? kProgressDelay
+                   : progress.released.empty() ? kAcknowledgedProgressDelay
+                                               : kReleasedDelay;
+    if (now() - led.unwritten_progress.try_emplace(job_id, now()).first->second < delay) continue;
+    if (has_bug(SeededBug::kReleasesNotReported)) progress.released.clear();
+    const auto* job = view().job(job_id);
     if (!job) continue;
-    auto key = state_store::progress_key(id, j);
+    auto key = state_store::progress_key(id, job_id);
     auto have = job->progress.find(id);
-    t.conditions.push_back({key, have == job->progress.end() ? Revision() : have->second.revision});
-    t.writes.push_back({key, state_store::to_json(p), std::nullopt});
+    txn.conditions.push_back({key, have == job->progress.end() ? Revision() : have->second.revision});
+    txn.writes.push_back({key, state_store::to_json(progress), std::nullopt});
   }
-  if (!t.writes.empty()) write(id, o.shard->term(), t, &OwnedShard::writing);
+  if (!txn.writes.empty()) write(id, led.shard->term(), txn, &LedShard::writing);
 }
 
-void Controller::on_worker_heartbeat(const protocol::WorkerHeartbeat& r, const Workers::Reply& reply) {
-  auto id = env_.partitioning.shard_of(r.zone, r.machine);
+void Controller::on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat,
+                                     const Workers::Reply& reply) {
+  auto id = env_.partitioning.shard_of(heartbeat.zone, heartbeat.machine);
   auto it = process_.shards.find(id);
-  if (it == process_.shards.end() || it->second.shard->superseded()) return relay(id, r, reply);
-  auto out = answer(it->second, id, r);
-  it->second.shard->on_direct_contact(r.machine);
+  if (it == process_.shards.end() || it->second.shard->superseded()) return relay(id, heartbeat, reply);
+  auto out = answer(it->second, id, heartbeat);
+  it->second.shard->on_direct_contact(heartbeat.machine);
   reply(out);
 }
 
-HeartbeatReply Controller::answer(OwnedShard& o, ShardId id, const protocol::WorkerHeartbeat& r) {
-  auto& shard = *o.shard;
+HeartbeatReply Controller::answer(LedShard& led, ShardId id, const protocol::WorkerHeartbeat& heartbeat) {
+  auto& shard = *led.shard;
   // Without knowing of cancellations for this long, the leases of tasks that may be cancelled have to run
   // out.
   if (instant() - cancellations_known_until() > from_seconds(kCancelLimit - kLease - kCancelMargin))
     return {};
-  shard.on_worker_heartbeat(r, instant());
+  shard.on_worker_heartbeat(heartbeat, instant());
   if (shard.superseded()) {
     process_.watch_cache->sync([](bool) {});
-    return {std::nullopt, owner_of(id).value_or(-1)};
+    return {std::nullopt, leader_of(id).value_or(-1)};
   }
-  if (!shard.find_machine(r.machine)) return {};
-  return {shard.heartbeat_response(r.machine, instant()), -1};
+  if (!shard.find_machine(heartbeat.machine)) return {};
+  return {shard.heartbeat_response(heartbeat.machine, instant()), -1};
 }
 
-void Controller::command(ShardId id, Term term, const shard::ShardManager::Batch& b) {
+void Controller::command(ShardId id, Term term, const shard::ShardManager::Batch& batch) {
   auto incarnation = env_.network.incarnation(number_);
-  env_.workers.command(number_, b, [this, id, term, b, incarnation](std::optional<CommandReply> r) {
-    env_.network.run(number_, incarnation, CallbackKind::kCommand, [this, id, term, b, r] {
-      auto* o = find(id, term);
-      if (!o) return;
-      using Result = shard::ShardManager::CommandResult;
-      if (!r) return o->shard->on_command_result(b, Result::kNoAnswer, std::nullopt, instant());
-      o->shard->on_command_result(b, r->executed ? Result::kExecuted : Result::kRejected, r->heartbeat,
-                                  instant());
-    });
-  });
-}
-
-void Controller::remove(ShardId id, Term term, const MachineName& m) {
-  env_.decisions.on_deletion(number_, m);
+  env_.workers.command(
+      number_, batch, [this, id, term, batch, incarnation](std::optional<CommandReply> reply) {
+        env_.network.run(number_, incarnation, CallbackKind::kCommand, [this, id, term, batch, reply] {
+          auto* led = find(id, term);
+          if (!led) return;
+          using Result = shard::ShardManager::CommandResult;
+          if (!reply) return led->shard->on_command_result(batch, Result::kNoAnswer, std::nullopt, instant());
+          led->shard->on_command_result(batch, reply->executed ? Result::kExecuted : Result::kRejected,
+                                        reply->heartbeat, instant());
+        });
+      });
+}
+
+void Controller::remove(ShardId id, Term term, const MachineName& machine) {
+  env_.decisions.on_deletion(number_, machine);
   auto incarnation = env_.network.incarnation(number_);
-  env_.cloud.remove(m, [this, id, term, m, incarnation](bool ok) {
-    env_.network.run(number_, incarnation, CallbackKind::kCommand, [this, id, term, m, ok] {
+  env_.cloud.remove(machine, [this, id, term, machine, incarnation](bool ok) {
+    env_.network.run(number_, incarnation, CallbackKind::kCommand, [this, id, term, machine, ok] {
       if (ok) {
-        broadcast([m](Controller& c) { c.on_machine_terminated(m); });
-        on_machine_terminated(m);
-      } else if (auto* o = find(id, term)) {
-        o->shard->on_delete_failed(m, instant());
+        broadcast([machine](Controller& controller) { controller.on_machine_terminated(machine); });
+        on_machine_terminated(machine);
+      } else if (auto* led = find(id, term)) {
+        led->shard->on_delete_failed(machine, instant());
       }
     });
   });
 }
 
-void Controller::on_machine_terminated(const MachineName& m) {
-  for (auto& [id, o] : process_.shards) o.shard->on_machine_terminated(m, instant());
+void Controller::on_machine_terminated(const MachineName& machine) {
+  for (auto& [id, led] : process_.shards) led.shard->on_machine_terminated(machine, instant());
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/decision_digest.cpp
+++ b/tests/sim/decision_digest.cpp
@@ -16,7 +16,7 @@
   fold(Kind::kTransaction, controller, {protocol::render_txn(transaction)});
 }
 
-void DecisionDigest::on_command_result(int controller, const shard::ShardManager::Batch& batch) {
+void DecisionDigest::on_commands(int controller, const shard::ShardManager::Batch& batch) {
   const auto commands = protocol::render_commands(batch.token, batch.incarnation, batch.commands);
   fold(Kind::kCommands, controller, {batch.machine.value(), commands});
 }
--- a/tests/sim/decision_digest.h
+++ b/tests/sim/decision_digest.h
@@ -25,8 +25,8 @@
   // A transaction sent to the state store: grants, roles, ends, registries, submissions, cancellations.
   void on_transaction(int controller, const protocol::Txn& transaction);
   // Commands sent to a worker.
-  void on_command_result(int controller, const shard::ShardManager::Batch& batch);
-  // The answer to a worker's report, or the controller that the worker is pointed to.
+  void on_commands(int controller, const shard::ShardManager::Batch& batch);
+  // The answer to a worker's heartbeat, or the controller that the worker is redirected to.
   void on_heartbeat_reply(int controller, const MachineName& machine, const HeartbeatReply& reply);
   // A request to the cloud to delete a machine. The simulated cloud rents out nothing.
   void on_deletion(int controller, const MachineName& machine);
--- a/tests/sim/environment.h
+++ b/tests/sim/environment.h
@@ -10,7 +10,7 @@
 #include "sim/decision_digest.h"
 #include "sim/network.h"
 #include "sim/options.h"
-#include "sim/state_service.h"
+#include "sim/state_store.h"
 #include "sim/workers.h"
 
 namespace beaconsill::sim {
@@ -21,7 +21,7 @@
   const Options& options;
   EventQueue& queue;
   Network& network;
-  StateService& state;
+  StateStore& state;
   Workers& workers;
   Cloud& cloud;
   DecisionDigest& decisions;
--- a/tests/sim/expectations.h
+++ b/tests/sim/expectations.h
@@ -63,35 +63,35 @@
 // A table of scenarios that can't fail shows nothing: some scenario has to find each bug.
 inline void expect_bugs_found(std::span<const SeededBugCase> cases, std::span<const FaultScenario> scenarios,
                               Seeds seeds, bool noise, const Workload& workload = {}) {
-  for (const auto& c : cases) {
+  for (const auto& bug_case : cases) {
     int found = 0;
     for (const auto& scenario : scenarios)
       for (std::uint64_t seed = seeds.first; seed < seeds.first + seeds.count && found == 0; ++seed) {
         auto options = Options::scripted(seed);
         options.noise = noise;
-        options.seeded_bug = c.bug;
-        found += run_scenario(scenario, options, workload).violations[c.invariant];
+        options.seeded_bug = bug_case.bug;
+        found += run_scenario(scenario, options, workload).violations[bug_case.invariant];
       }
-    EXPECT_GT(found, 0) << c.invariant;
+    EXPECT_GT(found, 0) << bug_case.invariant;
   }
 }
 
 // The same for random schedules: one of the first `seeds` has to find each bug.
 inline void expect_bugs_found(std::span<const SeededBugCase> cases, std::uint64_t seeds,
                               const std::function<Options(std::uint64_t)>& options_of_seed) {
-  for (const auto& c : cases) {
+  for (const auto& bug_case : cases) {
     bool found = false;
     std::string seen;
     for (std::uint64_t seed = 1; seed <= seeds && !found; ++seed) {
       auto options = options_of_seed(seed);
-      options.seeded_bug = c.bug;
+      options.seeded_bug = bug_case.bug;
       auto outcome = World(options).run();
-      found = outcome.violations.contains(c.invariant) &&
-              outcome.first_violation.find(c.detail) != std::string::npos;
+      found = outcome.violations.contains(bug_case.invariant) &&
+              outcome.first_violation.find(bug_case.detail) != std::string::npos;
       if (!outcome.first_violation.empty()) seen = outcome.first_violation;
     }
-    EXPECT_TRUE(found) << "bug " << static_cast<int>(c.bug) << ": no " << c.invariant << ' ' << c.detail
-                       << ", but " << seen;
+    EXPECT_TRUE(found) << "bug " << static_cast<int>(bug_case.bug) << ": no " << bug_case.invariant << ' '
+                       << bug_case.detail << ", but " << seen;
   }
 }
 
--- a/tests/sim/faults.cpp
+++ b/tests/sim/faults.cpp
@@ -77,20 +77,20 @@
       break;
   }
   std::vector<int> all;
-  for (int n = 0; n < kControllers; ++n) all.push_back(n);
+  for (int number = 0; number < kControllers; ++number) all.push_back(number);
   return all;
 }
 
 std::vector<Machine*> FaultInjector::select(const MachineSelector& selector) {
   std::vector<Machine*> out;
-  for (auto& [name, m] : ledger_.machines) {
-    if (m.terminated || (selector.name && *selector.name != name) ||
-        (selector.zone && *selector.zone != m.zone))
+  for (auto& [name, machine] : ledger_.machines) {
+    if (machine.terminated || (selector.name && *selector.name != name) ||
+        (selector.zone && *selector.zone != machine.zone))
       continue;
-    bool runs = std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& t) {
-      return selector.running && t.first.first.job == *selector.running && !t.second.ended;
+    bool runs = std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
+      return selector.running && entry.first.first.job == *selector.running && !entry.second.ended;
     });
-    if (!selector.running || runs) out.push_back(&m);
+    if (!selector.running || runs) out.push_back(&machine);
   }
   bool any = !selector.name && !selector.zone && !selector.running;
   auto count = static_cast<std::size_t>(selector.count ? selector.count : any ? 1 : 0);
@@ -111,7 +111,7 @@
     case FaultKind::kControllerCut:
     case FaultKind::kStateRefusesController:
     case FaultKind::kLongControllerPause:
-      for (int n : select(fault.controllers)) begin_at_controller(fault, n);
+      for (int controller : select(fault.controllers)) begin_at_controller(fault, controller);
       return;
     case FaultKind::kRepeatedFailover:
       return change_leaders(fault);
@@ -120,7 +120,7 @@
     case FaultKind::kMachineOutboundCut:
     case FaultKind::kMachineCrash:
     case FaultKind::kMachineFaulty:
-      for (auto* m : select(fault.machines)) begin_at_machine(fault, *m);
+      for (auto* machine : select(fault.machines)) begin_at_machine(fault, *machine);
       return;
     case FaultKind::kFastBoot:
       return env_.cloud.boot_fast(env_.queue.now() + fault.duration_s);
@@ -180,24 +180,24 @@
   }
 }
 
-void FaultInjector::begin_at_machine(const Fault& fault, Machine& m) {
+void FaultInjector::begin_at_machine(const Fault& fault, Machine& machine) {
   double until = env_.queue.now() + fault.duration_s;
-  env_.outcome.schedule.back() += " " + m.name.value();
+  env_.outcome.schedule.back() += " " + machine.name.value();
   switch (fault.kind) {
     case FaultKind::kMachineHangs:
-      m.hangs_until = until;
+      machine.hangs_until = until;
       return;
     case FaultKind::kMachineInboundCut:
-      m.inbound_cut_until = until;
+      machine.inbound_cut_until = until;
       return;
     case FaultKind::kMachineOutboundCut:
-      m.outbound_cut_until = until;
+      machine.outbound_cut_until = until;
       return;
     case FaultKind::kMachineFaulty:
-      m.faulty_until = until;
+      machine.faulty_until = until;
       return;
     default:
-      return env_.cloud.kill(m.name);
+      return env_.cloud.kill(machine.name);
   }
 }
 
@@ -242,7 +242,8 @@
       auto there = users_.cancel_running(fault.count);
       if (there.size() > kMaxHangingMachines) there.resize(kMaxHangingMachines);
       for (const auto& name : there)
-        if (auto* m = ledger_.machine(name)) m->hangs_until = std::max(m->hangs_until, until);
+        if (auto* machine = ledger_.machine(name))
+          machine->hangs_until = std::max(machine->hangs_until, until);
       return;
     }
     case FaultKind::kCancelAtCompletion:
@@ -265,14 +266,14 @@
 
 void FaultInjector::change_leaders(const Fault& fault) {
   repeat(env_.queue.now() + fault.duration_s, fault.period_s, [this] {
-    if (auto n = leader()) env_.controller(*n).crash(kLeaderRestart);
+    if (auto current = leader()) env_.controller(*current).crash(kLeaderRestart);
   });
 }
 
-void FaultInjector::repeat(double until, double period, std::function<void()> f) {
+void FaultInjector::repeat(double until, double period, std::function<void()> action) {
   if (env_.queue.now() >= until) return;
-  f();
-  env_.queue.after(period, [this, until, period, f] { repeat(until, period, f); });
+  action();
+  env_.queue.after(period, [this, until, period, action] { repeat(until, period, action); });
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/faults.h
+++ b/tests/sim/faults.h
@@ -65,7 +65,7 @@
   int number = 0;
 
   static ControllerSelector drawn() { return {}; }
-  static ControllerSelector controller(int n) { return {Kind::kNumber, n}; }
+  static ControllerSelector controller(int number) { return {Kind::kNumber, number}; }
   static ControllerSelector leader() { return {Kind::kLeader, 0}; }
   // Any controller but the leader.
   static ControllerSelector follower() { return {Kind::kFollower, 0}; }
@@ -79,10 +79,10 @@
   std::optional<JobId> running;  // a task of this job is there
   int count = 0;                 // 0: all that match, or one if nothing is set
 
-  static MachineSelector machine(MachineName m) { return {std::move(m), {}, {}, 0}; }
-  static MachineSelector in_zone(Zone z, int n = 0) { return {{}, std::move(z), {}, n}; }
-  static MachineSelector of_job(JobId j, int n = 0) { return {{}, {}, std::move(j), n}; }
-  static MachineSelector drawn(int n = 1) { return {{}, {}, {}, n}; }
+  static MachineSelector machine(MachineName name) { return {std::move(name), {}, {}, 0}; }
+  static MachineSelector in_zone(Zone zone, int count = 0) { return {{}, std::move(zone), {}, count}; }
+  static MachineSelector of_job(JobId job, int count = 0) { return {{}, {}, std::move(job), count}; }
+  static MachineSelector drawn(int count = 1) { return {{}, {}, {}, count}; }
 };
 
 struct Fault {
@@ -116,12 +116,12 @@
  private:
   void begin(const Fault& fault);
   void begin_at_controller(const Fault& fault, int controller);
-  void begin_at_machine(const Fault& fault, Machine& m);
+  void begin_at_machine(const Fault& fault, Machine& machine);
   void begin_in_state_store(const Fault& fault);
   void begin_with_messages(const Fault& fault);
   void begin_with_users(const Fault& fault);
   void change_leaders(const Fault& fault);
-  void repeat(double until, double period, std::function<void()> f);
+  void repeat(double until, double period, std::function<void()> action);
   std::vector<int> select(const ControllerSelector& selector);
   std::vector<Machine*> select(const MachineSelector& selector);
   Fault draw(FaultKind kind);
--- a/tests/sim/heartbeats.cpp
+++ b/tests/sim/heartbeats.cpp
@@ -8,8 +8,8 @@
 
 std::vector<ControllerName> peers_of(int controller) {
   std::vector<ControllerName> out;
-  for (int n = 0; n < kControllers; ++n)
-    if (n != controller) out.push_back(controller_name(n));
+  for (int other = 0; other < kControllers; ++other)
+    if (other != controller) out.push_back(controller_name(other));
   return out;
 }
 
@@ -25,19 +25,21 @@
       cancellation_barrier_(barrier_params(), peers_of(controller), now) {}
 
 protocol::Heartbeat Heartbeats::next(int to, const Known& known, Instant now) {
-  protocol::Heartbeat h;
-  h.sequence = ++sequence_;
-  h.echo = cancellation_barrier_.received(controller_name(to));
-  h.cancellation_sync = cancellation_barrier_.outgoing(controller_name(to), h.sequence, known, now);
-  return h;
+  protocol::Heartbeat heartbeat;
+  heartbeat.sequence = ++sequence_;
+  heartbeat.echo = cancellation_barrier_.received(controller_name(to));
+  heartbeat.cancellation_sync =
+      cancellation_barrier_.outgoing(controller_name(to), heartbeat.sequence, known, now);
+  return heartbeat;
 }
 
-bool Heartbeats::on_heartbeat(int from, const protocol::Heartbeat& h, const Known& known, Instant now) {
-  for (const auto& t : h.terms) {
-    auto& owner = owners_[t.shard];
-    if (t.term > owner.term) owner = {from, t.term};
+bool Heartbeats::on_heartbeat(int from, const protocol::Heartbeat& heartbeat, const Known& known,
+                              Instant now) {
+  for (const auto& shard_term : heartbeat.terms) {
+    auto& leader = shard_leaders_[shard_term.shard];
+    if (shard_term.term > leader.term) leader = {from, shard_term.term};
   }
-  return cancellation_barrier_.on_heartbeat(controller_name(from), h, known, now);
+  return cancellation_barrier_.on_heartbeat(controller_name(from), heartbeat, known, now);
 }
 
 bool Heartbeats::reachable(int controller, Instant now) const {
@@ -45,9 +47,9 @@
          now - cancellation_barrier_.echoed(controller_name(controller)) < kFresh;
 }
 
-std::optional<Heartbeats::Owner> Heartbeats::owner(ShardId shard) const {
-  auto it = owners_.find(shard);
-  if (it == owners_.end()) return std::nullopt;
+std::optional<Heartbeats::ShardLeader> Heartbeats::shard_leader(ShardId shard) const {
+  auto it = shard_leaders_.find(shard);
+  if (it == shard_leaders_.end()) return std::nullopt;
   return it->second;
 }
 
--- a/tests/sim/heartbeats.h
+++ b/tests/sim/heartbeats.h
@@ -15,24 +15,24 @@
   using Known = shard::CancellationBarrier::Known;
   Heartbeats(int controller, WallMs began, Instant now);
 
-  // The next heartbeat for that controller. The sender adds what it owns.
+  // The next heartbeat for that controller. The sender adds the shards that it leads.
   protocol::Heartbeat next(int to, const Known& known, Instant now);
   // Whether one should go back at once.
-  bool on_heartbeat(int from, const protocol::Heartbeat& h, const Known& known, Instant now);
+  bool on_heartbeat(int from, const protocol::Heartbeat& heartbeat, const Known& known, Instant now);
   const shard::CancellationBarrier& cancellation_sync() const { return cancellation_barrier_; }
   bool reachable(int controller, Instant now) const;
-  struct Owner {
+  struct ShardLeader {
     int controller = 0;
     Term term;
   };
-  // The owner under the highest term that any has claimed.
-  std::optional<Owner> owner(ShardId shard) const;
+  // The one with the highest term that any controller has announced.
+  std::optional<ShardLeader> shard_leader(ShardId shard) const;
 
  private:
   int controller_;
   std::uint64_t sequence_;
   shard::CancellationBarrier cancellation_barrier_;
-  std::map<ShardId, Owner> owners_;
+  std::map<ShardId, ShardLeader> shard_leaders_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/invariants.cpp
+++ b/tests/sim/invariants.cpp
@@ -16,24 +16,25 @@
     outcome_.first_violation = rule + " at " + std::to_string(queue_.now()) + ": " + what;
 }
 
-void InvariantChecker::on_begin(const Machine& m, const TaskId& task, const Job& job) {
+void InvariantChecker::on_begin(const Machine& machine, const TaskId& task, const Job& job) {
   double now = queue_.now();
-  auto text = protocol::task_name(task) + " on " + m.name.value();
+  auto text = protocol::task_name(task) + " on " + machine.name.value();
   double used = 0;
   for (const auto& [name, other] : ledger_.machines) {
     if (other.terminated || now - other.lease_from > kLease) continue;
-    for (const auto& [key, t] : other.tasks) {
-      if (!t.on_machine()) continue;
-      const auto& j = ledger_.jobs.at(key.first.job);
-      bool over = now >= other.hangs_until && j.spec->kind == JobKind::kArray && now >= t.ends;
+    for (const auto& [key, other_task] : other.tasks) {
+      if (!other_task.on_machine()) continue;
+      const auto& other_job = ledger_.jobs.at(key.first.job);
+      bool over =
+          now >= other.hangs_until && other_job.spec->kind == JobKind::kArray && now >= other_task.ends;
       if (over) continue;  // ended, though the fake hasn't looked at it yet
-      if (j.spec->team == job.spec->team) used += j.spec->each.cpus;
-      if (&other != &m && key.first == task)
+      if (other_job.spec->team == job.spec->team) used += other_job.spec->each.cpus;
+      if (&other != &machine && key.first == task)
         report_violation("ran_twice", text + " and " + other.name.value());
     }
   }
   if (used > kTeamCpus + kTiny) report_violation("quota", text + ": " + std::to_string(used));
-  check_place(m, task, job);
+  check_place(machine, task, job);
   ledger_.each_needed(task.job, [&](const Job& needed) {
     if (needed.done.size() < needed.spec->tasks)
       report_violation("too_early", text + " before " + needed.spec->id.value());
@@ -45,78 +46,82 @@
 }
 
 // Given the job's other tasks at this moment.
-void InvariantChecker::check_place(const Machine& m, const TaskId& task, const Job& job) {
+void InvariantChecker::check_place(const Machine& machine, const TaskId& task, const Job& job) {
   const auto& spec = *job.spec;
-  auto text = protocol::task_name(task) + " on " + m.name.value() + " in " + m.zone.value();
-  if (spec.zone && *spec.zone != m.zone) report_violation("wrong_place", text);
+  auto text = protocol::task_name(task) + " on " + machine.name.value() + " in " + machine.zone.value();
+  if (spec.zone && *spec.zone != machine.zone) report_violation("wrong_place", text);
   if (!spec.one_zone && !spec.spread) return;
   std::map<Zone, std::set<std::uint32_t>> there;
-  ledger_.each_task(task.job, [&](const Machine& other, const auto& key, const Task& t) {
-    bool over = queue_.now() >= other.hangs_until && spec.kind == JobKind::kArray && queue_.now() >= t.ends;
-    if (t.on_machine() && !over && queue_.now() - other.lease_from <= kLease)
+  ledger_.each_task(task.job, [&](const Machine& other, const auto& key, const Task& other_task) {
+    bool over =
+        queue_.now() >= other.hangs_until && spec.kind == JobKind::kArray && queue_.now() >= other_task.ends;
+    if (other_task.on_machine() && !over && queue_.now() - other.lease_from <= kLease)
       there[other.zone].insert(key.first.index);
   });
-  there[m.zone].insert(task.index);
+  there[machine.zone].insert(task.index);
   if (spec.one_zone && there.size() > 1)
     report_violation("wrong_place", text + ", others are in another zone");
-  if (spec.spread && there[m.zone].size() > (spec.tasks + 1) / 2)
+  if (spec.spread && there[machine.zone].size() > (spec.tasks + 1) / 2)
     report_violation("wrong_place", text + ", too many are there");
 }
 
-void InvariantChecker::on_written(const protocol::Write& w) {
+void InvariantChecker::on_written(const protocol::Write& write) {
   const std::string grants = std::string(state_store::kPrefix) + "grants/";
-  if (w.value && w.key.starts_with(grants))
-    if (auto job = ledger_.jobs.find(JobId(w.key.substr(grants.size()))); job != ledger_.jobs.end())
+  if (write.value && write.key.starts_with(grants))
+    if (auto job = ledger_.jobs.find(JobId(write.key.substr(grants.size()))); job != ledger_.jobs.end())
       outcome_.failing_grants += job->second.always_fails;
   const std::string ends = std::string(state_store::kPrefix) + "ends/";
-  if (!w.key.starts_with(ends)) return;
-  if (!w.value) return report_violation("went_back", w.key);
-  auto it = ledger_.jobs.find(JobId(w.key.substr(ends.size())));
-  if (it == ledger_.jobs.end()) return report_violation("invented", w.key);
+  if (!write.key.starts_with(ends)) return;
+  if (!write.value) return report_violation("went_back", write.key);
+  auto it = ledger_.jobs.find(JobId(write.key.substr(ends.size())));
+  if (it == ledger_.jobs.end()) return report_violation("invented", write.key);
   const auto& job = it->second;
-  if (state_store::parse_terminal_record(*w.value).state != state_store::TerminalState::kDone) return;
+  if (state_store::parse_terminal_record(*write.value).state != state_store::TerminalState::kDone) return;
   recorded_done_.insert(it->first);
   advance_();
   if (job.done.size() < job.spec->tasks)
-    report_violation("not_done", w.key + " " + std::to_string(job.done.size()));
+    report_violation("not_done", write.key + " " + std::to_string(job.done.size()));
 }
 
-void InvariantChecker::on_response(const UserResponse& a) {
+void InvariantChecker::on_response(const UserResponse& response) {
   ++outcome_.answered;
-  auto it = ledger_.jobs.find(a.job);
-  auto text = a.job.value() + " at n" + std::to_string(a.controller) + ", status " + std::to_string(a.status);
+  auto it = ledger_.jobs.find(response.job);
+  auto text = response.job.value() + " at n" + std::to_string(response.controller) + ", status " +
+              std::to_string(response.status);
   if (it == ledger_.jobs.end()) {
-    if (a.ok()) report_violation(a.request == UserRequest::kSubmit ? "accepted_bad" : "invented", text);
+    if (response.ok())
+      report_violation(response.request == UserRequest::kSubmit ? "accepted_bad" : "invented", text);
     return;
   }
   const auto& job = it->second;
-  auto& known = known_to_users_[a.job];
-  bool accepted_before = known.accepted && *known.accepted <= a.sent_s;
-  if (accepted_before && a.status == 404) report_violation("forgotten", text);
-  if (accepted_before && (a.status == 400 || a.status == 422))
+  auto& known = known_to_users_[response.job];
+  bool accepted_before = known.accepted && *known.accepted <= response.sent_s;
+  if (accepted_before && response.status == 404) report_violation("forgotten", text);
+  if (accepted_before && (response.status == 400 || response.status == 422))
     report_violation("forgotten", text + " to a repeat");
-  if (a.status == 422 && awaits_accepted(job, a.sent_s))
+  if (response.status == 422 && awaits_accepted(job, response.sent_s))
     report_violation("forgotten", text + ": a job that it awaits");
-  if (!a.ok()) {
+  if (!response.ok()) {
     if (!known.unanswered_from) known.unanswered_from = queue_.now();
     known.unanswered_to = queue_.now();
     return;
   }
   known.unanswered_from.reset();
-  if (!known.accepted) known.accepted = a.at_s;
-  if (known.over && *known.over <= a.sent_s && !a.final())
+  if (!known.accepted) known.accepted = response.at_s;
+  if (known.over && *known.over <= response.sent_s && !response.final())
     report_violation("went_back", text + ": not over any more");
-  if (!a.final()) return check_orphaned(a, text);
-  if (known.end && known.end != a.state) report_violation("went_back", text + ": ended otherwise before");
-  bool asked = job.cancel_asked;
-  ledger_.each_needed(a.job, [&](const Job& needed) { asked |= needed.cancel_asked; });
-  if (a.state == protocol::JobState::kCancelled && !asked)
+  if (!response.final()) return check_orphaned(response, text);
+  if (known.end && known.end != response.state)
+    report_violation("went_back", text + ": ended otherwise before");
+  bool asked = job.cancel_requested;
+  ledger_.each_needed(response.job, [&](const Job& needed) { asked |= needed.cancel_requested; });
+  if (response.state == protocol::JobState::kCancelled && !asked)
     report_violation("went_back", text + ": cancelled by nobody");
   if (!known.over) {
-    known.over = a.at_s;
-    known.end = a.state;
+    known.over = response.at_s;
+    known.end = response.state;
     advance_();
-    if (a.state == protocol::JobState::kDone && job.done.size() < job.spec->tasks)
+    if (response.state == protocol::JobState::kDone && job.done.size() < job.spec->tasks)
       report_violation("not_done", text);
   }
 }
@@ -133,9 +138,9 @@
 }
 
 // A job is called queued or running, long after its user learned that a dependency is cancelled.
-void InvariantChecker::check_orphaned(const UserResponse& a, const std::string& text) {
-  ledger_.each_needed(a.job, [&](const Job& needed) {
-    if (needed.cancelled && a.sent_s > *needed.cancelled + kCancelLimit)
+void InvariantChecker::check_orphaned(const UserResponse& response, const std::string& text) {
+  ledger_.each_needed(response.job, [&](const Job& needed) {
+    if (needed.cancelled && response.sent_s > *needed.cancelled + kCancelLimit)
       report_violation("orphaned", text + ", " + needed.spec->id.value() + " was cancelled");
   });
 }
@@ -152,11 +157,11 @@
 }
 
 void InvariantChecker::check_late_cancellations() {
-  for (const auto& [id, j] : ledger_.jobs) {
-    if (!j.cancelled || queue_.now() <= *j.cancelled + kCancelLimit) continue;
-    ledger_.each_task(id, [&](const Machine& m, const auto& key, const Task& t) {
-      if (t.on_machine())
-        report_violation("ran_cancelled", protocol::task_name(key.first) + " on " + m.name.value());
+  for (const auto& [id, job] : ledger_.jobs) {
+    if (!job.cancelled || queue_.now() <= *job.cancelled + kCancelLimit) continue;
+    ledger_.each_task(id, [&](const Machine& machine, const auto& key, const Task& task) {
+      if (task.on_machine())
+        report_violation("ran_cancelled", protocol::task_name(key.first) + " on " + machine.name.value());
     });
   }
 }
@@ -176,16 +181,17 @@
     return;
   }
   auto started = started_.find(id);
-  int n = started == started_.end() ? 0 : started->second;
-  auto [w, fresh] = waits_.try_emplace(id, Wait{std::max(calm_since, queue_.now()), n});
-  if (w->second.started != n) w->second = {queue_.now(), n};
-  if (!fresh && queue_.now() - w->second.since > kWaiting) report_violation("starved", id.value() + " waits");
+  int starts = started == started_.end() ? 0 : started->second;
+  auto [wait, fresh] = waits_.try_emplace(id, Wait{std::max(calm_since, queue_.now()), starts});
+  if (wait->second.started != starts) wait->second = {queue_.now(), starts};
+  if (!fresh && queue_.now() - wait->second.since > kWaiting)
+    report_violation("starved", id.value() + " waits");
 }
 
 // A task of it is nowhere, a machine that fits has room, and the team is under its limit.
 bool InvariantChecker::could_run(const JobId& id, const Job& job) const {
   const auto& known = known_to_users_.find(id);
-  if (job.cancel_asked || (known != known_to_users_.end() && known->second.over)) return false;
+  if (job.cancel_requested || (known != known_to_users_.end() && known->second.over)) return false;
   if (job.always_fails) return false;
   const auto& spec = *job.spec;
   bool ready = true;
@@ -196,35 +202,35 @@
   std::set<std::uint32_t> there = job.done;
   double used = 0;
   bool room = false;
-  for (const auto& [name, m] : ledger_.machines) {
-    if (m.terminated) continue;
+  for (const auto& [name, machine] : ledger_.machines) {
+    if (machine.terminated) continue;
     double cpus = 0;
     double memory = 0;
-    for (const auto& [key, t] : m.tasks) {
-      if (t.ended) continue;
+    for (const auto& [key, task] : machine.tasks) {
+      if (task.ended) continue;
       const auto& other = *ledger_.jobs.at(key.first.job).spec;
       cpus += other.each.cpus;
       memory += other.each.memory_gb;
       if (other.team == spec.team) used += other.each.cpus;
       if (key.first.job == id) there.insert(key.first.index);
     }
-    bool fits = (!spec.zone || *spec.zone == m.zone) && cpus + spec.each.cpus <= kMachineCpus + kTiny &&
+    bool fits = (!spec.zone || *spec.zone == machine.zone) && cpus + spec.each.cpus <= kMachineCpus + kTiny &&
                 memory + spec.each.memory_gb <= kMachineMemory + kTiny;
-    room |= fits && queue_.now() >= m.hangs_until;
+    room |= fits && queue_.now() >= machine.hangs_until;
   }
   // Where a job that sets its zones may still go depends on where its other tasks are: left out.
   if (spec.one_zone || spec.spread) room &= there == job.done;
   return there.size() < spec.tasks && room && used + spec.each.cpus <= kTeamCpus + kTiny;
 }
 
-bool InvariantChecker::satisfied(const JobId& id, const Job& job, const StateService& state) const {
+bool InvariantChecker::satisfied(const JobId& id, const Job& job, const StateStore& state) const {
   if (!job.accepted) return false;
   std::set<std::uint32_t> running;
-  ledger_.each_task(id, [&](const Machine&, const auto& key, const Task& t) {
-    if (t.on_machine()) running.insert(key.first.index);
+  ledger_.each_task(id, [&](const Machine&, const auto& key, const Task& task) {
+    if (task.on_machine()) running.insert(key.first.index);
   });
   if (state.find(state_store::terminal_key(id))) return running.empty();
-  return job.spec->kind == JobKind::kService && !job.cancel_asked && running.size() == job.spec->tasks;
+  return job.spec->kind == JobKind::kService && !job.cancel_requested && running.size() == job.spec->tasks;
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/invariants.h
+++ b/tests/sim/invariants.h
@@ -7,7 +7,7 @@
 #include "sim/clock.h"
 #include "sim/ledger.h"
 #include "sim/options.h"
-#include "sim/state_service.h"
+#include "sim/state_store.h"
 #include "sim/user_response.h"
 
 namespace beaconsill::sim {
@@ -21,16 +21,16 @@
 
   void report_violation(const std::string& rule, const std::string& what);
   // A task begins to run on a machine.
-  void on_begin(const Machine& m, const TaskId& task, const Job& job);
+  void on_begin(const Machine& machine, const TaskId& task, const Job& job);
   // The state store holds a new value.
-  void on_written(const protocol::Write& w);
+  void on_written(const protocol::Write& write);
   // An answer reached its user. Jobs that aren't in the ledger were never submitted, or not as they should
   // be.
-  void on_response(const UserResponse& a);
+  void on_response(const UserResponse& response);
   // Looks at everything. To be called about once a second. `calm_since`: when the last fault was over.
   void check_all(double calm_since);
   // What users want of the job is so.
-  bool satisfied(const JobId& id, const Job& job, const StateService& state) const;
+  bool satisfied(const JobId& id, const Job& job, const StateStore& state) const;
 
  private:
   // What users know of a job, and since when.
@@ -46,9 +46,9 @@
     double since = 0;
     int started = 0;
   };
-  void check_place(const Machine& m, const TaskId& task, const Job& job);
+  void check_place(const Machine& machine, const TaskId& task, const Job& job);
   void check_late_cancellations();
-  void check_orphaned(const UserResponse& a, const std::string& text);
+  void check_orphaned(const UserResponse& response, const std::string& text);
   bool awaits_accepted(const Job& job, double sent_s) const;
   void check_answered(const JobId& id, const Job& job, double calm_since);
   void check_waiting(const JobId& id, const Job& job, double calm_since);
--- a/tests/sim/ledger.h
+++ b/tests/sim/ledger.h
@@ -46,7 +46,7 @@
   bool always_fails = false;    // fails on every machine
   double submitted = 0;
   bool accepted = false;
-  bool cancel_asked = false;
+  bool cancel_requested = false;
   std::optional<double> cancelled;  // when its user received the confirmation
   std::set<std::uint32_t> done;     // tasks that completed, as the workers know
 };
@@ -62,22 +62,22 @@
   }
   // Calls `f(job)` for all jobs that this one needs, directly or through others.
   template <class F>
-  void each_needed(const JobId& id, F f) const {
+  void each_needed(const JobId& id, F visit) const {
     auto job = jobs.find(id);
     if (job == jobs.end()) return;
     for (const auto& dependency : job->second.spec->depends_on) {
-      if (auto needed = jobs.find(dependency); needed != jobs.end()) f(needed->second);
-      each_needed(dependency, f);
+      if (auto needed = jobs.find(dependency); needed != jobs.end()) visit(needed->second);
+      each_needed(dependency, visit);
     }
   }
   // Calls `f(machine, key, task)` for all tasks of the job on machines that are there.
   template <class F>
-  void each_task(const JobId& id, F f) const {
-    for (const auto& [name, m] : machines) {
-      if (m.terminated) continue;
-      for (auto t = m.tasks.lower_bound({TaskId{id, 0}, Attempt()});
-           t != m.tasks.end() && t->first.first.job == id; ++t)
-        f(m, t->first, t->second);
+  void each_task(const JobId& id, F visit) const {
+    for (const auto& [name, machine] : machines) {
+      if (machine.terminated) continue;
+      for (auto entry = machine.tasks.lower_bound({TaskId{id, 0}, Attempt()});
+           entry != machine.tasks.end() && entry->first.first.job == id; ++entry)
+        visit(machine, entry->first, entry->second);
     }
   }
 };
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -3,47 +3,47 @@
 namespace beaconsill::sim {
 namespace {
 
-std::optional<Cut> first(std::optional<Cut> a, std::optional<Cut> b) {
-  return a ? a : b;
+std::optional<Cut> first(std::optional<Cut> cut, std::optional<Cut> other) {
+  return cut ? cut : other;
 }
 
 }  // namespace
 
 void Network::start(int controller) {
-  auto& p = at(controller);
-  p.up = true;
-  ++p.incarnation;
-  p.paused_until = 0;
-  p.pause_before.reset();
+  auto& process = at(controller);
+  process.up = true;
+  ++process.incarnation;
+  process.paused_until = 0;
+  process.pause_before.reset();
 }
 
 void Network::pause_before(int controller, CallbackKind kind, double duration_s) {
   at(controller).pause_before = {kind, duration_s};
 }
 
-void Network::run(int controller, std::uint64_t incarnation, CallbackKind kind, std::function<void()> f) {
-  auto& p = at(controller);
-  if (!p.up || p.incarnation != incarnation) return;
-  if (p.pause_before && p.pause_before->first == kind) {
-    p.paused_until = queue_.now() + p.pause_before->second;
-    p.pause_before.reset();
+void Network::run(int controller, std::uint64_t incarnation, CallbackKind kind,
+                  std::function<void()> callback) {
+  auto& process = at(controller);
+  if (!process.up || process.incarnation != incarnation) return;
+  if (process.pause_before && process.pause_before->first == kind) {
+    process.paused_until = queue_.now() + process.pause_before->second;
+    process.pause_before.reset();
   }
-  if (queue_.now() >= p.paused_until) return f();
+  if (queue_.now() >= process.paused_until) return callback();
   // Events at one time happen in the order in which they were queued.
-  queue_.at(p.paused_until, [this, controller, incarnation, kind, f = std::move(f)] {
-    run(controller, incarnation, kind, f);
+  queue_.at(process.paused_until, [this, controller, incarnation, kind, callback = std::move(callback)] {
+    run(controller, incarnation, kind, callback);
   });
 }
 
-void Network::later(int controller, double d, CallbackKind kind, std::function<void()> f) {
-  queue_.after(d, [this, controller, incarnation = incarnation(controller), kind, f = std::move(f)] {
-    run(controller, incarnation, kind, f);
-  });
+void Network::later(int controller, double delay, CallbackKind kind, std::function<void()> callback) {
+  queue_.after(delay, [this, controller, incarnation = incarnation(controller), kind,
+                       callback = std::move(callback)] { run(controller, incarnation, kind, callback); });
 }
 
-std::optional<Cut> Network::active(const Cut& c) const {
-  if (queue_.now() >= c.until) return std::nullopt;
-  return c;
+std::optional<Cut> Network::active(const Cut& cut) const {
+  if (queue_.now() >= cut.until) return std::nullopt;
+  return cut;
 }
 
 std::optional<Cut> Network::leaving(const Zone& zone) const {
@@ -51,9 +51,9 @@
   return it == zones_.end() ? std::nullopt : active(it->second);
 }
 
-std::optional<Cut> Network::between(const Zone& a, const Zone& b) const {
-  if (a == b) return std::nullopt;
-  return first(leaving(a), leaving(b));
+std::optional<Cut> Network::between(const Zone& zone, const Zone& other) const {
+  if (zone == other) return std::nullopt;
+  return first(leaving(zone), leaving(other));
 }
 
 std::optional<Cut> Network::blocked_path_to_state(int controller) const {
@@ -73,9 +73,9 @@
   return first(active(at(controller).users), leaving(controller_zone(controller)));
 }
 
-void Network::peer(int from, int to, std::function<void()> f) {
-  if (from == to) return f();
-  auto arrive = [this, to, f] { run(to, CallbackKind::kPeer, f); };
+void Network::peer(int from, int to, std::function<void()> callback) {
+  if (from == to) return callback();
+  auto arrive = [this, to, callback] { run(to, CallbackKind::kPeer, callback); };
   if (auto cut = blocked_path_between(from, to)) {
     if (cut->deliver_later) queue_.at(cut->until + queue_.uniform(0, 0.5), arrive);
     return;
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -32,20 +32,20 @@
   void pause(int controller, double until) { at(controller).paused_until = until; }
   // The same, beginning with its next callback of that kind.
   void pause_before(int controller, CallbackKind kind, double duration_s);
-  // `f` happens at the controller now, or once it's no longer paused; never in another incarnation.
-  void run(int controller, std::uint64_t incarnation, CallbackKind kind, std::function<void()> f);
-  void run(int controller, CallbackKind kind, std::function<void()> f) {
-    run(controller, incarnation(controller), kind, std::move(f));
+  // `callback` happens at the controller now, or once it's no longer paused; never in another incarnation.
+  void run(int controller, std::uint64_t incarnation, CallbackKind kind, std::function<void()> callback);
+  void run(int controller, CallbackKind kind, std::function<void()> callback) {
+    run(controller, incarnation(controller), kind, std::move(callback));
   }
-  void later(int controller, double d, CallbackKind kind, std::function<void()> f);
+  void later(int controller, double delay, CallbackKind kind, std::function<void()> callback);
 
   // ---- Cuts
-  void cut_state(int controller, Cut c) { at(controller).state = c; }
-  void cut_peers(int controller, Cut c) { at(controller).peers = c; }
-  void cut_workers(int controller, Cut c) { at(controller).workers = c; }
-  void cut_users(int controller, Cut c) { at(controller).users = c; }
+  void cut_state(int controller, Cut cut) { at(controller).state = cut; }
+  void cut_peers(int controller, Cut cut) { at(controller).peers = cut; }
+  void cut_workers(int controller, Cut cut) { at(controller).workers = cut; }
+  void cut_users(int controller, Cut cut) { at(controller).users = cut; }
   // Nothing passes between the zone and everything else.
-  void cut_zone(const Zone& zone, Cut c) { zones_[zone] = c; }
+  void cut_zone(const Zone& zone, Cut cut) { zones_[zone] = cut; }
   // The cut on the path, if there is one.
   std::optional<Cut> blocked_path_to_state(int controller) const;
   std::optional<Cut> blocked_path_between(int controller, int other) const;
@@ -53,11 +53,11 @@
   std::optional<Cut> blocked_path_to_user(int controller) const;
 
   // ---- Messages between controllers
-  // Lost, late, or come twice. `f` is what the receiver does.
-  void peer(int from, int to, std::function<void()> f);
+  // Lost, late, or come twice. `callback` is what the receiver does.
+  void peer(int from, int to, std::function<void()> callback);
   // That share of the messages between controllers is lost, or comes late and repeatedly.
-  void lose_peer_messages(Window w) { lost_ = w; }
-  void delay_peer_messages(Window w) { delayed_ = w; }
+  void lose_peer_messages(Window window) { lost_ = window; }
+  void delay_peer_messages(Window window) { delayed_ = window; }
 
  private:
   struct Process {
@@ -69,9 +69,9 @@
   };
   Process& at(int controller) { return processes_[static_cast<std::size_t>(controller)]; }
   const Process& at(int controller) const { return processes_[static_cast<std::size_t>(controller)]; }
-  std::optional<Cut> active(const Cut& c) const;
+  std::optional<Cut> active(const Cut& cut) const;
   std::optional<Cut> leaving(const Zone& zone) const;
-  std::optional<Cut> between(const Zone& a, const Zone& b) const;
+  std::optional<Cut> between(const Zone& zone, const Zone& other) const;
 
   EventQueue& queue_;
   std::array<Process, kControllers> processes_;
--- a/tests/sim/options.h
+++ b/tests/sim/options.h
@@ -54,18 +54,18 @@
   // By then everything must be served. The drawn faults and users leave work beyond the teams' limits for
   // longer than 300 s in some schedules; who waits though it could run breaks `starved` long before.
   double end_s = 400;
-  double report_s = 1;
+  double heartbeat_period_s = 1;
   bool random_faults = true;  // groups of two or three concurrent faults at random times
   bool noise = true;          // the rare losses, delays and repetitions of single messages
   SeededBug seeded_bug = SeededBug::kNone;
 
   // Nothing happens but what a test scripts, and messages are never lost.
   static Options scripted(std::uint64_t seed = 1) {
-    Options o;
-    o.seed = seed;
-    o.jobs = 0;
-    o.random_faults = o.noise = false;
-    return o;
+    Options options;
+    options.seed = seed;
+    options.jobs = 0;
+    options.random_faults = options.noise = false;
+    return options;
   }
 };
 
--- a/tests/sim/state_service.h
+++ b/tests/sim/state_store.h
@@ -11,7 +11,7 @@
 
 namespace beaconsill::sim {
 
-class StateService {
+class StateStore {
  public:
   struct Entry {
     protocol::Json value;
@@ -22,21 +22,21 @@
   // `decisions` gets every transaction that is sent. `lost_responses`: the share of transactions without an
   // answer, at any time.
   // `on_written` is called for each change.
-  StateService(EventQueue& queue, Network& network, DecisionDigest& decisions, double lost_responses,
-               std::function<void(const protocol::Write&)> on_written);
+  StateStore(EventQueue& queue, Network& network, DecisionDigest& decisions, double lost_responses,
+             std::function<void(const protocol::Write&)> on_written);
 
   // ---- Faults
   void outage(double until) { outage_until_ = std::max(outage_until_, until); }
   void refuse(int controller, double until) { refused_until_[controller] = until; }
   // Of that share of transactions only the answer is lost.
-  void lose_responses(Window w) { at_once_ = w; }
+  void lose_responses(Window window) { lost_response_window_ = window; }
   // That share has no answer and is carried out 2 to 12 s later, after newer ones.
-  void delay_writes(Window w) { late_ = w; }
-  void answer_slowly(Window w) { slow_ = w; }
+  void delay_writes(Window window) { late_write_window_ = window; }
+  void answer_slowly(Window window) { slow_window_ = window; }
 
   // Whether this controller is served now.
   bool answers(int controller) const;
-  void txn(int controller, protocol::Txn t, Done done);
+  void txn(int controller, protocol::Txn txn, Done done);
   // Reads all changes so far; `done` gets the number of entries of the log that were read, or none.
   void read(int controller, std::function<void(std::optional<std::size_t>)> done);
   const std::vector<protocol::Change>& log() const { return log_; }
@@ -49,8 +49,8 @@
   }
 
  private:
-  bool apply(const protocol::Txn& t, Revision& r);
-  void apply_later(double d, const protocol::Txn& t);
+  bool apply(const protocol::Txn& txn, Revision& revision);
+  void apply_later(double delay, const protocol::Txn& txn);
   void expire(int controller, const std::string& key);
   double path_delay();
 
@@ -64,7 +64,7 @@
   std::uint64_t revision_ = 0;
   std::map<int, double> lease_until_, refused_until_;
   double outage_until_ = 0;
-  Window at_once_, late_, slow_;
+  Window lost_response_window_, late_write_window_, slow_window_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -11,9 +11,9 @@
 constexpr double kPollPeriodOver = 20;
 const std::string kPath = "/v1/jobs";
 
-std::optional<protocol::JobState> parse_state(const net::Response& r) {
-  if (r.status != 200 && r.status != 201) return std::nullopt;
-  auto text = protocol::parse_object(r.body).at("bearing").get<std::string>();
+std::optional<protocol::JobState> parse_state(const net::Response& response) {
+  if (response.status != 200 && response.status != 201) return std::nullopt;
+  auto text = protocol::parse_object(response.body).at("bearing").get<std::string>();
   if (text == "queued") return protocol::JobState::kQueued;
   if (text == "running") return protocol::JobState::kRunning;
   if (text == "done") return protocol::JobState::kDone;
@@ -36,11 +36,11 @@
 
 void Users::submit(int controller, const protocol::JobSpec& spec, std::optional<double> run_s,
                    OnResponse then) {
-  auto& j = ledger_.jobs[spec.id];
-  if (!j.spec) {
-    j.spec = std::make_shared<const protocol::JobSpec>(spec);
-    j.run_s = run_s;
-    j.submitted = env_.queue.now();
+  auto& job = ledger_.jobs[spec.id];
+  if (!job.spec) {
+    job.spec = std::make_shared<const protocol::JobSpec>(spec);
+    job.run_s = run_s;
+    job.submitted = env_.queue.now();
   }
   auto sent = spec;
   if (env_.options.seeded_bug == SeededBug::kZoneDropped) sent.zone.reset();
@@ -57,120 +57,125 @@
 }
 
 void Users::cancel(int controller, const JobId& id, OnResponse then) {
-  if (auto j = ledger_.jobs.find(id); j != ledger_.jobs.end()) j->second.cancel_asked = true;
+  if (auto job = ledger_.jobs.find(id); job != ledger_.jobs.end()) job->second.cancel_requested = true;
   send_request(controller, id, UserRequest::kCancel, "", std::move(then));
 }
 
 void Users::send_request(int controller, const JobId& id, UserRequest request, std::string body,
                          OnResponse then) {
-  auto& q = env_.queue;
+  auto& queue = env_.queue;
   auto over = std::make_shared<bool>(false);
-  UserResponse unanswered{q.now(), q.now(), controller, id, request, 0, {}, 0};
-  auto finish = [this, over, then](UserResponse a) {
+  UserResponse unanswered{queue.now(), queue.now(), controller, id, request, 0, {}, 0};
+  auto finish = [this, over, then](UserResponse response) {
     if (std::exchange(*over, true)) return;
-    a.at_s = env_.queue.now();
-    on_response(a);
-    if (then) then(a);
+    response.at_s = env_.queue.now();
+    on_response(response);
+    if (then) then(response);
   };
-  q.after(request == UserRequest::kStatus ? kStatusTimeout : kTimeout,
-          [finish, unanswered] { finish(unanswered); });
-  auto reply = [this, controller, id, finish, unanswered](const net::Response& r) {
-    env_.decisions.on_user_response(controller, id, r);
+  queue.after(request == UserRequest::kStatus ? kStatusTimeout : kTimeout,
+              [finish, unanswered] { finish(unanswered); });
+  auto reply = [this, controller, id, finish, unanswered](const net::Response& response) {
+    env_.decisions.on_user_response(controller, id, response);
     if (env_.network.blocked_path_to_user(controller)) return;
-    auto a = unanswered;
-    a.status = r.status;
-    a.state = parse_state(r);
-    a.retry_after_s = r.retry_after_s.value_or(0);
-    env_.queue.after(env_.queue.uniform(0.0002, 0.001), [finish, a] { finish(a); });
+    auto answered = unanswered;
+    answered.status = response.status;
+    answered.state = parse_state(response);
+    answered.retry_after_s = response.retry_after_s.value_or(0);
+    env_.queue.after(env_.queue.uniform(0.0002, 0.001), [finish, answered] { finish(answered); });
   };
   if (env_.network.blocked_path_to_user(controller)) return;
-  q.after(q.uniform(0.0002, 0.001),
-          [this, controller, finish, unanswered, reply, r = render(id, request, std::move(body))] {
-            if (!env_.network.up(controller)) return finish(unanswered);
-            env_.network.run(controller, CallbackKind::kUserRequest,
-                             [this, controller, r, reply] { env_.controller(controller).on_user(r, reply); });
-          });
+  queue.after(queue.uniform(0.0002, 0.001),
+              [this, controller, finish, unanswered, reply, request = render(id, request, std::move(body))] {
+                if (!env_.network.up(controller)) return finish(unanswered);
+                env_.network.run(controller, CallbackKind::kUserRequest, [this, controller, request, reply] {
+                  env_.controller(controller).on_user(request, reply);
+                });
+              });
 }
 
-void Users::on_response(const UserResponse& a) {
-  invariants_.on_response(a);
-  responses_.push_back(a);
-  auto it = ledger_.jobs.find(a.job);
-  if (it == ledger_.jobs.end() || !a.ok()) return;
-  auto& j = it->second;
-  bool news = !j.accepted;
-  j.accepted = true;
-  if (a.state == protocol::JobState::kCancelled && !j.cancelled) {
-    j.cancelled = a.at_s;
+void Users::on_response(const UserResponse& response) {
+  invariants_.on_response(response);
+  responses_.push_back(response);
+  auto it = ledger_.jobs.find(response.job);
+  if (it == ledger_.jobs.end() || !response.ok()) return;
+  auto& job = it->second;
+  bool news = !job.accepted;
+  job.accepted = true;
+  if (response.state == protocol::JobState::kCancelled && !job.cancelled) {
+    job.cancelled = response.at_s;
     news = true;
   }
-  if (news) query_burst(a.job);
+  if (news) query_burst(response.job);
 }
 
-void Users::on_all_done(const JobId& id) {
+void Users::on_job_completed(const JobId& id) {
   query_burst(id);
   if (cancel_at_completion_.hits(env_.queue)) cancel_until_confirmed(id);
 }
 
 // At all controllers, again and again; some repeat the submission, some cancel at once.
 void Users::query_burst(const JobId& id) {
-  auto& q = env_.queue;
-  if (q.now() >= query_bursts_until_) return;
+  auto& queue = env_.queue;
+  if (queue.now() >= query_bursts_until_) return;
   for (int round = 0; round < 4; ++round)
-    for (int n = 0; n < kControllers; ++n) q.after(q.uniform(0, 0.03), [this, id, n] { poll(n, id); });
-  q.after(q.uniform(0, 0.03),
-          [this, id, n = q.draw_below(kControllers)] { submit(n, *ledger_.jobs.at(id).spec); });
-  if (q.chance(0.1)) q.after(q.uniform(0, 0.02), [this, id] { cancel_until_confirmed(id); });
+    for (int controller = 0; controller < kControllers; ++controller)
+      queue.after(queue.uniform(0, 0.03), [this, id, controller] { poll(controller, id); });
+  queue.after(queue.uniform(0, 0.03), [this, id, controller = queue.draw_below(kControllers)] {
+    submit(controller, *ledger_.jobs.at(id).spec);
+  });
+  if (queue.chance(0.1)) queue.after(queue.uniform(0, 0.02), [this, id] { cancel_until_confirmed(id); });
 }
 
 int Users::random_controller() {
-  int n = env_.queue.draw_below(kControllers);
-  for (int i = 0; i < kControllers; ++i, n = (n + 1) % kControllers)
-    if (env_.network.up(n) && env_.controller(n).ready() && !env_.network.blocked_path_to_user(n)) return n;
-  return n;
+  int controller = env_.queue.draw_below(kControllers);
+  for (int i = 0; i < kControllers; ++i, controller = (controller + 1) % kControllers)
+    if (env_.network.up(controller) && env_.controller(controller).ready() &&
+        !env_.network.blocked_path_to_user(controller))
+      return controller;
+  return controller;
 }
 
 protocol::JobSpec Users::next_spec(std::uint32_t tasks) {
-  protocol::JobSpec s;
-  int i = next_job_++;
-  s.id = JobId("run-" + std::to_string(i));
-  s.job_class = "c";
-  s.team = teams()[static_cast<std::size_t>(i) % teams().size()];
-  s.tasks = tasks;
-  s.each = {1, 0, 1};
-  s.image = ImageName("img-" + std::to_string(i % 3));
-  s.image_gb = 1;
-  s.estimate_s = 3;
-  return s;
+  protocol::JobSpec spec;
+  int number = next_job_++;
+  spec.id = JobId("run-" + std::to_string(number));
+  spec.job_class = "c";
+  spec.team = teams()[static_cast<std::size_t>(number) % teams().size()];
+  spec.tasks = tasks;
+  spec.each = {1, 0, 1};
+  spec.image = ImageName("img-" + std::to_string(number % 3));
+  spec.image_gb = 1;
+  spec.estimate_s = 3;
+  return spec;
 }
 
-protocol::JobSpec Users::drawn_spec(int i) {
-  auto s = next_spec(5 + static_cast<std::uint32_t>(env_.queue.draw_below(30)));
-  s.id = JobId("run-" + std::to_string(i));
-  s.team = teams()[static_cast<std::size_t>(i) % teams().size()];
-  if (i % 3 == 0) {
-    s.kind = JobKind::kService;
-    s.priority = Priority::kHigh;
-    s.tasks = 1 + static_cast<std::uint32_t>(i % 2);
-  } else if (i % 4 == 2) {
-    s.tasks = 2 + static_cast<std::uint32_t>(i % 2);  // two or three, which end far apart
+protocol::JobSpec Users::drawn_spec(int index) {
+  auto spec = next_spec(5 + static_cast<std::uint32_t>(env_.queue.draw_below(30)));
+  spec.id = JobId("run-" + std::to_string(index));
+  spec.team = teams()[static_cast<std::size_t>(index) % teams().size()];
+  if (index % 3 == 0) {
+    spec.kind = JobKind::kService;
+    spec.priority = Priority::kHigh;
+    spec.tasks = 1 + static_cast<std::uint32_t>(index % 2);
+  } else if (index % 4 == 2) {
+    spec.tasks = 2 + static_cast<std::uint32_t>(index % 2);  // two or three, which end far apart
   }
-  if (i % 5 == 1) s.zone = Zone("west");
-  if (i % 7 == 3) s.one_zone = true;
-  if (i % 7 == 5) s.spread = true;
-  return s;
+  if (index % 5 == 1) spec.zone = Zone("west");
+  if (index % 7 == 3) spec.one_zone = true;
+  if (index % 7 == 5) spec.spread = true;
+  return spec;
 }
 
-void Users::submit_drawn(int i) {
-  auto spec = drawn_spec(i);
-  bool cancelled = i % 6 == 4 || (i % 3 == 0 && i % 2);
+void Users::submit_drawn(int index) {
+  auto spec = drawn_spec(index);
+  bool cancelled = index % 6 == 4 || (index % 3 == 0 && index % 2);
   std::optional<double> run_s;
-  if (spec.kind == JobKind::kArray && i % 4 == 1) run_s = env_.queue.uniform(15, 40);
+  if (spec.kind == JobKind::kArray && index % 4 == 1) run_s = env_.queue.uniform(15, 40);
   submit_until_accepted(spec, run_s, cancelled ? env_.queue.uniform(1, 40) : 0);
 }
 
-Users::Pipeline Users::drawn_pipeline(int i) {
-  auto& q = env_.queue;
+Users::Pipeline Users::drawn_pipeline(int index) {
+  auto& queue = env_.queue;
   // By its place, the steps that each step needs.
   static const std::vector<std::vector<std::vector<std::size_t>>> kShapes{
       {{}, {0}, {1}, {2}},             // a chain
@@ -178,27 +183,28 @@
       {{}, {0}, {0}, {1, 2}},          // a diamond
       {{}, {}, {0, 1}, {1}, {2, 3}},   // two heads
   };
-  const auto& needs = kShapes[static_cast<std::size_t>(i) % kShapes.size()];
+  const auto& needs = kShapes[static_cast<std::size_t>(index) % kShapes.size()];
   Pipeline pipeline;
   for (const auto& needed : needs) {
-    auto s = next_spec(1 + static_cast<std::uint32_t>(q.draw_below(4)));
-    s.id = JobId("run-" + std::to_string(i) + "00" + std::to_string(pipeline.size()));
-    s.priority = Priority::kLow;
-    for (auto step : needed) s.depends_on.push_back(pipeline[step].id);
-    pipeline.push_back(std::move(s));
+    auto spec = next_spec(1 + static_cast<std::uint32_t>(queue.draw_below(4)));
+    spec.id = JobId("run-" + std::to_string(index) + "00" + std::to_string(pipeline.size()));
+    spec.priority = Priority::kLow;
+    for (auto step : needed) spec.depends_on.push_back(pipeline[step].id);
+    pipeline.push_back(std::move(spec));
   }
   pipeline.back().priority = Priority::kHigh;
   pipeline.back().deadline_s = 60;
   // Some go on with what others have submitted.
   auto earlier = drawn_job();
-  if (q.chance(0.4) && earlier && ledger_.jobs.at(*earlier).spec->kind == JobKind::kArray)
+  if (queue.chance(0.4) && earlier && ledger_.jobs.at(*earlier).spec->kind == JobKind::kArray)
     pipeline.front().depends_on.push_back(*earlier);
   return pipeline;
 }
 
 bool Users::over(const JobId& id) const {
-  return std::any_of(responses_.begin(), responses_.end(),
-                     [&](const UserResponse& a) { return a.job == id && a.ok() && a.final(); });
+  return std::any_of(responses_.begin(), responses_.end(), [&](const UserResponse& response) {
+    return response.job == id && response.ok() && response.final();
+  });
 }
 
 void Users::submit_step(const std::shared_ptr<const Pipeline>& pipeline, std::size_t step, bool last_waits) {
@@ -213,14 +219,15 @@
                         [this, pipeline, step, last_waits] { submit_step(pipeline, step + 1, last_waits); });
 }
 
-void Users::submit_pipeline(int i) {
-  auto& q = env_.queue;
-  auto pipeline = std::make_shared<const Pipeline>(drawn_pipeline(i));
-  submit_step(pipeline, 0, q.chance(0.25));
-  if (!q.chance(0.5)) return;
-  auto cancelled = (*pipeline)[static_cast<std::size_t>(q.draw_below(static_cast<int>(pipeline->size())))].id;
-  q.after(q.uniform(1, 40), [this, cancelled] {
-    if (auto j = ledger_.jobs.find(cancelled); j != ledger_.jobs.end() && j->second.accepted)
+void Users::submit_pipeline(int index) {
+  auto& queue = env_.queue;
+  auto pipeline = std::make_shared<const Pipeline>(drawn_pipeline(index));
+  submit_step(pipeline, 0, queue.chance(0.25));
+  if (!queue.chance(0.5)) return;
+  auto cancelled =
+      (*pipeline)[static_cast<std::size_t>(queue.draw_below(static_cast<int>(pipeline->size())))].id;
+  queue.after(queue.uniform(1, 40), [this, cancelled] {
+    if (auto job = ledger_.jobs.find(cancelled); job != ledger_.jobs.end() && job->second.accepted)
       cancel_until_confirmed(cancelled);
   });
 }
@@ -243,57 +250,59 @@
 
 void Users::fill_quotas() {
   for (const auto& team : teams()) {
-    auto s = next_spec(static_cast<std::uint32_t>(kTeamCpus) + 10);
-    s.team = team;
-    submit_until_accepted(s, env_.queue.uniform(4, 10), 0);
+    auto spec = next_spec(static_cast<std::uint32_t>(kTeamCpus) + 10);
+    spec.team = team;
+    submit_until_accepted(spec, env_.queue.uniform(4, 10), 0);
   }
 }
 
 // `cancel_after_s`: after it was accepted; 0: not.
 void Users::submit_until_accepted(const protocol::JobSpec& spec, std::optional<double> run_s,
                                   double cancel_after_s, const std::function<void()>& then) {
-  submit(random_controller(), spec, run_s, [this, spec, run_s, cancel_after_s, then](const UserResponse& a) {
-    if (!a.ok())
-      return env_.queue.after(std::max(kRetry, a.retry_after_s), [this, spec, run_s, cancel_after_s, then] {
-        submit_until_accepted(spec, run_s, cancel_after_s, then);
-      });
-    if (then) then();
-    if (cancel_after_s > 0)
-      env_.queue.after(cancel_after_s, [this, id = spec.id] { cancel_until_confirmed(id); });
-    poll_on(spec.id);
-  });
+  submit(random_controller(), spec, run_s,
+         [this, spec, run_s, cancel_after_s, then](const UserResponse& response) {
+           if (!response.ok())
+             return env_.queue.after(std::max(kRetry, response.retry_after_s),
+                                     [this, spec, run_s, cancel_after_s, then] {
+                                       submit_until_accepted(spec, run_s, cancel_after_s, then);
+                                     });
+           if (then) then();
+           if (cancel_after_s > 0)
+             env_.queue.after(cancel_after_s, [this, id = spec.id] { cancel_until_confirmed(id); });
+           poll_on(spec.id);
+         });
 }
 
 void Users::cancel_until_confirmed(const JobId& id) {
-  cancel(random_controller(), id, [this, id](const UserResponse& a) {
-    if (!a.ok())
-      env_.queue.after(std::max(kRetry, a.retry_after_s), [this, id] { cancel_until_confirmed(id); });
+  cancel(random_controller(), id, [this, id](const UserResponse& response) {
+    if (!response.ok())
+      env_.queue.after(std::max(kRetry, response.retry_after_s), [this, id] { cancel_until_confirmed(id); });
   });
 }
 
 void Users::poll_on(const JobId& id) {
-  poll(random_controller(), id, [this, id](const UserResponse& a) {
-    double wait = a.final() ? kPollPeriodOver : kPollPeriod;
+  poll(random_controller(), id, [this, id](const UserResponse& response) {
+    double wait = response.final() ? kPollPeriodOver : kPollPeriod;
     env_.queue.after(wait, [this, id] { poll_on(id); });
   });
 }
 
 std::vector<MachineName> Users::cancel_running(int count) {
   std::vector<JobId> long_to_go;
-  for (const auto& [id, j] : ledger_.jobs) {
+  for (const auto& [id, job] : ledger_.jobs) {
     bool runs = false;
-    ledger_.each_task(id, [&](const Machine&, const auto&, const Task& t) {
-      runs |= t.on_machine() && (j.spec->kind == JobKind::kService || t.ends - env_.queue.now() > 2);
+    ledger_.each_task(id, [&](const Machine&, const auto&, const Task& task) {
+      runs |= task.on_machine() && (job.spec->kind == JobKind::kService || task.ends - env_.queue.now() > 2);
     });
-    if (runs && j.accepted && !j.cancel_asked) long_to_go.push_back(id);
+    if (runs && job.accepted && !job.cancel_requested) long_to_go.push_back(id);
   }
   std::vector<MachineName> there;
   for (int i = 0; i < count && !long_to_go.empty(); ++i) {
     auto chosen = long_to_go.begin() + env_.queue.draw_below(static_cast<int>(long_to_go.size()));
     auto id = *chosen;
     long_to_go.erase(chosen);
-    ledger_.each_task(id, [&](const Machine& m, const auto&, const Task& t) {
-      if (t.on_machine()) there.push_back(m.name);
+    ledger_.each_task(id, [&](const Machine& machine, const auto&, const Task& task) {
+      if (task.on_machine()) there.push_back(machine.name);
     });
     env_.queue.after(env_.queue.uniform(0, 0.2), [this, id] { cancel_until_confirmed(id); });
   }
--- a/tests/sim/users.h
+++ b/tests/sim/users.h
@@ -25,10 +25,10 @@
 
   // ---- Drawn users
   // A drawn job is submitted until it's accepted, polled until it's over, and perhaps cancelled meanwhile.
-  void submit_drawn(int i);
+  void submit_drawn(int index);
   // The jobs of a drawn pipeline, one after the other, each as soon as the one before it is accepted; of some
   // the last only when the others are over. One of them is perhaps cancelled.
-  void submit_pipeline(int i);
+  void submit_pipeline(int index);
   // A job of one task.
   void submit_small();
   // A job that fails on every machine. Its user cancels it within so many seconds.
@@ -48,17 +48,17 @@
   // Users query all controllers within milliseconds after a job was accepted, ended or cancelled.
   void query_in_bursts(double until) { query_bursts_until_ = until; }
   // That share of the jobs that end is cancelled at the moment of the end.
-  void cancel_at_completion(Window w) { cancel_at_completion_ = w; }
+  void cancel_at_completion(Window window) { cancel_at_completion_ = window; }
   // The last task of the job has completed.
-  void on_all_done(const JobId& id);
+  void on_job_completed(const JobId& id);
 
  private:
-  protocol::JobSpec drawn_spec(int i);
+  protocol::JobSpec drawn_spec(int index);
   protocol::JobSpec next_spec(std::uint32_t tasks);
   void submit_until_accepted(const protocol::JobSpec& spec, std::optional<double> run_s,
                              double cancel_after_s, const std::function<void()>& then = {});
   using Pipeline = std::vector<protocol::JobSpec>;
-  Pipeline drawn_pipeline(int i);
+  Pipeline drawn_pipeline(int index);
   void submit_step(const std::shared_ptr<const Pipeline>& pipeline, std::size_t step, bool last_waits);
   bool over(const JobId& id) const;
   void cancel_until_confirmed(const JobId& id);
@@ -69,7 +69,7 @@
   // A controller that a load balancer would choose.
   int random_controller();
   void send_request(int controller, const JobId& id, UserRequest request, std::string body, OnResponse then);
-  void on_response(const UserResponse& a);
+  void on_response(const UserResponse& response);
 
   Environment& env_;
   Ledger& ledger_;
--- a/tests/sim/watch_cache.cpp
+++ b/tests/sim/watch_cache.cpp
@@ -2,7 +2,7 @@
 
 namespace beaconsill::sim {
 
-WatchCache::WatchCache(int controller, EventQueue& queue, StateService& state, SeededBug seeded_bug,
+WatchCache::WatchCache(int controller, EventQueue& queue, StateStore& state, SeededBug seeded_bug,
                        std::function<void(const state_store::StateView::ChangeSet&)> on_change)
     : controller_(controller),
       queue_(queue),
@@ -41,16 +41,16 @@
   if (touched.any()) on_change_(touched);
 }
 
-void WatchCache::apply_own(const protocol::Txn& t, Revision r) {
-  for (const auto& w : t.writes) view_.apply({w.key, w.value, r});
+void WatchCache::apply_own(const protocol::Txn& txn, Revision revision) {
+  for (const auto& write : txn.writes) view_.apply({write.key, write.value, revision});
   publish_changes();
 }
 
 void WatchCache::apply_cancelled(const std::vector<protocol::CancelledJob>& jobs) {
-  for (const auto& c : jobs) {
-    auto value =
-        state_store::to_json(state_store::TerminalRecord{state_store::TerminalState::kCancelled, c.done});
-    view_.apply({state_store::terminal_key(c.job), value, c.revision});
+  for (const auto& cancelled : jobs) {
+    auto value = state_store::to_json(
+        state_store::TerminalRecord{state_store::TerminalState::kCancelled, cancelled.done});
+    view_.apply({state_store::terminal_key(cancelled.job), value, cancelled.revision});
   }
   if (ready_) publish_changes();
 }
--- a/tests/sim/watch_cache.h
+++ b/tests/sim/watch_cache.h
@@ -2,24 +2,24 @@
 #pragma once
 
 #include "sim/options.h"
-#include "sim/state_service.h"
+#include "sim/state_store.h"
 
 namespace beaconsill::sim {
 
 class WatchCache : public state_store::StateReader {
  public:
-  WatchCache(int controller, EventQueue& queue, StateService& state, SeededBug seeded_bug,
+  WatchCache(int controller, EventQueue& queue, StateStore& state, SeededBug seeded_bug,
              std::function<void(const state_store::StateView::ChangeSet&)> on_change);
 
   const state_store::StateView& view() const override { return view_; }
   bool ready() const override { return ready_; }
   // Calls while a read is under way share the next one.
   void sync(std::function<void(bool)> done) override;
-  void apply_own(const protocol::Txn& t, Revision r) override;
+  void apply_own(const protocol::Txn& txn, Revision revision) override;
   bool is_responsive() const override { return true; }
-  void commit(protocol::Txn t, state_store::Urgency, std::function<void(state_store::TxnResult)> done,
+  void commit(protocol::Txn txn, state_store::Urgency, std::function<void(state_store::TxnResult)> done,
               Duration) override {
-    state_.txn(controller_, std::move(t), std::move(done));
+    state_.txn(controller_, std::move(txn), std::move(done));
   }
   // Ends that another controller has read.
   void apply_cancelled(const std::vector<protocol::CancelledJob>& jobs);
@@ -36,7 +36,7 @@
 
   int controller_;
   EventQueue& queue_;
-  StateService& state_;
+  StateStore& state_;
   SeededBug seeded_bug_;
   std::function<void(const state_store::StateView::ChangeSet&)> on_change_;
   state_store::StateView view_;
@@ -57,11 +57,13 @@
   void sync(std::function<void(bool)> done) override;
   Instant up_to_date_at() const override { return watch_cache_->up_to_date_at(); }
   bool is_responsive() const override { return watch_cache_->is_responsive(); }
-  void commit(protocol::Txn t, state_store::Urgency u, std::function<void(state_store::TxnResult)> done,
-              Duration queue_wait) override {
-    watch_cache_->commit(std::move(t), u, std::move(done), queue_wait);
+  void commit(protocol::Txn txn, state_store::Urgency urgency,
+              std::function<void(state_store::TxnResult)> done, Duration queue_wait) override {
+    watch_cache_->commit(std::move(txn), urgency, std::move(done), queue_wait);
+  }
+  void apply_own(const protocol::Txn& txn, Revision revision) override {
+    watch_cache_->apply_own(txn, revision);
   }
-  void apply_own(const protocol::Txn& t, Revision r) override { watch_cache_->apply_own(t, r); }
 
  private:
   std::shared_ptr<WatchCache> watch_cache_;
@@ -72,16 +74,17 @@
 // A controller's transactions.
 class Transactions : public state_store::TxnExecutor {
  public:
-  Transactions(int controller, StateService& state) : controller_(controller), state_(state) {}
-  void txn(protocol::Txn t, state_store::Urgency, std::function<void(state_store::TxnResult)> done) override {
-    state_.txn(controller_, std::move(t), std::move(done));
+  Transactions(int controller, StateStore& state) : controller_(controller), state_(state) {}
+  void txn(protocol::Txn txn, state_store::Urgency,
+           std::function<void(state_store::TxnResult)> done) override {
+    state_.txn(controller_, std::move(txn), std::move(done));
   }
   // The fake has no limits.
   Duration write_wait(state_store::Urgency) const override { return Duration(0); }
 
  private:
   int controller_;
-  StateService& state_;
+  StateStore& state_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/workers.cpp
+++ b/tests/sim/workers.cpp
@@ -19,60 +19,60 @@
       options_(options),
       hooks_(std::move(hooks)) {}
 
-void Workers::on_added(const MachineName& m) {
-  queue_.after(queue_.uniform(0, 1), [this, m] { heartbeat(m); });
+void Workers::on_added(const MachineName& name) {
+  queue_.after(queue_.uniform(0, 1), [this, name] { heartbeat(name); });
 }
 
 void Workers::advance_all() {
-  for (auto& [name, m] : ledger_.machines)
-    if (!m.terminated) advance(m);
+  for (auto& [name, machine] : ledger_.machines)
+    if (!machine.terminated) advance(machine);
 }
 
-protocol::WorkerHeartbeat Workers::compose(Machine& m) {
-  advance(m);
-  protocol::WorkerHeartbeat r;
-  r.machine = m.name;
-  r.address = "10.0.0.1:1";
-  r.type = MachineType("t8");
-  r.zone = m.zone;
-  r.incarnation = Incarnation(m.incarnation);
-  r.sequence = Sequence(++m.sequence);
-  r.token = FencingToken(m.token);
-  for (const auto& [key, t] : m.tasks)
-    r.tasks.push_back({key.first, key.second,
-                       t.ended     ? protocol::TaskState::kEnded
-                       : t.running ? protocol::TaskState::kRunning
-                                   : protocol::TaskState::kFetching,
-                       t.cause, false});
-  return r;
+protocol::WorkerHeartbeat Workers::compose(Machine& machine) {
+  advance(machine);
+  protocol::WorkerHeartbeat heartbeat;
+  heartbeat.machine = machine.name;
+  heartbeat.address = "10.0.0.1:1";
+  heartbeat.type = MachineType("t8");
+  heartbeat.zone = machine.zone;
+  heartbeat.incarnation = Incarnation(machine.incarnation);
+  heartbeat.sequence = Sequence(++machine.sequence);
+  heartbeat.token = FencingToken(machine.token);
+  for (const auto& [key, task] : machine.tasks)
+    heartbeat.tasks.push_back({key.first, key.second,
+                               task.ended     ? protocol::TaskState::kEnded
+                               : task.running ? protocol::TaskState::kRunning
+                                              : protocol::TaskState::kFetching,
+                               task.cause, false});
+  return heartbeat;
 }
 
 // What happened on the machine up to now.
-void Workers::advance(Machine& m) {
+void Workers::advance(Machine& machine) {
   double now = queue_.now();
-  if (now - m.lease_from > kLease) {
-    m.tasks.clear();
-    ++m.incarnation;
-    m.lease_from = now;
+  if (now - machine.lease_from > kLease) {
+    machine.tasks.clear();
+    ++machine.incarnation;
+    machine.lease_from = now;
   }
-  if (now < m.hangs_until) return;
-  for (auto& [key, t] : m.tasks) {
-    if (t.ended) continue;
+  if (now < machine.hangs_until) return;
+  for (auto& [key, task] : machine.tasks) {
+    if (task.ended) continue;
     auto& job = ledger_.jobs.at(key.first.job);
-    if (!t.running && now >= t.ready) {
-      t.running = true;
+    if (!task.running && now >= task.ready) {
+      task.running = true;
       // The result of a task that completed is kept: it ends at once.
-      if (job.done.contains(key.first.index)) t.ends = now;
-      invariants_.on_begin(m, key.first, job);
+      if (job.done.contains(key.first.index)) task.ends = now;
+      invariants_.on_begin(machine, key.first, job);
     }
-    if (t.running && t.fails && now >= t.ends) {
-      t.ended = true;
-      t.cause = protocol::EndCause::kError;
+    if (task.running && task.fails && now >= task.ends) {
+      task.ended = true;
+      task.cause = protocol::EndCause::kError;
       continue;
     }
-    if (t.running && job.spec->kind == JobKind::kArray && now >= t.ends) {
-      t.ended = true;
-      t.cause = protocol::EndCause::kDone;
+    if (task.running && job.spec->kind == JobKind::kArray && now >= task.ends) {
+      task.ended = true;
+      task.cause = protocol::EndCause::kDone;
       on_done(key.first.job, job, key.first.index);
     }
   }
@@ -80,89 +80,92 @@
 
 void Workers::on_done(const JobId& id, Job& job, std::uint32_t index) {
   if (!job.done.insert(index).second || job.done.size() < job.spec->tasks) return;
-  queue_.after(0, [this, id] { hooks_.all_done(id); });
+  queue_.after(0, [this, id] { hooks_.job_completed(id); });
 }
 
 void Workers::heartbeat(const MachineName& name) {
-  auto* m = ledger_.machine(name);
-  if (!m) return;
-  queue_.after(options_.report_s * queue_.uniform(0.75, 1.25), [this, name] { heartbeat(name); });
-  if (queue_.now() < m->hangs_until || m->in_flight) return;
-  auto r = compose(*m);
-  m->in_flight = true;
-  int to = m->controller;
+  auto* machine = ledger_.machine(name);
+  if (!machine) return;
+  queue_.after(options_.heartbeat_period_s * queue_.uniform(0.75, 1.25), [this, name] { heartbeat(name); });
+  if (queue_.now() < machine->hangs_until || machine->in_flight) return;
+  auto heartbeat = compose(*machine);
+  machine->in_flight = true;
+  int to = machine->controller;
   int next = (to + 1) % kControllers;
-  if (queue_.now() < m->outbound_cut_until || !network_.up(to))
+  if (queue_.now() < machine->outbound_cut_until || !network_.up(to))
     return heartbeat_finished(name, kNextControllerDelay, next);
-  if (network_.blocked_path_to_worker(to, m->zone))
+  if (network_.blocked_path_to_worker(to, machine->zone))
     return heartbeat_finished(name, kHeartbeatTimeout + kNextControllerDelay, next);
-  if (queue_.random_fault(0.04) || duplicates_.hits(queue_)) copy_later(r);
-  if (held_for_next_leader_.hits(queue_)) held_heartbeats_.push_back(r);
-  send_heartbeat_to(name, to, r);
+  if (queue_.random_fault(0.04) || duplicates_.hits(queue_)) copy_later(heartbeat);
+  if (held_for_next_leader_.hits(queue_)) held_heartbeats_.push_back(heartbeat);
+  send_heartbeat_to(name, to, heartbeat);
 }
 
-void Workers::send_heartbeat_to(const MachineName& name, int to, const protocol::WorkerHeartbeat& r) {
+void Workers::send_heartbeat_to(const MachineName& name, int to, const protocol::WorkerHeartbeat& heartbeat) {
   double sent = queue_.now();
-  auto incarnation = r.incarnation.value();
+  auto incarnation = heartbeat.incarnation.value();
   auto answered = std::make_shared<bool>(false);
-  auto reply = [this, name, to, sent, incarnation, answered](const HeartbeatReply& x) {
-    decisions_.on_heartbeat_reply(to, name, x);
-    queue_.after(queue_.uniform(0.0005, 0.003), [this, name, to, sent, incarnation, answered, x] {
+  auto reply = [this, name, to, sent, incarnation, answered](const HeartbeatReply& answer) {
+    decisions_.on_heartbeat_reply(to, name, answer);
+    queue_.after(queue_.uniform(0.0005, 0.003), [this, name, to, sent, incarnation, answered, answer] {
       if (std::exchange(*answered, true)) return;
-      on_reply(name, to, sent, incarnation, x);
+      on_reply(name, to, sent, incarnation, answer);
     });
   };
   queue_.after(kHeartbeatTimeout, [this, name, to, answered] {
     if (!std::exchange(*answered, true))
       heartbeat_finished(name, kNextControllerDelay, (to + 1) % kControllers);
   });
-  queue_.after(queue_.uniform(0.0005, 0.007), [this, to, r, reply] {
-    network_.run(to, CallbackKind::kHeartbeat, [this, to, r, reply] { hooks_.heartbeat(to, r, reply); });
+  queue_.after(queue_.uniform(0.0005, 0.007), [this, to, heartbeat, reply] {
+    network_.run(to, CallbackKind::kHeartbeat,
+                 [this, to, heartbeat, reply] { hooks_.heartbeat(to, heartbeat, reply); });
   });
 }
 
-// Copies come late, also to controllers that the worker never reported to.
-void Workers::copy_later(const protocol::WorkerHeartbeat& r) {
+// Copies come late, also to controllers that the worker never sent one to.
+void Workers::copy_later(const protocol::WorkerHeartbeat& heartbeat) {
   int where = queue_.draw_below(kControllers);
-  queue_.after(queue_.uniform(0.5, 25), [this, r, where] { deliver_copy(where, r); });
+  queue_.after(queue_.uniform(0.5, 25), [this, heartbeat, where] { deliver_copy(where, heartbeat); });
 }
 
-void Workers::deliver_copy(int controller, protocol::WorkerHeartbeat r) {
-  if (auto* m = ledger_.machine(r.machine); m && options_.seeded_bug == SeededBug::kStaleHeartbeatsAccepted) {
-    r.incarnation = Incarnation(m->incarnation);
-    r.sequence = Sequence(++m->sequence);
-    r.token = FencingToken(m->token);
+void Workers::deliver_copy(int controller, protocol::WorkerHeartbeat heartbeat) {
+  if (auto* machine = ledger_.machine(heartbeat.machine);
+      machine && options_.seeded_bug == SeededBug::kStaleHeartbeatsAccepted) {
+    heartbeat.incarnation = Incarnation(machine->incarnation);
+    heartbeat.sequence = Sequence(++machine->sequence);
+    heartbeat.token = FencingToken(machine->token);
   }
-  auto reply = [this, controller, name = r.machine](const HeartbeatReply& x) {
-    decisions_.on_heartbeat_reply(controller, name, x);
+  auto reply = [this, controller, name = heartbeat.machine](const HeartbeatReply& answer) {
+    decisions_.on_heartbeat_reply(controller, name, answer);
   };
   network_.run(controller, CallbackKind::kHeartbeat,
-               [this, controller, r, reply] { hooks_.heartbeat(controller, r, reply); });
+               [this, controller, heartbeat, reply] { hooks_.heartbeat(controller, heartbeat, reply); });
 }
 
 void Workers::on_new_leader() {
-  for (const auto& r : std::exchange(held_heartbeats_, {}))
-    for (int n = 0; n < kControllers; ++n)
-      queue_.after(queue_.uniform(0, 1), [this, n, r] { deliver_copy(n, r); });
+  for (const auto& heartbeat : std::exchange(held_heartbeats_, {}))
+    for (int controller = 0; controller < kControllers; ++controller)
+      queue_.after(queue_.uniform(0, 1),
+                   [this, controller, heartbeat] { deliver_copy(controller, heartbeat); });
 }
 
 void Workers::heartbeat_finished(const MachineName& name, double wait, int next_controller) {
   queue_.after(wait, [this, name, next_controller] {
-    auto* m = ledger_.machine(name);
-    if (!m) return;
-    m->in_flight = false;
-    if (next_controller >= 0) m->controller = next_controller;
+    auto* machine = ledger_.machine(name);
+    if (!machine) return;
+    machine->in_flight = false;
+    if (next_controller >= 0) machine->controller = next_controller;
   });
 }
 
 void Workers::on_reply(const MachineName& name, int controller, double sent, std::uint64_t incarnation,
                        const HeartbeatReply& reply) {
-  auto* m = ledger_.machine(name);
-  if (!m) return;
+  auto* machine = ledger_.machine(name);
+  if (!machine) return;
   double now = queue_.now();
   int next = (controller + 1) % kControllers;
-  bool lost = now < m->inbound_cut_until || network_.blocked_path_to_worker(controller, m->zone) ||
-              queue_.random_fault(0.002);
+  bool lost = now < machine->inbound_cut_until ||
+              network_.blocked_path_to_worker(controller, machine->zone) || queue_.random_fault(0.002);
   if (lost) return heartbeat_finished(name, sent + kHeartbeatTimeout + kNextControllerDelay - now, next);
   if (!reply.answer) {
     bool redirected = reply.redirect >= 0 && reply.redirect != controller;
@@ -170,86 +173,88 @@
                               redirected ? reply.redirect : next);
   }
   heartbeat_finished(name, 0.001, -1);
-  if (now < m->hangs_until || m->incarnation != incarnation || reply.answer->token.value() < m->token) return;
-  advance(*m);
-  if (m->incarnation != incarnation) return;
-  m->token = reply.answer->token.value();
-  m->lease_from = std::max(m->lease_from, sent);
-  for (const auto& c : reply.answer->commands) apply_command(*m, c);
+  if (now < machine->hangs_until || machine->incarnation != incarnation ||
+      reply.answer->token.value() < machine->token)
+    return;
+  advance(*machine);
+  if (machine->incarnation != incarnation) return;
+  machine->token = reply.answer->token.value();
+  machine->lease_from = std::max(machine->lease_from, sent);
+  for (const auto& command : reply.answer->commands) apply_command(*machine, command);
 }
 
-void Workers::command(int controller, const shard::ShardManager::Batch& b,
+void Workers::command(int controller, const shard::ShardManager::Batch& batch,
                       std::function<void(std::optional<CommandReply>)> done) {
-  decisions_.on_command_result(controller, b);
+  decisions_.on_commands(controller, batch);
   auto none = [this, done] { queue_.after(kCommandTimeout, [done] { done(std::nullopt); }); };
-  auto* m = ledger_.machine(b.machine);
-  if (!m || queue_.now() < m->inbound_cut_until || queue_.random_fault(0.01)) {
+  auto* machine = ledger_.machine(batch.machine);
+  if (!machine || queue_.now() < machine->inbound_cut_until || queue_.random_fault(0.01)) {
     // Held up on the way, it may still arrive, minutes late.
-    if (queue_.random_fault(0.5)) carry_out_later(queue_.uniform(0.5, 60), b);
+    if (queue_.random_fault(0.5)) carry_out_later(queue_.uniform(0.5, 60), batch);
     return none();
   }
-  if (auto cut = network_.blocked_path_to_worker(controller, m->zone)) {
-    if (cut->deliver_later) carry_out_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), b);
+  if (auto cut = network_.blocked_path_to_worker(controller, machine->zone)) {
+    if (cut->deliver_later) carry_out_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), batch);
     return none();
   }
-  if (queue_.now() < m->hangs_until) {
-    carry_out_later(m->hangs_until - queue_.now(), b);
+  if (queue_.now() < machine->hangs_until) {
+    carry_out_later(machine->hangs_until - queue_.now(), batch);
     return none();
   }
   if (late_commands_.hits(queue_)) {
-    carry_out_later(queue_.uniform(2, 16), b);
+    carry_out_later(queue_.uniform(2, 16), batch);
     return none();
   }
-  queue_.after(queue_.uniform(0.001, 0.01), [this, b, done, none] {
-    auto r = carry_out(b);
-    if (!r || queue_.random_fault(0.01)) return none();
-    queue_.after(0.005, [done, r] { done(r); });
+  queue_.after(queue_.uniform(0.001, 0.01), [this, batch, done, none] {
+    auto reply = carry_out(batch);
+    if (!reply || queue_.random_fault(0.01)) return none();
+    queue_.after(0.005, [done, reply] { done(reply); });
   });
 }
 
-void Workers::carry_out_later(double d, const shard::ShardManager::Batch& b) {
-  queue_.after(d, [this, b] { carry_out(b); });
+void Workers::carry_out_later(double delay, const shard::ShardManager::Batch& batch) {
+  queue_.after(delay, [this, batch] { carry_out(batch); });
 }
 
-std::optional<CommandReply> Workers::carry_out(const shard::ShardManager::Batch& b) {
-  auto* m = ledger_.machine(b.machine);
-  if (!m || queue_.now() < m->inbound_cut_until) return std::nullopt;
-  if (queue_.now() < m->hangs_until) {
-    carry_out_later(m->hangs_until - queue_.now(), b);
+std::optional<CommandReply> Workers::carry_out(const shard::ShardManager::Batch& batch) {
+  auto* machine = ledger_.machine(batch.machine);
+  if (!machine || queue_.now() < machine->inbound_cut_until) return std::nullopt;
+  if (queue_.now() < machine->hangs_until) {
+    carry_out_later(machine->hangs_until - queue_.now(), batch);
     return std::nullopt;
   }
-  advance(*m);
-  bool ok = b.token.value() >= m->token && b.incarnation.value() == m->incarnation;
+  advance(*machine);
+  bool ok = batch.token.value() >= machine->token && batch.incarnation.value() == machine->incarnation;
   if (ok) {
-    m->token = b.token.value();
-    for (const auto& c : b.commands) apply_command(*m, c);
+    machine->token = batch.token.value();
+    for (const auto& command : batch.commands) apply_command(*machine, command);
   }
-  return CommandReply{ok, compose(*m)};
+  return CommandReply{ok, compose(*machine)};
 }
 
-void Workers::apply_command(Machine& m, const protocol::Command& c) {
-  std::pair key{c.task, c.attempt};
-  auto it = m.tasks.find(key);
-  if (c.op == protocol::Command::Op::kStart) {
-    if (it != m.tasks.end()) return;
-    auto& t = m.tasks[key];
-    t.ready = queue_.now() + queue_.uniform(0.1, 1.5);
-    const auto& job = ledger_.jobs.at(c.task.job);
-    t.ends = t.ready + job.run_s.value_or(queue_.uniform(0.5, 6));
-    t.fails = job.always_fails || queue_.now() < m.faulty_until;
-    if (t.fails) t.ends = t.ready + queue_.uniform(0.1, kFailsWithin);
+void Workers::apply_command(Machine& machine, const protocol::Command& command) {
+  std::pair key{command.task, command.attempt};
+  auto it = machine.tasks.find(key);
+  if (command.op == protocol::Command::Op::kStart) {
+    if (it != machine.tasks.end()) return;
+    auto& task = machine.tasks[key];
+    task.ready = queue_.now() + queue_.uniform(0.1, 1.5);
+    const auto& job = ledger_.jobs.at(command.task.job);
+    task.ends = task.ready + job.run_s.value_or(queue_.uniform(0.5, 6));
+    task.fails = job.always_fails || queue_.now() < machine.faulty_until;
+    if (task.fails) task.ends = task.ready + queue_.uniform(0.1, kFailsWithin);
     ++outcome_.started;
     outcome_.failing_starts += job.always_fails;
-    // Time passes between reports as well.
-    for (double when : {t.ready, t.ends})
-      queue_.at(when + 0.001, [this, name = m.name] {
-        if (auto* x = ledger_.machine(name)) advance(*x);
+    // Time passes between heartbeats as well.
+    for (double when : {task.ready, task.ends})
+      queue_.at(when + 0.001, [this, name = machine.name] {
+        if (auto* current = ledger_.machine(name)) advance(*current);
       });
-  } else if (c.op == protocol::Command::Op::kStop && it != m.tasks.end() && !it->second.ended) {
+  } else if (command.op == protocol::Command::Op::kStop && it != machine.tasks.end() && !it->second.ended) {
     it->second.ended = true;
     it->second.cause = protocol::EndCause::kStopped;
-  } else if (c.op == protocol::Command::Op::kForget && it != m.tasks.end() && it->second.ended) {
-    m.tasks.erase(it);
+  } else if (command.op == protocol::Command::Op::kForget && it != machine.tasks.end() && it->second.ended) {
+    machine.tasks.erase(it);
   }
 }
 
--- a/tests/sim/workers.h
+++ b/tests/sim/workers.h
@@ -13,7 +13,7 @@
 
 namespace beaconsill::sim {
 
-// A controller's answer to a report: that of the shard's owner, or where to go instead.
+// A controller's answer to a heartbeat: that of the shard leader, or where to go instead.
 struct HeartbeatReply {
   std::optional<shard::ShardManager::HeartbeatResponse> answer;
   int redirect = -1;  // -1: unknown
@@ -29,47 +29,47 @@
  public:
   using Reply = std::function<void(const HeartbeatReply&)>;
   struct Hooks {
-    // A report reached a controller.
+    // A heartbeat reached a controller.
     std::function<void(int controller, const protocol::WorkerHeartbeat&, Reply)> heartbeat;
     // The last task of a job has completed.
-    std::function<void(const JobId&)> all_done;
+    std::function<void(const JobId&)> job_completed;
   };
-  // `decisions` gets all commands and all answers to reports.
+  // `decisions` gets all commands and all answers to heartbeats.
   Workers(EventQueue& queue, Network& network, DecisionDigest& decisions, Ledger& ledger,
           InvariantChecker& invariants, Outcome& outcome, const Options& options, Hooks hooks);
 
-  // A new worker begins to report.
-  void on_added(const MachineName& m);
+  // A new worker begins to send heartbeats.
+  void on_added(const MachineName& name);
   // Lets everything happen that is due on the machines.
   void advance_all();
   // Direct commands of a controller; `done` gets none if there was no answer.
-  void command(int controller, const shard::ShardManager::Batch& b,
+  void command(int controller, const shard::ShardManager::Batch& batch,
                std::function<void(std::optional<CommandReply>)> done);
 
   // ---- Faults
-  // Of that share of reports a copy arrives again, up to well over a lease later.
-  void duplicate_heartbeats(Window w) { duplicates_ = w; }
+  // Of that share of heartbeats a copy arrives again, up to well over a lease later.
+  void duplicate_heartbeats(Window window) { duplicates_ = window; }
   // The same, but the copies are kept until there is a new leader, and then reach every controller.
-  void hold_heartbeats_for_next_leader(Window w) { held_for_next_leader_ = w; }
+  void hold_heartbeats_for_next_leader(Window window) { held_for_next_leader_ = window; }
   void on_new_leader();
   std::size_t held_heartbeats() const { return held_heartbeats_.size(); }
   // That share of direct commands is held up for 2 to 16 s, unanswered, and then carried out.
-  void delay_commands(Window w) { late_commands_ = w; }
+  void delay_commands(Window window) { late_commands_ = window; }
 
  private:
-  protocol::WorkerHeartbeat compose(Machine& m);
-  void advance(Machine& m);
+  protocol::WorkerHeartbeat compose(Machine& machine);
+  void advance(Machine& machine);
   void on_done(const JobId& id, Job& job, std::uint32_t index);
   void heartbeat(const MachineName& name);
-  void send_heartbeat_to(const MachineName& name, int to, const protocol::WorkerHeartbeat& r);
-  void copy_later(const protocol::WorkerHeartbeat& r);
-  void deliver_copy(int controller, protocol::WorkerHeartbeat r);
+  void send_heartbeat_to(const MachineName& name, int to, const protocol::WorkerHeartbeat& heartbeat);
+  void copy_later(const protocol::WorkerHeartbeat& heartbeat);
+  void deliver_copy(int controller, protocol::WorkerHeartbeat heartbeat);
   void heartbeat_finished(const MachineName& name, double wait, int next_controller);
   void on_reply(const MachineName& name, int controller, double sent, std::uint64_t incarnation,
                 const HeartbeatReply& reply);
-  std::optional<CommandReply> carry_out(const shard::ShardManager::Batch& b);
-  void carry_out_later(double d, const shard::ShardManager::Batch& b);
-  void apply_command(Machine& m, const protocol::Command& c);
+  std::optional<CommandReply> carry_out(const shard::ShardManager::Batch& batch);
+  void carry_out_later(double delay, const shard::ShardManager::Batch& batch);
+  void apply_command(Machine& machine, const protocol::Command& command);
 
   EventQueue& queue_;
   Network& network_;
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -1,29 +1,28 @@
 // A deterministic simulation of the whole service: the state machines of the shards (`shard`) and of the
-// scheduler
-// (`scheduler`) and the view of the state store (`state_store`), against fakes of workers, state store,
-// cloud, users and network. Everything happens on one event queue, all randomness comes from the seed, and
-// the invariants are checked against a ledger that no controller sees.
+// scheduler (`scheduler`) and the view of the state store (`state_store`), against fakes of workers, state
+// store, cloud, users and network. Everything happens on one event queue, all randomness comes from the seed,
+// and the invariants are checked against a ledger that no controller sees.
 //
 // Random schedules (groups of concurrent faults, users of all kinds): `World(options).run()`. Scripted ones:
 // nothing happens but what the test says.
 //
 //   TEST(Failover, CancellationWhileTheLeaderIsCutOff) {
-//     World w(Options::scripted());
+//     World world(Options::scripted());
 //     auto job = array_job("run-1", /*tasks=*/8);
-//     w.submit(/*at_s=*/2, job, /*controller=*/1, /*run_s=*/60);
-//     w.inject({.at_s = 10,
-//               .kind = FaultKind::kStateRefusesController,
-//               .duration_s = 14,
-//               .controllers = ControllerSelector::leader()});
-//     w.cancel(11, job.id, /*controller=*/2);
-//     w.poll_all(11.1, job.id);
-//     w.probe("grown", [](World& world) -> std::optional<std::string> {  // after each event
-//       if (world.ledger().machines.size() > 40) return "too many machines";
+//     world.submit(/*at_s=*/2, job, /*controller=*/1, /*run_s=*/60);
+//     world.inject({.at_s = 10,
+//                   .kind = FaultKind::kStateRefusesController,
+//                   .duration_s = 14,
+//                   .controllers = ControllerSelector::leader()});
+//     world.cancel(11, job.id, /*controller=*/2);
+//     world.poll_all(11.1, job.id);
+//     world.probe("grown", [](World& probed) -> std::optional<std::string> {  // after each event
+//       if (probed.ledger().machines.size() > 40) return "too many machines";
 //       return std::nullopt;
 //     });
-//     auto r = w.run();
-//     EXPECT_TRUE(r.violations.empty()) << r.first_violation;
-//     EXPECT_EQ(w.last_response(job.id, UserRequest::kCancel)->status, 200);
+//     auto outcome = world.run();
+//     EXPECT_TRUE(outcome.violations.empty()) << outcome.first_violation;
+//     EXPECT_EQ(world.last_response(job.id, UserRequest::kCancel)->status, 200);
 //   }
 //
 // A schedule ends when, `kCalmAfter` seconds after the last fault and request, all jobs are served: arrays
@@ -52,7 +51,7 @@
 
 class World {
  public:
-  explicit World(Options o);
+  explicit World(Options options);
 
   // ---- Script. Times are in seconds since the beginning; the controllers start at 0, 0.05 and 0.1.
   void inject(const Fault& fault) { faults_.add(fault); }
@@ -63,10 +62,12 @@
   void poll(double at_s, const JobId& id, int controller);
   void poll_all(double at_s, const JobId& id);
   // Anything else.
-  void at(double at_s, std::function<void()> f);
+  void at(double at_s, std::function<void()> callback);
   // Evaluated after each event; text means that the named invariant is violated, and tells why.
   using Predicate = std::function<std::optional<std::string>(World&)>;
-  void probe(const std::string& name, Predicate p) { probes_.emplace_back(name, std::move(p)); }
+  void probe(const std::string& name, Predicate predicate) {
+    probes_.emplace_back(name, std::move(predicate));
+  }
 
   Outcome run();
 
@@ -75,11 +76,11 @@
   EventQueue& queue() { return queue_; }
   Ledger& ledger() { return ledger_; }
   Network& network() { return network_; }
-  StateService& state() { return state_; }
+  StateStore& state() { return state_; }
   Workers& workers() { return workers_; }
   Cloud& cloud() { return cloud_; }
   Users& users() { return users_; }
-  Controller& controller(int n) { return *controllers_[static_cast<std::size_t>(n)]; }
+  Controller& controller(int number) { return *controllers_[static_cast<std::size_t>(number)]; }
   // The leader as the state store has it.
   std::optional<int> leader() const { return faults_.leader(); }
   // Machines on which a task of the job runs at present.
@@ -89,7 +90,7 @@
   std::optional<UserResponse> last_response(const JobId& id, UserRequest request) const;
 
  private:
-  void script(double at_s, std::function<void()> f);
+  void script(double at_s, std::function<void()> callback);
   void check_served();
   void check_probes();
 
@@ -100,7 +101,7 @@
   Network network_;
   DecisionDigest decisions_;
   InvariantChecker invariants_;
-  StateService state_;
+  StateStore state_;
   config::Settings settings_;
   shard::Partitioning partitioning_;
   Workers workers_;
--- a/tests/sim_failover_test.cpp
+++ b/tests/sim_failover_test.cpp
@@ -11,103 +11,104 @@
 constexpr double kLongRun_s = 60;
 
 // Arrays and services of both teams, some of them as large as their team's limit.
-void submit_jobs(World& w) {
-  w.submit(2, array_job("run-1", 30, "blue"), 0, kLongRun_s);
-  w.submit(2.1, service_job("run-2", 4, "green"), 1);
-  w.submit(2.2, array_job("run-3", 20, "green"), 2);
-  w.submit(2.3, array_job("run-4", 10, "blue"), 0);
+void submit_jobs(World& world) {
+  world.submit(2, array_job("run-1", 30, "blue"), 0, kLongRun_s);
+  world.submit(2.1, service_job("run-2", 4, "green"), 1);
+  world.submit(2.2, array_job("run-3", 20, "green"), 2);
+  world.submit(2.3, array_job("run-4", 10, "blue"), 0);
 }
 
 // Users repeat a cancellation that is refused: until the other controllers have acknowledged it, or the state
 // store is there again.
-void cancel_and_poll(World& w, double at_s, const char* id, int controller) {
-  for (double d : {0.0, 1.5, 4.0, 15.0, 30.0, 50.0}) w.cancel(at_s + d, JobId(id), controller);
-  w.poll_all(at_s + 0.01, JobId(id));
-  w.poll_all(at_s + 0.5, JobId(id));
-  w.poll_all(at_s + 3, JobId(id));
+void cancel_and_poll(World& world, double at_s, const char* id, int controller) {
+  for (double delay : {0.0, 1.5, 4.0, 15.0, 30.0, 50.0}) world.cancel(at_s + delay, JobId(id), controller);
+  world.poll_all(at_s + 0.01, JobId(id));
+  world.poll_all(at_s + 0.5, JobId(id));
+  world.poll_all(at_s + 3, JobId(id));
 }
 
 const FaultScenario kScenarios[] = {
     {"the leader is refused as jobs are cancelled, then the state store is out beyond cancel_s",
-     [](World& w) {
-       w.inject({.at_s = 15,
-                 .kind = FaultKind::kStateRefusesController,
-                 .duration_s = 20,
-                 .controllers = ControllerSelector::leader()});
-       cancel_and_poll(w, 15, "run-1", 1);
-       cancel_and_poll(w, 15, "run-1", 2);
-       w.inject({.at_s = 16, .kind = FaultKind::kStateOutage, .duration_s = kCancelLimit + 5});
+     [](World& world) {
+       world.inject({.at_s = 15,
+                     .kind = FaultKind::kStateRefusesController,
+                     .duration_s = 20,
+                     .controllers = ControllerSelector::leader()});
+       cancel_and_poll(world, 15, "run-1", 1);
+       cancel_and_poll(world, 15, "run-1", 2);
+       world.inject({.at_s = 16, .kind = FaultKind::kStateOutage, .duration_s = kCancelLimit + 5});
      }},
     {"tasks end far apart across failovers",
-     [](World& w) {
-       w.submit(3, array_job("run-5", 2, "green"), 0, 8);
-       w.submit(3, array_job("run-6", 3, "green"), 1, 45);
-       for (double t : {12.0, 25.0, 40.0})
-         w.inject({.at_s = t,
-                   .kind = FaultKind::kControllerCrash,
-                   .duration_s = 4,
-                   .controllers = ControllerSelector::leader()});
+     [](World& world) {
+       world.submit(3, array_job("run-5", 2, "green"), 0, 8);
+       world.submit(3, array_job("run-6", 3, "green"), 1, 45);
+       for (double at_s : {12.0, 25.0, 40.0})
+         world.inject({.at_s = at_s,
+                       .kind = FaultKind::kControllerCrash,
+                       .duration_s = 4,
+                       .controllers = ControllerSelector::leader()});
      }},
     {"the leader crashes while machines with long tasks receive nothing from its successor",
-     [](World& w) {
-       w.inject({.at_s = 15,
-                 .kind = FaultKind::kMachineInboundCut,
-                 .duration_s = 25,
-                 .machines = MachineSelector::of_job(JobId("run-1"), 2)});
-       w.inject({.at_s = 15,
-                 .kind = FaultKind::kMachineHangs,
-                 .duration_s = 8,
-                 .machines = MachineSelector::drawn(2)});
-       w.inject({.at_s = 15.5,
-                 .kind = FaultKind::kControllerCrash,
-                 .duration_s = 6,
-                 .controllers = ControllerSelector::leader()});
+     [](World& world) {
+       world.inject({.at_s = 15,
+                     .kind = FaultKind::kMachineInboundCut,
+                     .duration_s = 25,
+                     .machines = MachineSelector::of_job(JobId("run-1"), 2)});
+       world.inject({.at_s = 15,
+                     .kind = FaultKind::kMachineHangs,
+                     .duration_s = 8,
+                     .machines = MachineSelector::drawn(2)});
+       world.inject({.at_s = 15.5,
+                     .kind = FaultKind::kControllerCrash,
+                     .duration_s = 6,
+                     .controllers = ControllerSelector::leader()});
      }},
     {"the leader is cut off with its workers and users, jobs are cancelled through the new one",
-     [](World& w) {
-       w.inject({.at_s = 15,
-                 .kind = FaultKind::kControllerCutFromStateAndPeers,
-                 .duration_s = 30,
-                 .controllers = ControllerSelector::leader()});
-       for (int n = 0; n < kControllers; ++n) cancel_and_poll(w, 21, "run-1", n);
+     [](World& world) {
+       world.inject({.at_s = 15,
+                     .kind = FaultKind::kControllerCutFromStateAndPeers,
+                     .duration_s = 30,
+                     .controllers = ControllerSelector::leader()});
+       for (int controller = 0; controller < kControllers; ++controller)
+         cancel_and_poll(world, 21, "run-1", controller);
      }},
     {"leaders change ten times, also inside an outage",
-     [](World& w) {
+     [](World& world) {
        for (int i = 0; i < 10; ++i)
-         w.inject({.at_s = 12.0 + 11 * i,
-                   .kind = FaultKind::kControllerCrash,
-                   .duration_s = 1,
-                   .controllers = ControllerSelector::leader()});
-       w.inject({.at_s = 50, .kind = FaultKind::kStateOutage, .duration_s = 18});
-       cancel_and_poll(w, 57, "run-2", 0);
+         world.inject({.at_s = 12.0 + 11 * i,
+                       .kind = FaultKind::kControllerCrash,
+                       .duration_s = 1,
+                       .controllers = ControllerSelector::leader()});
+       world.inject({.at_s = 50, .kind = FaultKind::kStateOutage, .duration_s = 18});
+       cancel_and_poll(world, 57, "run-2", 0);
      }},
     {"teams at their limit, cancelled jobs on machines that hang, the leader changes",
-     [](World& w) {
-       w.submit(10, array_job("run-5", 30, "blue"), 0, 10);
-       w.inject({.at_s = 15,
-                 .kind = FaultKind::kMachineHangs,
-                 .duration_s = 25,
-                 .machines = MachineSelector::of_job(JobId("run-1"), 3)});
-       w.inject({.at_s = 15,
-                 .kind = FaultKind::kMachineInboundCut,
-                 .duration_s = 20,
-                 .machines = MachineSelector::of_job(JobId("run-1"), 2)});
-       cancel_and_poll(w, 15.2, "run-1", 1);
-       w.inject({.at_s = 15.4,
-                 .kind = FaultKind::kControllerCrash,
-                 .duration_s = 3,
-                 .controllers = ControllerSelector::leader()});
+     [](World& world) {
+       world.submit(10, array_job("run-5", 30, "blue"), 0, 10);
+       world.inject({.at_s = 15,
+                     .kind = FaultKind::kMachineHangs,
+                     .duration_s = 25,
+                     .machines = MachineSelector::of_job(JobId("run-1"), 3)});
+       world.inject({.at_s = 15,
+                     .kind = FaultKind::kMachineInboundCut,
+                     .duration_s = 20,
+                     .machines = MachineSelector::of_job(JobId("run-1"), 2)});
+       cancel_and_poll(world, 15.2, "run-1", 1);
+       world.inject({.at_s = 15.4,
+                     .kind = FaultKind::kControllerCrash,
+                     .duration_s = 3,
+                     .controllers = ControllerSelector::leader()});
      }},
     {"a cancellation, queries and a repeated submission at the completion of the last task",
-     [](World& w) {
+     [](World& world) {
        auto job = array_job("run-5", 1, "green");
-       w.submit(3, job, 0, 10);
-       for (double t = 12; t < 18; t += 0.15) {
-         w.poll_all(t, job.id);
-         w.submit(t + 0.05, job, static_cast<int>(t) % kControllers);
+       world.submit(3, job, 0, 10);
+       for (double at_s = 12; at_s < 18; at_s += 0.15) {
+         world.poll_all(at_s, job.id);
+         world.submit(at_s + 0.05, job, static_cast<int>(at_s) % kControllers);
        }
-       w.cancel(14.5, job.id, 1);
-       w.cancel(15.1, job.id, 2);
+       world.cancel(14.5, job.id, 1);
+       world.cancel(15.1, job.id, 2);
      }},
 };
 
--- a/tests/sim_operations_test.cpp
+++ b/tests/sim_operations_test.cpp
@@ -10,61 +10,61 @@
 
 // Three arrays that fail everywhere beside three sound jobs, for 50 s.
 Outcome run_failing_jobs(SeededBug seeded_bug) {
-  auto o = Options::scripted();
-  o.seeded_bug = seeded_bug;
-  World w(o);
-  w.inject({5, FaultKind::kFailingJobs, 50, {}, {}, {}, 1, 3});
-  for (int i = 0; i < 3; ++i) w.submit(6 + 5 * i, array_job("run-" + std::to_string(i), 20, "blue"), 0);
-  w.submit(8, service_job("run-9", 2, "green"), 0);
-  return w.run();
+  auto options = Options::scripted();
+  options.seeded_bug = seeded_bug;
+  World world(options);
+  world.inject({5, FaultKind::kFailingJobs, 50, {}, {}, {}, 1, 3});
+  for (int i = 0; i < 3; ++i) world.submit(6 + 5 * i, array_job("run-" + std::to_string(i), 20, "blue"), 0);
+  world.submit(8, service_job("run-9", 2, "green"), 0);
+  return world.run();
 }
 
 TEST(FailingJobs, CostNoMachineAndAFewStarts) {
-  auto r = run_failing_jobs(SeededBug::kNone);
-  EXPECT_TRUE(r.violations.empty()) << r.first_violation;
-  EXPECT_EQ(r.deleted_machines, 0);
-  EXPECT_GT(r.failing_starts, 0);
+  auto outcome = run_failing_jobs(SeededBug::kNone);
+  EXPECT_TRUE(outcome.violations.empty()) << outcome.first_violation;
+  EXPECT_EQ(outcome.deleted_machines, 0);
+  EXPECT_GT(outcome.failing_starts, 0);
   constexpr int kMostStarts = 120, kMostGrants = 30;
-  EXPECT_LE(r.failing_starts, kMostStarts);
-  EXPECT_LE(r.failing_grants, kMostGrants);
+  EXPECT_LE(outcome.failing_starts, kMostStarts);
+  EXPECT_LE(outcome.failing_grants, kMostGrants);
   // Without reports of the failures the leader grants such a job as a whole again and again.
-  EXPECT_GT(run_failing_jobs(SeededBug::kFailuresNotReported).failing_grants, 2 * r.failing_grants);
+  EXPECT_GT(run_failing_jobs(SeededBug::kFailuresNotReported).failing_grants, 2 * outcome.failing_grants);
 }
 
 TEST(FailingJobs, AcrossAFailover) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    auto o = Options::scripted(seed);
-    World w(o);
-    w.inject({5, FaultKind::kFailingJobs, 60, {}, {}, {}, 1, 3});
-    w.inject({15, FaultKind::kControllerCrash, 3, ControllerSelector::leader()});
-    w.inject({30, FaultKind::kControllerPause, 8, ControllerSelector::leader()});
-    w.submit(6, array_job("run-1", 20, "blue"), 0);
-    auto r = w.run();
-    EXPECT_TRUE(r.violations.empty()) << seed << ": " << r.first_violation;
-    EXPECT_EQ(r.deleted_machines, 0) << seed;
+    auto options = Options::scripted(seed);
+    World world(options);
+    world.inject({5, FaultKind::kFailingJobs, 60, {}, {}, {}, 1, 3});
+    world.inject({15, FaultKind::kControllerCrash, 3, ControllerSelector::leader()});
+    world.inject({30, FaultKind::kControllerPause, 8, ControllerSelector::leader()});
+    world.submit(6, array_job("run-1", 20, "blue"), 0);
+    auto outcome = world.run();
+    EXPECT_TRUE(outcome.violations.empty()) << seed << ": " << outcome.first_violation;
+    EXPECT_EQ(outcome.deleted_machines, 0) << seed;
   }
 }
 
 TEST(FaultyMachine, IsDeletedBesideFailingJobs) {
-  auto o = Options::scripted();
-  o.jobs = 20;
-  World w(o);
-  w.inject({5, FaultKind::kFailingJobs, 50, {}, {}, {}, 1, 3});
-  w.inject({10, FaultKind::kMachineFaulty, 200, {}, MachineSelector::machine(MachineName("host-3"))});
-  auto r = w.run();
-  EXPECT_TRUE(r.violations.empty()) << r.first_violation;
-  EXPECT_EQ(r.deleted_machines, 1);
+  auto options = Options::scripted();
+  options.jobs = 20;
+  World world(options);
+  world.inject({5, FaultKind::kFailingJobs, 50, {}, {}, {}, 1, 3});
+  world.inject({10, FaultKind::kMachineFaulty, 200, {}, MachineSelector::machine(MachineName("host-3"))});
+  auto outcome = world.run();
+  EXPECT_TRUE(outcome.violations.empty()) << outcome.first_violation;
+  EXPECT_EQ(outcome.deleted_machines, 1);
 }
 
 TEST(Operations, InvariantsHoldInRandomSchedules) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    Options o;
-    o.seed = seed;
-    o.operations = true;
-    o.pipelines = seed % 2 ? 0 : 4;
-    auto r = World(o).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << ": " << r.first_violation;
-    EXPECT_GT(r.started, 50) << "seed " << seed;
+    Options options;
+    options.seed = seed;
+    options.operations = true;
+    options.pipelines = seed % 2 ? 0 : 4;
+    auto outcome = World(options).run();
+    EXPECT_TRUE(outcome.violations.empty()) << "seed " << seed << ": " << outcome.first_violation;
+    EXPECT_GT(outcome.started, 50) << "seed " << seed;
   }
 }
 
--- a/tests/sim_pipelines_test.cpp
+++ b/tests/sim_pipelines_test.cpp
@@ -12,18 +12,18 @@
 };
 
 Options random_pipelines(std::uint64_t seed) {
-  Options o;
-  o.seed = seed;
-  o.jobs = 14;
-  o.pipelines = 10;
-  return o;
+  Options options;
+  options.seed = seed;
+  options.jobs = 14;
+  options.pipelines = 10;
+  return options;
 }
 
 TEST_F(Pipelines, InvariantsHoldAndEveryJobIsServed) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    auto r = World(random_pipelines(seed)).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << ": " << r.first_violation;
-    EXPECT_GT(r.started, 30) << "seed " << seed;
+    auto outcome = World(random_pipelines(seed)).run();
+    EXPECT_TRUE(outcome.violations.empty()) << "seed " << seed << ": " << outcome.first_violation;
+    EXPECT_GT(outcome.started, 30) << "seed " << seed;
   }
 }
 
@@ -42,30 +42,31 @@
 Outcome cancelled_head(SeededBug seeded_bug, std::optional<protocol::JobState>* last = nullptr) {
   auto options = Options::scripted();
   options.seeded_bug = seeded_bug;
-  World w(options);
+  World world(options);
   auto head = array_job("run-1", 2);
   auto middle = array_job("run-2", 1);
   auto end = array_job("run-3", 1);
   middle.depends_on = {head.id};
   end.depends_on = {middle.id};
-  w.submit(2, head, 0, 200);
-  w.submit(4, array_job("run-9", static_cast<std::uint32_t>(kTeamCpus)), 0, 100);
-  w.submit(10, middle, 1);
-  w.submit(11, end, 2);
-  for (double d : {12.0, 13.5}) w.cancel(d, head.id, 0);
-  for (double t = 14; t < 60; t += 2) w.poll_all(t, end.id);
-  auto r = w.run();
-  if (auto a = w.last_response(end.id, UserRequest::kStatus); a && last) *last = a->state;
-  return r;
+  world.submit(2, head, 0, 200);
+  world.submit(4, array_job("run-9", static_cast<std::uint32_t>(kTeamCpus)), 0, 100);
+  world.submit(10, middle, 1);
+  world.submit(11, end, 2);
+  for (double delay : {12.0, 13.5}) world.cancel(delay, head.id, 0);
+  for (double at_s = 14; at_s < 60; at_s += 2) world.poll_all(at_s, end.id);
+  auto outcome = world.run();
+  if (auto response = world.last_response(end.id, UserRequest::kStatus); response && last)
+    *last = response->state;
+  return outcome;
 }
 
 TEST_F(Pipelines, ACancellationReachesTheEndOfTheChainInTime) {
   std::optional<protocol::JobState> last;
-  auto r = cancelled_head(SeededBug::kNone, &last);
-  EXPECT_TRUE(r.violations.empty()) << r.first_violation;
+  auto outcome = cancelled_head(SeededBug::kNone, &last);
+  EXPECT_TRUE(outcome.violations.empty()) << outcome.first_violation;
   EXPECT_EQ(last, protocol::JobState::kCancelled);
-  r = cancelled_head(SeededBug::kDependenciesDropped);
-  EXPECT_TRUE(r.violations.contains("orphaned")) << r.first_violation;
+  outcome = cancelled_head(SeededBug::kDependenciesDropped);
+  EXPECT_TRUE(outcome.violations.contains("orphaned")) << outcome.first_violation;
 }
 
 }  // namespace
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -22,15 +22,15 @@
   int shard_acquisitions = 0;
   int answered = 0;
   for (int i = 0; i < seeds; ++i) {
-    Options o;
-    o.seed = first + static_cast<std::uint64_t>(i);
-    o.pipelines = pipelines;
-    o.operations = operations;
-    auto r = World(o).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << o.seed << ": " << r.first_violation;
-    EXPECT_GT(r.started, 50) << "seed " << o.seed;
-    shard_acquisitions += r.shard_acquisitions;
-    answered += r.answered;
+    Options options;
+    options.seed = first + static_cast<std::uint64_t>(i);
+    options.pipelines = pipelines;
+    options.operations = operations;
+    auto outcome = World(options).run();
+    EXPECT_TRUE(outcome.violations.empty()) << "seed " << options.seed << ": " << outcome.first_violation;
+    EXPECT_GT(outcome.started, 50) << "seed " << options.seed;
+    shard_acquisitions += outcome.shard_acquisitions;
+    answered += outcome.answered;
   }
   EXPECT_GT(shard_acquisitions, 5 * seeds);  // the schedules do what they are for
   EXPECT_GT(answered, 100 * seeds);
@@ -43,21 +43,21 @@
       1366,                 // quota: Outcomes.BeyondTheLimitWhatWasReturnedIsGrantedAnewOnlyInPart
   };
   for (auto seed : violating_seeds) {
-    Options o;
-    o.seed = seed;
-    auto r = World(o).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << ": " << r.first_violation;
+    Options options;
+    options.seed = seed;
+    auto outcome = World(options).run();
+    EXPECT_TRUE(outcome.violations.empty()) << "seed " << seed << ": " << outcome.first_violation;
   }
 }
 
 TEST(Simulation, SeveralHundredMachines) {
-  Options o;
-  o.seed = first;
-  o.machines = 300;
-  o.jobs = 90;
-  o.faults_s = 40;
-  auto r = World(o).run();
-  EXPECT_TRUE(r.violations.empty()) << r.first_violation;
+  Options options;
+  options.seed = first;
+  options.machines = 300;
+  options.jobs = 90;
+  options.faults_s = 40;
+  auto outcome = World(options).run();
+  EXPECT_TRUE(outcome.violations.empty()) << outcome.first_violation;
 }
 
 // A checker that can't fail shows nothing.
@@ -93,22 +93,22 @@
 // ---- Digests
 
 Options default_schedule(std::uint64_t seed) {
-  Options o;
-  o.seed = seed;
-  return o;
+  Options options;
+  options.seed = seed;
+  return options;
 }
 
 Options operations_schedule(std::uint64_t seed) {
-  auto o = default_schedule(seed);
-  o.operations = true;
-  return o;
+  auto options = default_schedule(seed);
+  options.operations = true;
+  return options;
 }
 
 Options pipelines_schedule(std::uint64_t seed) {
-  auto o = default_schedule(seed);
-  o.jobs = 14;
-  o.pipelines = 10;
-  return o;
+  auto options = default_schedule(seed);
+  options.jobs = 14;
+  options.pipelines = 10;
+  return options;
 }
 
 // Runs a schedule and prints its digest. False if an invariant was violated: the schedule ended there.
