--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -20,9 +20,9 @@
 template <class Parse>
 auto parse_answer(const net::Result& result, const char* request, Parse parse)
     -> std::optional<decltype(parse(protocol::Json()))> {
-  if (result.status != kHttpOk) return std::nullopt;
+  if (!result || result->status != kHttpOk) return std::nullopt;
   try {
-    return parse(protocol::parse_object(result.body));
+    return parse(protocol::parse_object(result->body));
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("cloud_answer_malformed request={} reason=\"{}\"", request, error.what());
     return std::nullopt;
@@ -30,9 +30,9 @@
 }
 
 bool says_no_capacity(const net::Result& result) {
-  if (result.status != kHttpUnavailable) return false;
+  if (!result || result->status != kHttpUnavailable) return false;
   try {
-    return protocol::get_string(protocol::parse_object(result.body), "error") == "no capacity";
+    return protocol::get_string(protocol::parse_object(result->body), "error") == "no capacity";
   } catch (const protocol::ProtocolError&) {
     return false;
   }
@@ -53,7 +53,7 @@
 void CloudClient::enqueue(QueuePosition position, std::string method, std::string target, std::string body,
                           std::function<void(net::Result)> done) {
   if (stopped_) {
-    done({});
+    done(tl::unexpected(net::RequestError::kNotSent));
     return;
   }
   QueuedRequest request{std::move(method), std::move(target), std::move(body), std::move(done),
@@ -69,7 +69,7 @@
 void CloudClient::send_queued() {
   if (stopped_) return;
   // Called back last: a callback may enqueue the next request.
-  for (auto& expired : send_until_rate_limit()) expired.done({});
+  for (auto& expired : send_until_rate_limit()) expired.done(tl::unexpected(net::RequestError::kNotSent));
 }
 
 // Returns the requests that waited for too long.
@@ -102,7 +102,7 @@
 
 void CloudClient::send(QueuedRequest request) {
   auto on_answer = [weak = weak_from_this(), done = std::move(request.done)](net::Result result) {
-    if (auto self = weak.lock(); self && result.status == kHttpTooManyRequests)
+    if (auto self = weak.lock(); self && result && result->status == kHttpTooManyRequests)
       self->rate_limiter_.drain(self->clock_.now());
     done(std::move(result));
   };
@@ -141,7 +141,7 @@
 
 void CloudClient::remove(const std::vector<MachineName>& machines, std::function<void(bool)> done) {
   enqueue(QueuePosition::kFront, "POST", "/machines/delete", protocol::render_delete(machines),
-          [done = std::move(done)](const net::Result& result) { done(result.status == kHttpOk); });
+          [done = std::move(done)](const net::Result& result) { done(result && result->status == kHttpOk); });
 }
 
 void CloudClient::rent(const protocol::RentRequest& request, RentCallback done) {
@@ -150,10 +150,10 @@
       done(RentOutcome::kRented, std::move(*machines));
       return;
     }
-    bool malformed = result.status == kHttpBadRequest;
+    bool malformed = result && result->status == kHttpBadRequest;
     if (malformed)
       spdlog::error("cloud_request_refused request=rent_machines reason=\"{}\"",
-                    result.body.substr(0, kMaxLoggedBody));
+                    result->body.substr(0, kMaxLoggedBody));
     done(malformed || says_no_capacity(result) ? RentOutcome::kNoCapacity : RentOutcome::kUnanswered, {});
   };
   enqueue(QueuePosition::kBack, "POST", "/machines", protocol::render_rent(request), std::move(on_answer));
@@ -164,7 +164,7 @@
   timer_.cancel();
   auto queue = std::move(queue_);
   queue_.clear();
-  for (auto& request : queue) request.done({});
+  for (auto& request : queue) request.done(tl::unexpected(net::RequestError::kNotSent));
   http_->stop();
 }
 
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -16,21 +16,21 @@
 // What the worker made of the commands; `heartbeat` is set if the answer holds its state.
 CommandResult parse_answer(const MachineName& machine, const net::Result& result,
                            std::optional<protocol::WorkerHeartbeat>& heartbeat) {
-  if (!result.has_response()) {
+  if (!result) {
     spdlog::debug("commands_unanswered machine={}", machine.value());
     return CommandResult::kNoAnswer;
   }
-  if (result.status != kHttpOk && result.status != kHttpConflict) {
-    spdlog::error("commands_refused machine={} reason=status_{}", machine.value(), result.status);
+  if (result->status != kHttpOk && result->status != kHttpConflict) {
+    spdlog::error("commands_refused machine={} reason=status_{}", machine.value(), result->status);
     return CommandResult::kNoAnswer;
   }
   try {
-    heartbeat = protocol::parse_worker_heartbeat(protocol::parse_object(result.body));
+    heartbeat = protocol::parse_worker_heartbeat(protocol::parse_object(result->body));
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("command_answer_malformed machine={} reason=\"{}\"", machine.value(), error.what());
     return CommandResult::kNoAnswer;
   }
-  return result.status == kHttpOk ? CommandResult::kExecuted : CommandResult::kRejected;
+  return result->status == kHttpOk ? CommandResult::kExecuted : CommandResult::kRejected;
 }
 }  // namespace
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -39,7 +39,8 @@
   void run(PendingRequest request) {
     busy_ = true;
     request_ = std::move(request);
-    result_ = {};
+    response_ = {};
+    sent_ = false;
     parser_.reset();
     deadline_timer_.expires_at(request_.deadline);
     deadline_timer_.async_wait([self = shared_from_this()](std::error_code ec) {
@@ -55,11 +56,11 @@
     if (closed_) return;
     auto done = std::move(request_.done);
     const bool was_busy = busy_;
-    const bool sent = result_.sent;
+    const auto error = sent_ ? RequestError::kNoResponse : RequestError::kNotSent;
     close();
     auto client = client_;
     client->release(this);
-    if (was_busy && done) done(Result{0, sent, {}, {}});
+    if (was_busy && done) done(tl::unexpected(error));
   }
 
   bool on_header_field(std::string_view text) override {
@@ -74,13 +75,13 @@
     if (!equal_ignoring_case(header_field_, kRetryAfter)) return true;
     int seconds = 0;
     if (std::from_chars(text.data(), text.data() + text.size(), seconds).ec == std::errc())
-      result_.retry_after_s = seconds;
+      response_.retry_after_s = seconds;
     return true;
   }
 
   bool on_body(std::string_view text) override {
-    if (result_.body.size() + text.size() > kMaxResponseBytes) return false;
-    result_.body.append(text);
+    if (response_.body.size() + text.size() > kMaxResponseBytes) return false;
+    response_.body.append(text);
     return true;
   }
 
@@ -97,7 +98,7 @@
   }
 
   void send() {
-    result_.sent = true;
+    sent_ = true;
     asio::async_write(socket_, asio::buffer(request_.text),
                       [self = shared_from_this()](std::error_code ec, std::size_t) {
                         if (ec && !self->closed_) self->fail();
@@ -124,15 +125,16 @@
       case MessageParser::Status::kMalformed:
         return fail();
       case MessageParser::Status::kComplete:
-        return finish();
+        // The parser takes "000" for a status.
+        return parser_.status_code() == 0 ? fail() : finish();
     }
   }
 
   void finish() {
-    result_.status = parser_.status_code();
+    response_.status = parser_.status_code();
     const bool keep_alive = parser_.keep_alive();
     auto done = std::move(request_.done);
-    auto result = std::move(result_);
+    auto response = std::move(response_);
     busy_ = false;
     deadline_timer_.cancel();
     if (keep_alive) {
@@ -141,7 +143,7 @@
       close();
     }
     client_->release(this);
-    done(std::move(result));
+    done(std::move(response));
   }
 
   void close() {
@@ -158,10 +160,11 @@
   MessageParser parser_;
   std::array<char, kReadBufferBytes> buffer_;
   PendingRequest request_;
-  Result result_;
+  Response response_;
   std::string header_field_;
   bool in_header_value_ = false;
   bool busy_ = false;
+  bool sent_ = false;
   bool connected_ = false;
   bool reading_ = false;
   bool closed_ = false;
@@ -187,7 +190,7 @@
                          Duration timeout, Callback done) {
   const auto deadline = std::chrono::steady_clock::now() + timeout;
   if (stopped_) {
-    asio::post(io_, [done = std::move(done)] { done({}); });
+    asio::post(io_, [done = std::move(done)] { done(tl::unexpected(RequestError::kNotSent)); });
     return;
   }
   queue_.push_back({format(method, target, body), deadline, std::move(done)});
@@ -234,7 +237,7 @@
       ++it;
     }
   }
-  for (auto& done : expired) done({});
+  for (auto& done : expired) done(tl::unexpected(RequestError::kNotSent));
   if (!stopped_) dispatch();
 }
 
@@ -254,7 +257,7 @@
   auto queue = std::exchange(queue_, {});
   auto connections = std::exchange(connections_, {});
   for (auto& connection : connections) connection->fail();
-  for (auto& request : queue) request.done({});
+  for (auto& request : queue) request.done(tl::unexpected(RequestError::kNotSent));
 }
 
 }  // namespace beaconsill::net
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -8,21 +8,21 @@
 #include <functional>
 #include <memory>
 #include <string>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "net/http.h"
 
 namespace beaconsill::net {
 
-// The result of a request.
-struct Result {
-  int status = 0;     // 0: there was no response
-  bool sent = false;  // without a response: it may have been executed, or may still be
-  std::string body;
-  std::optional<int> retry_after_s;
-  bool has_response() const { return status != 0; }
+// Why a request has no response.
+enum class RequestError {
+  kNotSent,     // it was never executed, and won't be
+  kNoResponse,  // it was sent: it may have been executed, or may still be
 };
 
+using Result = tl::expected<Response, RequestError>;
+
 // Used on the thread of the io_context.
 class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
--- a/src/state_store/client.cpp
+++ b/src/state_store/client.cpp
@@ -34,27 +34,27 @@
   return status == kStatusUnavailable || status == kStatusTooMany;
 }
 
-RequestOutcome outcome_without_response(const net::Result& response) {
-  return response.sent ? RequestOutcome::kUnknown : RequestOutcome::kRefused;
+RequestOutcome outcome_without_response(net::RequestError error) {
+  return error == net::RequestError::kNoResponse ? RequestOutcome::kUnknown : RequestOutcome::kRefused;
 }
 
 ReadResult to_read_result(const net::Result& response) {
   ReadResult result;
-  result.status = response.status;
-  if (!response.has_response()) {
-    result.outcome = outcome_without_response(response);
+  if (!response) {
+    result.outcome = outcome_without_response(response.error());
     return result;
   }
-  if (refused_for_load(response.status)) {
+  result.status = response->status;
+  if (refused_for_load(response->status)) {
     result.outcome = RequestOutcome::kRefused;
     return result;
   }
-  if (response.status != kStatusOk) {
+  if (response->status != kStatusOk) {
     result.outcome = RequestOutcome::kBad;
     return result;
   }
   try {
-    result.body = protocol::parse_object(response.body);
+    result.body = protocol::parse_object(response->body);
     result.outcome = RequestOutcome::kOk;
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("state_store_response_malformed reason=\"{}\"", error.what());
@@ -64,16 +64,16 @@
 }
 
 TxnResult to_txn_result(const net::Result& response) {
-  if (!response.has_response()) return {outcome_without_response(response), {}};
-  if (response.status == kStatusConflict) return {RequestOutcome::kConflict, {}};
-  if (refused_for_load(response.status)) return {RequestOutcome::kRefused, {}};
-  if (response.status != kStatusOk) {
-    spdlog::error("state_store_txn_rejected status={} reason=\"{}\"", response.status,
-                  response.body.substr(0, kLoggedBodyBytes));
+  if (!response) return {outcome_without_response(response.error()), {}};
+  if (response->status == kStatusConflict) return {RequestOutcome::kConflict, {}};
+  if (refused_for_load(response->status)) return {RequestOutcome::kRefused, {}};
+  if (response->status != kStatusOk) {
+    spdlog::error("state_store_txn_rejected status={} reason=\"{}\"", response->status,
+                  response->body.substr(0, kLoggedBodyBytes));
     return {RequestOutcome::kBad, {}};
   }
   try {
-    return {RequestOutcome::kOk, protocol::parse_revision(protocol::parse_object(response.body))};
+    return {RequestOutcome::kOk, protocol::parse_revision(protocol::parse_object(response->body))};
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("state_store_txn_response_malformed reason=\"{}\"", error.what());
     return {RequestOutcome::kUnknown, {}};
@@ -139,8 +139,8 @@
   request.done = [weak = weak_from_this(), txn = std::move(txn),
                   done = std::move(done)](const net::Result& response) {
     const auto result = to_txn_result(response);
-    if (auto self = weak.lock(); self && result.outcome == RequestOutcome::kBad)
-      self->on_size_refused(txn, response.status);
+    if (auto self = weak.lock(); self && response && result.outcome == RequestOutcome::kBad)
+      self->on_size_refused(txn, response->status);
     done(result);
   };
   enqueue(std::move(request), urgency);
@@ -179,7 +179,7 @@
 }
 
 void StoreClient::enqueue(StoreRequest request, Urgency urgency) {
-  if (stopped_) return request.done({});
+  if (stopped_) return request.done(tl::unexpected(net::RequestError::kNotSent));
   queue_.push(std::move(request), urgency, clock_.now());
   send_queued();
 }
@@ -194,7 +194,7 @@
       if (auto self = weak.lock(); self && !ec) self->send_queued();
     });
   }
-  for (auto& request : dispatched.expired) request.done({});
+  for (auto& request : dispatched.expired) request.done(tl::unexpected(net::RequestError::kNotSent));
 }
 
 void StoreClient::send(StoreRequest request) {
@@ -208,17 +208,17 @@
 }
 
 void StoreClient::on_response(const net::Result& response, bool is_read, Instant sent) {
-  if (!response.has_response()) {
+  if (!response) {
     // A response that came meanwhile says more than one that is missing.
     const bool newer_response = last_response_ && *last_response_ > sent;
     if (is_read && !newer_response) set_available(false);
     return;
   }
-  if (response.status == kStatusUnavailable) return set_available(false);
+  if (response->status == kStatusUnavailable) return set_available(false);
   const auto now = clock_.now();
   last_response_ = now;
   set_available(true);
-  if (response.status == kStatusTooMany) return on_too_many(now);
+  if (response->status == kStatusTooMany) return on_too_many(now);
   if (rate_limits_.on_time(now)) update_rates(now);
   size_limits_.on_time(now);
   response_delay_.add_sample(now - sent);
@@ -242,7 +242,7 @@
 void StoreClient::stop() {
   stopped_ = true;
   dispatch_timer_.cancel();
-  for (auto& request : queue_.take_all()) request.done({});
+  for (auto& request : queue_.take_all()) request.done(tl::unexpected(net::RequestError::kNotSent));
   http_->stop();
 }
 
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -105,7 +105,9 @@
     auto client = std::make_shared<net::HttpClient>(io, to, 1);
     std::optional<HttpAnswer> answer;
     client->request(method, path, body, std::chrono::seconds(5), [&](net::Result result) {
-      answer = {result.status, result.retry_after_s, fakes::Json::parse(result.body, nullptr, false)};
+      answer = HttpAnswer{};
+      if (result)
+        answer = {result->status, result->retry_after_s, fakes::Json::parse(result->body, nullptr, false)};
     });
     EXPECT_TRUE(run_until([&] { return answer.has_value(); })) << path;
     client->stop();
--- a/tests/fakes/worker.cpp
+++ b/tests/fakes/worker.cpp
@@ -72,16 +72,16 @@
     }
   }
   if (!client_) client_ = std::make_shared<net::HttpClient>(io_, controllers_[at_], 1);
-  client_->request("POST", "/hello", body().dump(), std::chrono::seconds(1), [this](net::Result r) {
+  client_->request("POST", "/hello", body().dump(), std::chrono::seconds(1), [this](net::Result result) {
     if (stopped_) return;
-    if (r.status == 200) {
-      auto leader_token = Json::parse(r.body)["helm"].get<std::uint64_t>();
+    if (result && result->status == 200) {
+      auto leader_token = Json::parse(result->body)["helm"].get<std::uint64_t>();
       if (leader_token >= token) ++answered;
       token = std::max(token, leader_token);
     } else {
       std::size_t next = (at_ + 1) % controllers_.size();
-      if (r.status == 421) {
-        auto j = Json::parse(r.body);
+      if (result && result->status == 421) {
+        auto j = Json::parse(result->body);
         for (std::size_t i = 0; i < names_.size(); ++i)
           if (j.value("keeper", "") == names_[i]) next = i;
       }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -120,9 +120,10 @@
   std::optional<int> retry;
   auto request = [&](auto& c, const char* path) {
     bool got = false;
-    c->request("GET", path, "", std::chrono::seconds(5), [&](Result r) {
-      statuses.push_back(r.status);
-      if (r.status == 503) retry = r.retry_after_s;
+    c->request("GET", path, "", std::chrono::seconds(5), [&](Result result) {
+      ASSERT_TRUE(result);
+      statuses.push_back(result->status);
+      if (result->status == 503) retry = result->retry_after_s;
       got = true;
     });
     run_until(e.io, [&] { return got; });
@@ -144,7 +145,10 @@
   for (int i = 0; i < 4; ++i) {
     clients.push_back(std::make_shared<HttpClient>(e.io, e.server->local(), 1));
     int status = 0;
-    clients.back()->request("GET", "/w", "", std::chrono::seconds(5), [&](Result r) { status = r.status; });
+    clients.back()->request("GET", "/w", "", std::chrono::seconds(5), [&](Result result) {
+      ASSERT_TRUE(result);
+      status = result->status;
+    });
     run_until(e.io, [&] { return status != 0; });
     EXPECT_EQ(status, 200);
     EXPECT_LE(e.server->connections(), 2u);
@@ -162,27 +166,63 @@
   silent.async_accept([&](std::error_code, Tcp::socket s) { held.push_back(std::move(s)); });
   struct Case {
     Tcp::endpoint to;
-    bool sent;
+    RequestError error;
   };
-  for (const auto& c : {Case{closed.endpoint(), false}, Case{silent.local_endpoint(), true}}) {
+  for (const auto& c : {Case{closed.endpoint(), RequestError::kNotSent},
+                        Case{silent.local_endpoint(), RequestError::kNoResponse}}) {
     auto client = std::make_shared<HttpClient>(io, c.to, 1);
     std::optional<Result> result;
-    client->request("POST", "/x", "{}", std::chrono::milliseconds(200), [&](Result r) { result = r; });
+    client->request("POST", "/x", "{}", std::chrono::milliseconds(200),
+                    [&](Result received) { result = std::move(received); });
+    run_until(io, [&] { return result.has_value(); });
+    ASSERT_FALSE(*result);
+    EXPECT_EQ(result->error(), c.error);
+    client->stop();
+  }
+}
+
+TEST(HttpClient, WhatIsNoResponseMayHaveBeenExecuted) {
+  for (const char* bytes : {"garbage\r\n\r\n", "HTTP/1.1 000 None\r\nContent-Length: 0\r\n\r\n", ""}) {
+    asio::io_context io;
+    Tcp::acceptor acceptor(io, any_port());
+    std::vector<Tcp::socket> held;
+    acceptor.async_accept([&](std::error_code, Tcp::socket socket) {
+      asio::write(socket, asio::buffer(std::string_view(bytes)));
+      socket.shutdown(Tcp::socket::shutdown_send);
+      held.push_back(std::move(socket));
+    });
+    auto client = std::make_shared<HttpClient>(io, acceptor.local_endpoint(), 1);
+    std::optional<Result> result;
+    client->request("POST", "/x", "{}", std::chrono::seconds(5),
+                    [&](Result received) { result = std::move(received); });
     run_until(io, [&] { return result.has_value(); });
-    EXPECT_FALSE(result->has_response());
-    EXPECT_EQ(result->sent, c.sent);
+    ASSERT_FALSE(*result) << bytes;
+    EXPECT_EQ(result->error(), RequestError::kNoResponse) << bytes;
     client->stop();
   }
 }
 
+TEST(HttpClient, RequestsAfterTheStopAreNotSent) {
+  asio::io_context io;
+  auto client = std::make_shared<HttpClient>(io, any_port(), 1);
+  client->stop();
+  std::optional<Result> result;
+  client->request("POST", "/x", "{}", std::chrono::seconds(5),
+                  [&](Result received) { result = std::move(received); });
+  EXPECT_FALSE(result);  // never called back before the call returns
+  run_until(io, [&] { return result.has_value(); });
+  ASSERT_FALSE(*result);
+  EXPECT_EQ(result->error(), RequestError::kNotSent);
+}
+
 TEST(HttpClient, QueuedRequestsExpireOnTheirOwn) {
   asio::io_context io;
   Tcp::acceptor silent(io, any_port());
   auto client = std::make_shared<HttpClient>(io, silent.local_endpoint(), 1);
   int over = 0;
   for (int i = 0; i < 3; ++i)
-    client->request("GET", "/x", "", std::chrono::milliseconds(100 + 100 * i), [&](Result r) {
-      EXPECT_FALSE(r.has_response());
+    client->request("GET", "/x", "", std::chrono::milliseconds(100 + 100 * i), [&](Result result) {
+      EXPECT_FALSE(result);
       ++over;
     });
   run_until(io, [&] { return over == 3; });
