--- a/src/base/ranges.cpp
+++ b/src/base/ranges.cpp
@@ -4,45 +4,60 @@
 #include <charconv>
 
 namespace beaconsill {
+namespace {
+
+struct Span {
+  std::uint32_t first;
+  std::uint32_t end;
+};
+
+// The whole text as a number.
+std::optional<std::uint32_t> parse_number(std::string_view text) {
+  std::uint32_t number = 0;
+  const char* end = text.data() + text.size();
+  auto [parsed_to, error] = std::from_chars(text.data(), end, number);
+  if (error != std::errc() || parsed_to != end) return std::nullopt;
+  return number;
+}
+
+// "5" or "3-5".
+std::optional<Span> parse_span(std::string_view text) {
+  auto dash = text.find('-');
+  auto first = parse_number(text.substr(0, dash));
+  auto last = dash == std::string_view::npos ? first : parse_number(text.substr(dash + 1));
+  if (!first || !last || *last < *first || *last == UINT32_MAX) return std::nullopt;
+  return Span{*first, *last + 1};
+}
+
+}  // namespace
 
 Ranges Ranges::span(std::uint32_t first, std::uint32_t end) {
-  Ranges r;
-  r.add_span(first, end);
-  return r;
+  Ranges ranges;
+  ranges.add_span(first, end);
+  return ranges;
 }
 
 std::optional<Ranges> Ranges::parse(std::string_view text) {
-  Ranges r;
+  Ranges ranges;
   while (!text.empty()) {
     auto comma = text.find(',');
-    std::string_view item = text.substr(0, comma);
-    std::uint32_t a = 0, b = 0;
-    auto [p, ec] = std::from_chars(item.data(), item.data() + item.size(), a);
-    if (ec != std::errc()) return std::nullopt;
-    const char* end = item.data() + item.size();
-    if (p == end) {
-      b = a;
-    } else {
-      if (*p != '-') return std::nullopt;
-      auto [q, ec2] = std::from_chars(p + 1, end, b);
-      if (ec2 != std::errc() || q != end || b < a) return std::nullopt;
-    }
-    if (b == UINT32_MAX) return std::nullopt;
-    r.add_span(a, b + 1);
+    auto span = parse_span(text.substr(0, comma));
+    if (!span) return std::nullopt;
+    ranges.add_span(span->first, span->end);
     if (comma == std::string_view::npos) break;
     text.remove_prefix(comma + 1);
   }
-  return r;
+  return ranges;
 }
 
 std::string Ranges::str() const {
-  std::string s;
-  for (auto [a, e] : spans_) {
-    if (!s.empty()) s += ',';
-    s += std::to_string(a);
-    if (e - a > 1) s += '-' + std::to_string(e - 1);
+  std::string text;
+  for (auto [first, end] : spans_) {
+    if (!text.empty()) text += ',';
+    text += std::to_string(first);
+    if (end - first > 1) text += '-' + std::to_string(end - 1);
   }
-  return s;
+  return text;
 }
 
 void Ranges::add_span(std::uint32_t first, std::uint32_t end) {
@@ -62,53 +77,53 @@
   auto it = spans_.upper_bound(first);
   if (it != spans_.begin()) --it;
   while (it != spans_.end() && it->first < end) {
-    auto [a, e] = *it;
-    if (e <= first) {
+    auto [known_first, known_end] = *it;
+    if (known_end <= first) {
       ++it;
       continue;
     }
     it = spans_.erase(it);
-    if (a < first) spans_[a] = first;
-    if (e > end) spans_[end] = e;
+    if (known_first < first) spans_[known_first] = first;
+    if (known_end > end) spans_[end] = known_end;
   }
 }
 
-void Ranges::add(const Ranges& o) {
-  for (auto [a, e] : o.spans_) add_span(a, e);
+void Ranges::add(const Ranges& other) {
+  for (auto [first, end] : other.spans_) add_span(first, end);
 }
 
-void Ranges::remove(const Ranges& o) {
-  for (auto [a, e] : o.spans_) remove_span(a, e);
+void Ranges::remove(const Ranges& other) {
+  for (auto [first, end] : other.spans_) remove_span(first, end);
 }
 
-bool Ranges::contains(std::uint32_t n) const {
-  auto it = spans_.upper_bound(n);
-  return it != spans_.begin() && std::prev(it)->second > n;
+bool Ranges::contains(std::uint32_t number) const {
+  auto it = spans_.upper_bound(number);
+  return it != spans_.begin() && std::prev(it)->second > number;
 }
 
 std::uint32_t Ranges::count() const {
-  std::uint32_t n = 0;
-  for (auto [a, e] : spans_) n += e - a;
-  return n;
+  std::uint32_t count = 0;
+  for (auto [first, end] : spans_) count += end - first;
+  return count;
 }
 
-Ranges Ranges::take(std::uint32_t n) {
-  Ranges out;
-  while (n > 0 && !spans_.empty()) {
-    auto [a, e] = *spans_.begin();
-    std::uint32_t k = std::min(n, e - a);
-    out.add_span(a, a + k);
-    remove_span(a, a + k);
-    n -= k;
+Ranges Ranges::take(std::uint32_t count) {
+  Ranges taken;
+  while (count > 0 && !spans_.empty()) {
+    auto [first, end] = *spans_.begin();
+    std::uint32_t taken_here = std::min(count, end - first);
+    taken.add_span(first, first + taken_here);
+    remove_span(first, first + taken_here);
+    count -= taken_here;
   }
-  return out;
+  return taken;
 }
 
 std::vector<std::uint32_t> Ranges::items() const {
-  std::vector<std::uint32_t> v;
-  for (auto [a, e] : spans_)
-    for (auto i = a; i < e; ++i) v.push_back(i);
-  return v;
+  std::vector<std::uint32_t> numbers;
+  for (auto [first, end] : spans_)
+    for (auto number = first; number < end; ++number) numbers.push_back(number);
+  return numbers;
 }
 
 }  // namespace beaconsill
--- a/src/base/ranges.h
+++ b/src/base/ranges.h
@@ -10,31 +10,36 @@
 
 namespace beaconsill {
 
+// A span holds the numbers from its first up to, not including, its end.
 class Ranges {
  public:
+  // The first number of each span -> its end; ascending, with a gap between any two.
+  using Spans = std::map<std::uint32_t, std::uint32_t>;
+
   Ranges() = default;
-  // The numbers from `first` up to, not including, `end`.
   static Ranges span(std::uint32_t first, std::uint32_t end);
+  // None: not in the form that `str` gives. Items may overlap and come in any order.
   static std::optional<Ranges> parse(std::string_view text);
   std::string str() const;
 
-  void add(std::uint32_t n) { add_span(n, n + 1); }
+  void add(std::uint32_t number) { add_span(number, number + 1); }
   void add_span(std::uint32_t first, std::uint32_t end);
-  void remove(std::uint32_t n) { remove_span(n, n + 1); }
+  void remove(std::uint32_t number) { remove_span(number, number + 1); }
   void remove_span(std::uint32_t first, std::uint32_t end);
-  void add(const Ranges& o);
-  void remove(const Ranges& o);
-  bool contains(std::uint32_t n) const;
+  void add(const Ranges& other);
+  void remove(const Ranges& other);
+  bool contains(std::uint32_t number) const;
   bool empty() const { return spans_.empty(); }
+  // How many numbers are in the set.
   std::uint32_t count() const;
-  // Takes up to `n` of the lowest numbers out of the set.
-  Ranges take(std::uint32_t n);
+  // Takes up to `count` of the lowest numbers out of the set.
+  Ranges take(std::uint32_t count);
   std::vector<std::uint32_t> items() const;
-  const std::map<std::uint32_t, std::uint32_t>& spans() const { return spans_; }
+  const Spans& spans() const { return spans_; }
   bool operator==(const Ranges&) const = default;
 
  private:
-  std::map<std::uint32_t, std::uint32_t> spans_;  // first -> end
+  Spans spans_;
 };
 
 }  // namespace beaconsill
