--- a/src/config/expr.cpp
+++ b/src/config/expr.cpp
@@ -2,10 +2,11 @@
 
 #include <algorithm>
 #include <cctype>
-#include <charconv>
 #include <cmath>
 #include <vector>
 
+#include "config/expr_scanner.h"
+
 namespace beaconsill::config {
 namespace {
 
@@ -25,10 +26,6 @@
   return value ? 1.0 : 0.0;
 }
 
-bool is_alphanumeric(char character) {
-  return std::isalnum(static_cast<unsigned char>(character)) || character == '_';
-}
-
 struct Comparison {
   std::string_view symbol;
   bool (*holds)(double, double);
@@ -52,36 +49,18 @@
 // A recursive-descent parser: a function for each level of precedence, the loosest first.
 class Parser {
  public:
-  Parser(std::string_view text, const ExprNames& names) : text_(text), names_(names) {}
+  Parser(std::string_view text, const ExprNames& names) : scanner_(text), names_(names) {}
 
   Expression parse() {
     auto expression = choice();
-    skip_space();
-    if (position_ != text_.size()) fail("something follows the expression");
+    if (!scanner_.at_end()) fail("something follows the expression");
     return expression;
   }
 
  private:
-  [[noreturn]] void fail(const std::string& reason) const {
-    throw ExprError("column " + std::to_string(position_ + 1) + ": " + reason);
-  }
-
-  void skip_space() {
-    while (position_ < text_.size() && std::isspace(static_cast<unsigned char>(text_[position_])))
-      ++position_;
-  }
-
-  // Skips the symbol if it's next.
-  bool accept(std::string_view symbol) {
-    skip_space();
-    if (!text_.substr(position_).starts_with(symbol)) return false;
-    position_ += symbol.size();
-    return true;
-  }
-
-  void expect(std::string_view symbol) {
-    if (!accept(symbol)) fail("expected '" + std::string(symbol) + "'");
-  }
+  [[noreturn]] void fail(const std::string& reason) const { scanner_.fail(reason); }
+  bool accept(std::string_view symbol) { return scanner_.accept(symbol); }
+  void expect(std::string_view symbol) { scanner_.expect(symbol); }
 
   void expect_type(const Expression& expression, ExprType type, std::string_view what) const {
     if (expression.type == type) return;
@@ -217,27 +196,15 @@
       expect(")");
       return expression;
     }
-    skip_space();
-    if (position_ >= text_.size()) fail("the expression ends too early");
-    const char next = text_[position_];
+    const char next = scanner_.peek();
     if (std::isdigit(static_cast<unsigned char>(next)) || next == '.') return literal();
     if (std::isalpha(static_cast<unsigned char>(next)) || next == '_') return name();
     fail("unexpected '" + std::string(1, next) + "'");
   }
 
-  std::string identifier() {
-    const auto first = position_;
-    while (position_ < text_.size() && is_alphanumeric(text_[position_])) ++position_;
-    return std::string(text_.substr(first, position_ - first));
-  }
-
   Expression literal() {
-    double value = 0;
-    const auto [parsed_to, ec] = std::from_chars(text_.data() + position_, text_.data() + text_.size(), value,
-                                                 std::chars_format::fixed);
-    if (ec != std::errc()) fail("not a number");
-    position_ = static_cast<std::size_t>(parsed_to - text_.data());
-    const auto unit = identifier();
+    const double value = scanner_.number();
+    const auto unit = scanner_.identifier();
     if (unit.empty()) return constant(ExprType::kNumber, value);
     for (const auto& [unit_name, seconds] : kUnits)
       if (unit == unit_name) return constant(ExprType::kDuration, value * seconds);
@@ -245,12 +212,12 @@
   }
 
   Expression name() {
-    const auto identifier_text = identifier();
-    if (identifier_text == "true" || identifier_text == "false")
-      return constant(ExprType::kBool, truth(identifier_text == "true"));
-    if (accept("(")) return call(identifier_text);
-    auto it = names_.find(identifier_text);
-    if (it == names_.end()) fail("unknown name '" + identifier_text + "'");
+    const auto identifier = scanner_.identifier();
+    if (identifier == "true" || identifier == "false")
+      return constant(ExprType::kBool, truth(identifier == "true"));
+    if (accept("(")) return call(identifier);
+    auto it = names_.find(identifier);
+    if (it == names_.end()) fail("unknown name '" + identifier + "'");
     return constant(it->second.type, it->second.value);
   }
 
@@ -287,9 +254,8 @@
             }};
   }
 
-  std::string_view text_;
+  ExprScanner scanner_;
   const ExprNames& names_;
-  std::size_t position_ = 0;
   int depth_ = 0;
 };
 
