--- a/tests/base_test.cpp
+++ b/tests/base_test.cpp
@@ -6,11 +6,11 @@
 namespace beaconsill {
 namespace {
 
-TEST(Ranges, TextForms) {
+TEST(Ranges, ParsesAndWritesText) {
   struct Case {
     const char* text;
     std::optional<std::uint32_t> count;  // none: refused
-    const char* again;
+    const char* shortest;                // how it is written again
   };
   const Case cases[] = {
       {"", 0, ""},
@@ -22,19 +22,23 @@
       {"x", std::nullopt, ""},
       {"1-", std::nullopt, ""},
       {"1 2", std::nullopt, ""},
+      {"-3", std::nullopt, ""},
+      {"1-2-3", std::nullopt, ""},
+      {"1,,2", std::nullopt, ""},
+      {"1,", 1, "1"},
       {"4294967295", std::nullopt, ""},
       {"99999999999", std::nullopt, ""},
   };
-  for (const auto& c : cases) {
-    auto r = Ranges::parse(c.text);
-    ASSERT_EQ(r.has_value(), c.count.has_value()) << c.text;
-    if (!r) continue;
-    EXPECT_EQ(r->count(), *c.count) << c.text;
-    EXPECT_EQ(r->str(), c.again) << c.text;
+  for (const auto& test_case : cases) {
+    auto ranges = Ranges::parse(test_case.text);
+    ASSERT_EQ(ranges.has_value(), test_case.count.has_value()) << test_case.text;
+    if (!ranges) continue;
+    EXPECT_EQ(ranges->count(), *test_case.count) << test_case.text;
+    EXPECT_EQ(ranges->str(), test_case.shortest) << test_case.text;
   }
 }
 
-TEST(Ranges, AddRemoveTake) {
+TEST(Ranges, AddsRemovesAndTakesNumbers) {
   struct Case {
     const char* start;
     const char* add;
@@ -48,23 +52,23 @@
       {"0-9", "", "0-20", 3, "", ""},      {"2-3,8-9", "4-7", "5", 100, "2-4,6-9", ""},
       {"0-2,4-6", "3", "", 1, "0", "1-6"}, {"5", "", "5", 1, "", ""},
   };
-  for (const auto& c : cases) {
-    auto r = *Ranges::parse(c.start);
-    r.add(*Ranges::parse(c.add));
-    r.remove(*Ranges::parse(c.remove));
-    EXPECT_EQ(r.take(c.take).str(), c.taken) << c.start;
-    EXPECT_EQ(r.str(), c.left) << c.start;
+  for (const auto& test_case : cases) {
+    auto ranges = *Ranges::parse(test_case.start);
+    ranges.add(*Ranges::parse(test_case.add));
+    ranges.remove(*Ranges::parse(test_case.remove));
+    EXPECT_EQ(ranges.take(test_case.take).str(), test_case.taken) << test_case.start;
+    EXPECT_EQ(ranges.str(), test_case.left) << test_case.start;
   }
 }
 
-TEST(FencingToken, HigherTermOutranksEveryFence) {
-  auto old = FencingToken::first_of(Term(3));
-  for (int i = 0; i < 1000; ++i) old = old.raised();
-  EXPECT_LT(old, FencingToken::first_of(Term(4)));
-  EXPECT_EQ(old.term(), Term(3));
+TEST(FencingToken, AHigherTermOutranksEveryFence) {
+  auto earlier = FencingToken::first_of(Term(3));
+  for (int i = 0; i < 1000; ++i) earlier = earlier.raised();
+  EXPECT_LT(earlier, FencingToken::first_of(Term(4)));
+  EXPECT_EQ(earlier.term(), Term(3));
 }
 
-TEST(Hash, IsTheSameEverywhere) {
+TEST(StableHash, IsTheSameEverywhere) {
   // A change of this number would move machines between shards while two versions run side by side.
   EXPECT_EQ(stable_hash("host-000231"), stable_hash(std::string("host-") + "000231"));
   EXPECT_EQ(stable_hash("a"), 17114084158190756429ull);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -54,11 +54,11 @@
 }
 
 TEST(Settings, GoodOnesAreReadAndUnknownFieldsIgnored) {
-  auto s = parse_settings(good(), "s.toml");
-  EXPECT_EQ(s.controller, ControllerName("n0"));
-  EXPECT_EQ(s.controllers(), 2u);
-  EXPECT_EQ(s.team(Team("blue"))->cpus_max, 20);
-  EXPECT_EQ(s.team(Team("red")), nullptr);
+  auto settings = parse_settings(good(), "s.toml");
+  EXPECT_EQ(settings.controller, ControllerName("n0"));
+  EXPECT_EQ(settings.controllers(), 2u);
+  EXPECT_EQ(settings.team(Team("blue"))->cpus_max, 20);
+  EXPECT_EQ(settings.team(Team("red")), nullptr);
 }
 
 TEST(Settings, ObjectivesOfUnknownKindsAreIgnoredWithALineInTheLog) {
@@ -88,16 +88,16 @@
       {"[cluster.state.next]\nvalue_kb = 64.0\ntxn_ops = 50\nrps = 7.0\n", 8, 16, 7, 30},
       {"[cluster.state.next]\nserenity = 1\n", 8, 16, 100, 30},
   };
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     auto text = good();
-    text.insert(text.find("[cluster.cloud]"), c.next);
-    auto s = parse_settings(text, "s.toml");
-    EXPECT_EQ(s.value_kb, c.value_kb) << c.next;
-    EXPECT_EQ(s.txn_ops, c.txn_ops) << c.next;
-    EXPECT_EQ(s.next_state_rps, c.rps) << c.next;
-    EXPECT_EQ(s.next_state_write_rps, c.write_rps) << c.next;
-    EXPECT_EQ(s.state_rps, 100) << c.next;
-    EXPECT_EQ(s.state_write_rps, 30) << c.next;
+    text.insert(text.find("[cluster.cloud]"), test_case.next);
+    auto settings = parse_settings(text, "s.toml");
+    EXPECT_EQ(settings.value_kb, test_case.value_kb) << test_case.next;
+    EXPECT_EQ(settings.txn_ops, test_case.txn_ops) << test_case.next;
+    EXPECT_EQ(settings.next_state_rps, test_case.rps) << test_case.next;
+    EXPECT_EQ(settings.next_state_write_rps, test_case.write_rps) << test_case.next;
+    EXPECT_EQ(settings.state_rps, 100) << test_case.next;
+    EXPECT_EQ(settings.state_write_rps, 30) << test_case.next;
   }
 }
 
@@ -123,14 +123,14 @@
       {"zones = [\"east\", \"west\"]", "zones = [1]", "cluster.zones"},
       {"[external]", "[external", "s.toml: line"},
   };
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     auto text = good();
-    text.replace(text.find(c.from), std::string(c.from).size(), c.to);
+    text.replace(text.find(test_case.from), std::string(test_case.from).size(), test_case.to);
     try {
       parse_settings(text, "s.toml");
-      ADD_FAILURE() << "accepted: " << c.to;
-    } catch (const ConfigError& e) {
-      EXPECT_NE(std::string(e.what()).find(c.field), std::string::npos) << e.what();
+      ADD_FAILURE() << "accepted: " << test_case.to;
+    } catch (const ConfigError& error) {
+      EXPECT_NE(std::string(error.what()).find(test_case.field), std::string::npos) << error.what();
     }
   }
   EXPECT_THROW(load_settings("/nowhere/at/all.toml"), ConfigError);
@@ -152,10 +152,10 @@
       {"lease >= 10s || false", ExprType::kBool, 1}, {"-n + 1", ExprType::kNumber, -2},
       {"10 - 3 - 2", ExprType::kNumber, 5},
   };
-  for (const auto& c : cases) {
-    auto v = evaluate(c.text, names);
-    EXPECT_EQ(v.type, c.type) << c.text;
-    EXPECT_DOUBLE_EQ(v.value, c.value) << c.text;
+  for (const auto& test_case : cases) {
+    auto result = evaluate(test_case.text, names);
+    EXPECT_EQ(result.type, test_case.type) << test_case.text;
+    EXPECT_DOUBLE_EQ(result.value, test_case.value) << test_case.text;
   }
 }
 
@@ -167,20 +167,20 @@
       "clamp(1)", "3 parsecs", "1 ? 2 : 3",     "true ? 1 : 2s", "1 < 2s",    "(1",
       "1 / 0",    "@",         "true ? 1 : 1s",
   };
-  for (const char* c : cases) EXPECT_THROW(evaluate(c, names), ExprError) << c;
+  for (const char* text : cases) EXPECT_THROW(evaluate(text, names), ExprError) << text;
   EXPECT_THROW(evaluate(std::string(5000, '('), names), ExprError);
   EXPECT_THROW(evaluate(std::string(5000, '!') + "true", names), ExprError);
 }
 
 TEST(Policy, DefaultsAndOverrides) {
-  auto s = parse_settings(good(), "s.toml");
-  auto d = load_policy("", s);
-  EXPECT_EQ(d.task_cap, 64u);
-  auto p = parse_policy("# comment\ntask_cap = 8 * controllers # more\n\nreply_wait = report_period / 2\n",
-                        "p", s);
-  EXPECT_EQ(p.task_cap, 16u);
-  EXPECT_EQ(p.reply_wait, from_seconds(0.5));
-  EXPECT_EQ(p.idle_return, d.idle_return);
+  auto settings = parse_settings(good(), "s.toml");
+  auto defaults = load_policy("", settings);
+  EXPECT_EQ(defaults.task_cap, 64u);
+  auto policy = parse_policy(
+      "# comment\ntask_cap = 8 * controllers # more\n\nreply_wait = report_period / 2\n", "p", settings);
+  EXPECT_EQ(policy.task_cap, 16u);
+  EXPECT_EQ(policy.reply_wait, from_seconds(0.5));
+  EXPECT_EQ(policy.idle_return, defaults.idle_return);
 }
 
 // A job that waits beyond all objectives goes to the head of the queue, though in time for the largest to
@@ -209,15 +209,17 @@
        "longest_wait = longest_aim * 2",
        180},
   };
-  for (const auto& c : cases) {
-    auto s = parse_settings(good(), "s.toml");
-    s.objectives = c.objectives;
-    EXPECT_EQ(parse_policy(c.policy, "p", s).longest_wait, from_seconds(c.longest_wait_s)) << c.what;
+  for (const auto& test_case : cases) {
+    auto settings = parse_settings(good(), "s.toml");
+    settings.objectives = test_case.objectives;
+    EXPECT_EQ(parse_policy(test_case.policy, "p", settings).longest_wait,
+              from_seconds(test_case.longest_wait_s))
+        << test_case.what;
   }
 }
 
 TEST(Policy, MistakesNameLineAndReason) {
-  auto s = parse_settings(good(), "s.toml");
+  auto settings = parse_settings(good(), "s.toml");
   struct Case {
     const char* text;
     const char* reason;
@@ -231,12 +233,12 @@
       {"reserve = 2", "must lie between"},
       {"grace = lease +", "p:1: grace: column"},
   };
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     try {
-      parse_policy(c.text, "p", s);
-      ADD_FAILURE() << "accepted: " << c.text;
-    } catch (const ConfigError& e) {
-      EXPECT_NE(std::string(e.what()).find(c.reason), std::string::npos) << e.what();
+      parse_policy(test_case.text, "p", settings);
+      ADD_FAILURE() << "accepted: " << test_case.text;
+    } catch (const ConfigError& error) {
+      EXPECT_NE(std::string(error.what()).find(test_case.reason), std::string::npos) << error.what();
     }
   }
 }
--- a/tests/failover_scheduler_test.cpp
+++ b/tests/failover_scheduler_test.cpp
@@ -1,5 +1,5 @@
 // The scheduler's quota accounting across failovers: new shard leaders and leaders, lost responses, teams at
-// their limit. See docs/failover-faults.md.
+// their limit. See docs/fault-scenarios.md.
 #include <gtest/gtest.h>
 
 #include "scheduler/scheduler.h"
@@ -9,10 +9,10 @@
 
 using state_store::TerminalState;
 
-constexpr double kLimit_cpus = 10;
+constexpr double kLimitCpus = 10;
 
-Instant at(double s) {
-  return Instant{} + from_seconds(1000 + s);
+Instant at(double seconds) {
+  return Instant{} + from_seconds(1000 + seconds);
 }
 
 ShardTerms terms(std::uint64_t of_first_shard) {
@@ -23,37 +23,37 @@
 struct SchedulerFixture {
   SchedulerFixture()
       : scheduler({std::chrono::seconds(2), std::chrono::seconds(1), std::chrono::seconds(100), {}, 8},
-                  {{Team("blue"), 0, kLimit_cpus, 0, 0}}, {}) {
+                  {{Team("blue"), 0, kLimitCpus, 0, 0}}, {}) {
     scheduler.on_terms(terms(1));
   }
   state_store::Job& job(const char* id, std::uint32_t tasks) {
-    protocol::JobSpec s;
-    s.id = JobId(id);
-    s.team = Team("blue");
-    s.tasks = tasks;
-    s.each = {1, 0, 1};
-    auto& j = jobs[id];
-    j.record = {std::make_shared<const protocol::JobSpec>(s), WallMs(0)};
-    j.created = Revision(1);
-    return j;
+    protocol::JobSpec spec;
+    spec.id = JobId(id);
+    spec.team = Team("blue");
+    spec.tasks = tasks;
+    spec.each = {1, 0, 1};
+    auto& job = jobs[id];
+    job.record = {std::make_shared<const protocol::JobSpec>(spec), WallMs(0)};
+    job.created = Revision(1);
+    return job;
   }
-  void publish(const char* id, double t, std::optional<TerminalState> end = std::nullopt) {
-    scheduler.on_job(JobId(id), &jobs[id], end, at(t));
+  void publish(const char* id, double time, std::optional<TerminalState> end = std::nullopt) {
+    scheduler.on_job(JobId(id), &jobs[id], end, at(time));
   }
-  // What waits, as far as the team's limit leaves room for it.
-  std::uint32_t wanted(double t) const {
-    std::uint32_t n = 0;
-    for (const auto& d : scheduler.demand(at(t))) n += d.resource_request.wanted;
-    return n;
+  // Tasks that wait, as far as the team's limit allows them.
+  std::uint32_t wanted(double time) const {
+    std::uint32_t tasks = 0;
+    for (const auto& demand : scheduler.demand(at(time))) tasks += demand.resource_request.wanted;
+    return tasks;
   }
-  std::vector<Scheduler::Grant> round(double t) {
-    auto estimate_request = scheduler.begin_round(at(t), WallMs(0), {ShardId(0)});
+  std::vector<Scheduler::Grant> run_round(double time) {
+    auto estimate_request = scheduler.begin_round(at(time), WallMs(0), {ShardId(0)});
     if (!estimate_request) return {};
-    protocol::CapacityByZone room{{Zone("a"), 100, 0, 0, 0}};
+    protocol::CapacityByZone capacity{{Zone("a"), 100, 0, 0, 0}};
     scheduler.on_estimate_response({estimate_request->round, ShardId(0), Term(1), Revision(9),
-                                    std::vector(estimate_request->resource_requests.size(), room)},
-                                   at(t));
-    return scheduler.decide(at(t), terms(1)).value_or(std::vector<Scheduler::Grant>{});
+                                    std::vector(estimate_request->resource_requests.size(), capacity)},
+                                   at(time));
+    return scheduler.decide(at(time), terms(1)).value_or(std::vector<Scheduler::Grant>{});
   }
 
   Scheduler scheduler;
@@ -80,77 +80,78 @@
       {"the present shard leader reports it", 2, false, 10},
       {"it is recorded", std::nullopt, true, 10},
   };
-  for (const auto& c : cases) {
-    SchedulerFixture l;
-    l.scheduler.on_terms(terms(2));
-    auto& cancelled = l.job("run-1", 4);
+  for (const auto& test_case : cases) {
+    SchedulerFixture fixture;
+    fixture.scheduler.on_terms(terms(2));
+    auto& cancelled = fixture.job("run-1", 4);
     cancelled.grants = {{{chunk(1, 0, 4)}, Generation(1)}, Revision(2)};
-    if (c.recorded)
+    if (test_case.recorded)
       cancelled.progress[ShardId(0)] = {{{}, {{Generation(1), Ranges::span(0, 4)}}}, Revision(3)};
-    l.publish("run-1", 1, TerminalState::kCancelled);
-    l.job("run-2", 20);
-    l.publish("run-2", 1);
-    if (c.reported_under) {
-      l.scheduler.on_progress_report({ShardId(0),
-                                      Term(*c.reported_under),
-                                      {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}},
-                                     at(2));
-      l.publish("run-1", 2, TerminalState::kCancelled);
+    fixture.publish("run-1", 1, TerminalState::kCancelled);
+    fixture.job("run-2", 20);
+    fixture.publish("run-2", 1);
+    if (test_case.reported_under) {
+      fixture.scheduler.on_progress_report({ShardId(0),
+                                            Term(*test_case.reported_under),
+                                            {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}},
+                                           at(2));
+      fixture.publish("run-1", 2, TerminalState::kCancelled);
     }
-    EXPECT_EQ(l.wanted(2), c.left) << c.what;
+    EXPECT_EQ(fixture.wanted(2), test_case.left) << test_case.what;
   }
 }
 
 // Shard leaders and leaders change ten times: what any of them reported as done stays done, and what one
 // reported as released counts under its own term only.
-TEST(SchedulerFailover, TenShardLeadersReportOneJob) {
-  SchedulerFixture l;
-  auto& j = l.job("run-1", 10);
-  j.grants = {{{chunk(1, 0, 10)}, Generation(1)}, Revision(2)};
-  l.publish("run-1", 0);
-  for (std::uint32_t n = 0; n < 10; ++n) {
-    std::uint64_t term = n + 1;
-    l.scheduler.on_terms(terms(term));
-    l.publish("run-1", n);
-    EXPECT_EQ(l.wanted(n), 0u) << "an earlier owner's return still counts under term " << term;
-    l.scheduler.on_progress_report(
+TEST(SchedulerFailover, DoneStaysTrueAndReleasedOnlyUnderItsOwnTerm) {
+  SchedulerFixture fixture;
+  auto& job = fixture.job("run-1", 10);
+  job.grants = {{{chunk(1, 0, 10)}, Generation(1)}, Revision(2)};
+  fixture.publish("run-1", 0);
+  for (std::uint32_t number = 0; number < 10; ++number) {
+    std::uint64_t term = number + 1;
+    fixture.scheduler.on_terms(terms(term));
+    fixture.publish("run-1", number);
+    EXPECT_EQ(fixture.wanted(number), 0u)
+        << "an earlier shard leader's release still counts under term " << term;
+    fixture.scheduler.on_progress_report(
         {ShardId(0),
          Term(term),
-         {{JobId("run-1"), Ranges::span(n, n + 1), {{Generation(1), Ranges::span(9, 10)}}}}},
-        at(n));
-    l.publish("run-1", n);
-    EXPECT_EQ(l.wanted(n), n < 9 ? 1u : 0u) << n;
-    EXPECT_EQ(l.scheduler.completed().size(), n == 9 ? 1u : 0u) << n;
+         {{JobId("run-1"), Ranges::span(number, number + 1), {{Generation(1), Ranges::span(9, 10)}}}}},
+        at(number));
+    fixture.publish("run-1", number);
+    EXPECT_EQ(fixture.wanted(number), number < 9 ? 1u : 0u) << number;
+    EXPECT_EQ(fixture.scheduler.completed().size(), number == 9 ? 1u : 0u) << number;
   }
 }
 
 // A copy of a message of an earlier shard leader comes late, after the shard has its next leader, or the task
-// its next generation: the task counts as out.
+// its next generation: the task counts as outstanding.
 TEST(SchedulerFailover, ALateReportOfAReleaseDoesNotFreeANewerGrant) {
-  SchedulerFixture l;
-  auto& j = l.job("run-1", 4);
-  j.grants = {{{chunk(2, 0, 4)}, Generation(2)}, Revision(2)};
-  l.publish("run-1", 0);
-  l.scheduler.on_progress_report(
+  SchedulerFixture fixture;
+  auto& job = fixture.job("run-1", 4);
+  job.grants = {{{chunk(2, 0, 4)}, Generation(2)}, Revision(2)};
+  fixture.publish("run-1", 0);
+  fixture.scheduler.on_progress_report(
       {ShardId(0), Term(1), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}}, at(1));
-  l.publish("run-1", 1);
-  EXPECT_EQ(l.wanted(1), 0u);
-  EXPECT_TRUE(l.scheduler.collectable().empty());
+  fixture.publish("run-1", 1);
+  EXPECT_EQ(fixture.wanted(1), 0u);
+  EXPECT_TRUE(fixture.scheduler.collectable().empty());
 }
 
 // Grants without an answer: until it's known that they can't be applied any more, no other round begins.
 TEST(SchedulerFailover, NoRoundBeginsWhileGrantsAreInFlight) {
-  SchedulerFixture l;
-  l.job("run-1", 10);
-  l.publish("run-1", 0);
-  auto grants = l.round(1);
+  SchedulerFixture fixture;
+  fixture.job("run-1", 10);
+  fixture.publish("run-1", 0);
+  auto grants = fixture.run_round(1);
   ASSERT_EQ(grants.size(), 1u);
-  l.job("run-2", 10);
-  l.publish("run-2", 2);
-  EXPECT_TRUE(l.round(5).empty());
-  EXPECT_TRUE(l.round(60).empty());
-  l.scheduler.on_granted(grants, std::nullopt, at(61));
-  EXPECT_FALSE(l.round(62).empty());
+  fixture.job("run-2", 10);
+  fixture.publish("run-2", 2);
+  EXPECT_TRUE(fixture.run_round(5).empty());
+  EXPECT_TRUE(fixture.run_round(60).empty());
+  fixture.scheduler.on_granted(grants, std::nullopt, at(61));
+  EXPECT_FALSE(fixture.run_round(62).empty());
 }
 
 }  // namespace
