--- a/tests/concurrent_faults_scheduler_test.cpp
+++ b/tests/concurrent_faults_scheduler_test.cpp
@@ -207,8 +207,8 @@
   }
 }
 
-// "Jobs bound to one zone, arrays too, lose machines": what is left out binds the rest to its zone, and
-// nothing else does.
+// "Jobs bound to one zone, arrays too, lose machines": the tasks that remain bind the others to their
+// zone, and nothing else does.
 TEST(OneZone, LostTasksFollowTheRemainingOnes) {
   struct Case {
     const char* what;
--- a/tests/offered_capacity_test.cpp
+++ b/tests/offered_capacity_test.cpp
@@ -27,7 +27,7 @@
 
 using Tasks = std::map<std::uint32_t, std::uint32_t>;
 
-TEST(OfferedCapacity, WarmThenFreeThenPreemption) {
+TEST(OfferedCapacity, IsPlacedWhereTheImageIsThenElsewhereThenByPreemption) {
   struct Case {
     const char* what;
     JobKind kind;
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -136,7 +136,7 @@
   EXPECT_EQ(grants[0].grants.chunks[1].generation, Generation(2));
 }
 
-TEST(Gang, GoesToOnePartIfOneCanHoldItElseToSeveralOrNowhere) {
+TEST(Gang, IsGrantedToOneShardIfOneCanHoldItElseToSeveralOrNone) {
   struct Case {
     std::uint32_t tasks, first, second;
     std::map<std::uint32_t, std::uint32_t> shards;
