--- a/tests/job_table_fixture.h
+++ b/tests/job_table_fixture.h
@@ -15,7 +15,7 @@
 
   explicit JobTableFixture(std::vector<config::TeamSettings> teams = {}) : quota(std::move(teams)) {}
 
-  // Adds a job of team "blue" whose tasks, of one CPU each, are all pending. `change`: applied to it before
+  // Adds a job of team "blue" whose tasks, of one CPU each, are all pending. Both changes are applied before
   // the table indexes it.
   JobEntry& add(const char* id, std::uint32_t tasks,
                 const std::function<void(protocol::JobSpec&)>& change_spec = {},
