--- a/src/shard/command_channel.cpp
+++ b/src/shard/command_channel.cpp
@@ -20,8 +20,8 @@
 }
 
 void request_probe(Machine& machine, DispatchQueue& queue, Instant now) {
-  if (machine.probed && now - *machine.probed < kProbeInterval) return;
-  machine.retry_at = now;
+  if (machine.last_probe_at && now - *machine.last_probe_at < kProbeInterval) return;
+  machine.probe_at = now;
   queue.push(machine);
 }
 
@@ -30,7 +30,7 @@
   if (machine.channel != Machine::Channel::kFencing) {
     machine.channel = Machine::Channel::kFencing;
     machine.token = machine.token.raised();
-    machine.retry_at = now;
+    machine.probe_at = now;
     queue.push(machine);
   }
   if (!machine.suspected_since) machine.suspected_since = now;
@@ -39,7 +39,7 @@
 void resolve_in_flight(Machine& machine, DispatchQueue& queue) {
   queue.push(machine);
   machine.channel = Machine::Channel::kIdle;
-  machine.retry_at.reset();
+  machine.probe_at.reset();
   machine.suspected_since.reset();
   for (auto& [key, task] : machine.tasks) {
     if (task.start == MachineTask::Start::kSent) task.start = MachineTask::Start::kAcknowledged;
--- a/src/shard/command_delivery.cpp
+++ b/src/shard/command_delivery.cpp
@@ -19,10 +19,10 @@
   for (auto* machine : state_.dispatch_queue.take_all()) {
     state_.visited_count += 1 + machine->tasks.size();
     if (machine->address.empty() || machine->deleting) continue;
-    bool probe_due = machine->retry_at && now_ >= *machine->retry_at;
+    bool probe_due = machine->probe_at && now_ >= *machine->probe_at;
     if (auto batch = command_batch(*machine)) {
       // Commands tell as much as a probe.
-      if (probe_due) machine->retry_at.reset();
+      if (probe_due) machine->probe_at.reset();
       batches.push_back(std::move(*batch));
     } else if (probe_due) {
       batches.push_back(probe_batch(*machine));
@@ -35,8 +35,8 @@
 // get its heartbeat at once. Otherwise a worker would not come here whose earlier leader is partitioned from
 // all but its workers, and still answers them.
 CommandBatch CommandDelivery::probe_batch(Machine& machine) {
-  machine.retry_at.reset();
-  machine.probed = now_;
+  machine.probe_at.reset();
+  machine.last_probe_at = now_;
   machine.probe_under_way = true;
   machine.on_sent(now_);
   return {machine.name, machine.address, std::max(machine.incarnation, Incarnation(1)), machine.token, {}};
@@ -93,7 +93,7 @@
     if (machine.unanswered_since) ++machine.unanswered;
   } else {
     machine.forget_unanswered();
-    machine.commands_answered = now_;
+    machine.last_command_answer_at = now_;
     state_.failure_detector.on_commands_answered(machine.zone, now_);
   }
   if (batch.commands.empty()) {
@@ -140,7 +140,7 @@
 void CommandDelivery::schedule_next_probe(Machine& machine, const CommandBatch& probe) {
   if (machine.confirmed && machine.channel != Machine::Channel::kFencing) return;
   // An incarnation that was guessed wrong is known now.
-  machine.retry_at = machine.incarnation > probe.incarnation ? now_ : now_ + kNextProbeAfter;
+  machine.probe_at = machine.incarnation > probe.incarnation ? now_ : now_ + kNextProbeAfter;
 }
 
 HeartbeatResponse CommandDelivery::heartbeat_response(Machine& machine) {
--- a/src/shard/estimator.cpp
+++ b/src/shard/estimator.cpp
@@ -48,7 +48,8 @@
 }
 
 std::uint32_t available_tasks(const Machine& machine, const protocol::ResourceRequest& request,
-                              const PackingRules& rules, bool preempt) {
+                              const PackingRules& rules, LowerPriorityWork lower) {
+  bool preempt = lower == LowerPriorityWork::kPreempted;
   Resources idle = machine.total - (preempt ? machine.used_from(request.priority) : machine.used());
   auto tasks = preempt ? machine.tasks_from(request.priority) : machine.live_tasks();
   auto by_resources = tasks_that_fit(without_reserve(idle, machine.total, request, rules), request.each);
@@ -62,8 +63,9 @@
   std::map<Zone, protocol::ZoneCapacity> zones;
   for (const auto& [name, machine] : machines) {
     if (!machine.usable(now) || !is_allowed(request, machine.type, machine.zone, machine.spot)) continue;
-    auto free = available_tasks(machine, request, rules, false);
-    auto preemptible = std::max(available_tasks(machine, request, rules, true), free) - free;
+    auto free = available_tasks(machine, request, rules, LowerPriorityWork::kKept);
+    auto with_preemption = available_tasks(machine, request, rules, LowerPriorityWork::kPreempted);
+    auto preemptible = std::max(with_preemption, free) - free;
     if (free == 0 && preemptible == 0) continue;
     auto image = image_state(machine, request.image);
     if (image == ImageState::kFetchLimitReached) continue;
@@ -105,9 +107,9 @@
 }
 
 std::vector<Machine*> choose_machines(const std::vector<Machine*>& machines,
-                                      const protocol::ResourceRequest& request,
-                                      const std::optional<Zone>& zone, const PackingRules& rules,
-                                      const std::set<MachineName>& avoided, bool image_cached, Instant now) {
+                                      const PlacementConstraints& constraints, const PackingRules& rules,
+                                      Instant now) {
+  const auto& [request, zone, avoided, image_policy] = constraints;
   struct Ranked {
     ImageState image;
     double idle_cpus;
@@ -119,9 +121,9 @@
         (zone && *zone != machine->zone))
       continue;
     auto image = image_state(*machine, request.image);
-    if (!accepts_image_state(image, image_cached)) continue;
+    if (!accepts_image_state(image, image_policy)) continue;
     if (avoided.contains(machine->name)) continue;
-    if (available_tasks(*machine, request, rules, false) == 0) continue;
+    if (available_tasks(*machine, request, rules, LowerPriorityWork::kKept) == 0) continue;
     ranked.push_back({image, (machine->total - machine->used()).cpus, machine});
   }
   // Equals stay in the order of their names.
--- a/src/shard/estimator.h
+++ b/src/shard/estimator.h
@@ -27,10 +27,12 @@
 // How often `each` fits into `idle`, the scarcest resource deciding.
 std::uint32_t tasks_that_fit(const Resources& idle, const Resources& each);
 
-// How many tasks of the request fit on the machine, by its resources and the task cap. `preempt`: as if all
-// work of lower priority were stopped.
+// What becomes of work of a lower priority than the request's.
+enum class LowerPriorityWork { kKept, kPreempted };
+
+// How many tasks of the request fit on the machine, by its resources and the task cap.
 std::uint32_t available_tasks(const Machine& machine, const protocol::ResourceRequest& request,
-                              const PackingRules& rules, bool preempt);
+                              const PackingRules& rules, LowerPriorityWork lower);
 
 // How many tasks of the request fit on the machines, by zone.
 protocol::CapacityByZone estimate(const std::map<MachineName, Machine>& machines,
@@ -51,19 +53,29 @@
 };
 ImageState image_state(const Machine& machine, const ImageName& image);
 
-// Whether a task may be placed where its image is in this state. `image_cached`: only where it is cached.
-inline bool accepts_image_state(ImageState state, bool image_cached) {
-  return image_cached ? state == ImageState::kCached : state != ImageState::kFetchLimitReached;
+// Where a task may be placed, as far as its image tells.
+enum class ImagePolicy { kCachedOnly, kMayFetch };
+
+// Whether a task may be placed where its image is in this state.
+inline bool accepts_image_state(ImageState state, ImagePolicy policy) {
+  return policy == ImagePolicy::kCachedOnly ? state == ImageState::kCached
+                                            : state != ImageState::kFetchLimitReached;
 }
 
 // Some capacity for some task: what is full needn't be looked at request by request.
 bool has_capacity(const Machine& machine, const PackingRules& rules);
 
-// The machines on which a task of the request fits, best first: by the state of its image; among equals the
-// fullest. `zone`: the only one allowed, if any. `avoided`: left out.
+// Which machines a task may be placed on. Refers to the caller's data for the time of a call.
+struct PlacementConstraints {
+  const protocol::ResourceRequest& request;
+  const std::optional<Zone>& zone;  // the only one allowed, if any
+  const std::set<MachineName>& avoided;
+  ImagePolicy image_policy;
+};
+
+// The machines on which a task fits, best first: by the state of its image; among equals the fullest.
 std::vector<Machine*> choose_machines(const std::vector<Machine*>& machines,
-                                      const protocol::ResourceRequest& request,
-                                      const std::optional<Zone>& zone, const PackingRules& rules,
-                                      const std::set<MachineName>& avoided, bool image_cached, Instant now);
+                                      const PlacementConstraints& constraints, const PackingRules& rules,
+                                      Instant now);
 
 }  // namespace beaconsill::shard
--- a/src/shard/gang_scheduling.cpp
+++ b/src/shard/gang_scheduling.cpp
@@ -57,7 +57,8 @@
   std::vector<PlacedMember> placed;
   for (auto& [index, granted_task] : job.granted_tasks) {
     auto candidates =
-        choose_machines(open_machines, request, granted_task.zone, state.params.rules, avoided, false, now);
+        choose_machines(open_machines, {request, granted_task.zone, avoided, ImagePolicy::kMayFetch},
+                        state.params.rules, now);
     if (candidates.empty()) break;
     state.place(*candidates.front(), {id, index}, job, granted_task, now);
     placed.push_back({index, candidates.front()});
--- a/src/shard/heartbeat_reconciler.cpp
+++ b/src/shard/heartbeat_reconciler.cpp
@@ -95,7 +95,7 @@
   if (!machine.confirmed && heartbeat.token >= FencingToken::first_of(state_.term)) {
     machine.confirmed = true;
     state_.registry.mark_dirty();
-    machine.retry_at.reset();
+    machine.probe_at.reset();
   }
 }
 
--- a/src/shard/machine.h
+++ b/src/shard/machine.h
@@ -102,9 +102,9 @@
   // Last answer to a heartbeat; whether it reached the worker is another matter, see `suspected_since`.
   std::optional<Instant> last_answered;
   std::optional<Instant> relayed_since;  // since when heartbeats have come by way of other controllers only
-  std::optional<Instant> redirected;     // when the worker was last redirected here
-  std::optional<Instant> commands_answered;  // when it last answered commands or a probe
-  std::optional<Instant> reclaimed_at;       // by the cloud, as notified (spot machines)
+  std::optional<Instant> last_redirect_at;        // when the worker was last redirected here
+  std::optional<Instant> last_command_answer_at;  // when it last answered commands or a probe
+  std::optional<Instant> reclaimed_at;            // by the cloud, as notified (spot machines)
   std::map<TaskKey, MachineTask> tasks;
   bool may_have_orphans = false;  // some tasks may not be granted to this shard, see stop_orphaned_tasks
   ImageCache images;
@@ -117,7 +117,7 @@
   };
   Channel channel = Channel::kIdle;
   FencingToken token;               // the highest issued; heartbeats are answered with it
-  std::optional<Instant> retry_at;  // when to send a probe
+  std::optional<Instant> probe_at;  // when to send the next probe
   // Heartbeats from a machine don't show that it receives anything: since when it is suspected not to, until
   // it shows a raised token.
   std::optional<Instant> suspected_since;
@@ -131,7 +131,7 @@
   // timed out.
   std::optional<Instant> unanswered_since;
   std::size_t unanswered = 0;
-  std::optional<Instant> probed;  // when the last probe was sent
+  std::optional<Instant> last_probe_at;
   bool probe_under_way = false;
   void on_sent(Instant now) {
     if (!unanswered_since) unanswered_since = now;
@@ -142,7 +142,7 @@
   }
   // No batch, probe or deletion is under way that would tell as much.
   bool can_be_probed() const {
-    return confirmed && !deleting && !address.empty() && channel == Channel::kIdle && !retry_at &&
+    return confirmed && !deleting && !address.empty() && channel == Channel::kIdle && !probe_at &&
            !probe_under_way;
   }
 
@@ -153,7 +153,7 @@
   bool draining = false;     // takes no more tasks: to be deleted
   bool quarantined = false;  // tasks of jobs that work elsewhere failed here: takes no more
   bool deleting = false;
-  std::optional<Instant> delete_retry;
+  std::optional<Instant> retry_deletion_at;  // after a deletion that failed
   Instant idle_since{};
   std::optional<Instant> avoided_until;  // see FailureAttribution::suspect_until
   // Without contact for this long it gets no new tasks.
--- a/src/shard/periodic_checks.cpp
+++ b/src/shard/periodic_checks.cpp
@@ -95,7 +95,7 @@
   for (auto* machine : state.failure_detector.machines_to_probe(state.machines, now))
     request_probe(*machine, state.dispatch_queue, now);
   for (auto& [name, machine] : state.machines)
-    if (machine.retry_at && now >= *machine.retry_at) state.dispatch_queue.push(machine);
+    if (machine.probe_at && now >= *machine.probe_at) state.dispatch_queue.push(machine);
 }
 
 }  // namespace beaconsill::shard
--- a/src/shard/placer.cpp
+++ b/src/shard/placer.cpp
@@ -54,8 +54,8 @@
     auto priority = priority_of(*first->job);
     auto last = std::find_if(first, waiting.end(),
                              [&](const auto& entry) { return priority_of(*entry.job) != priority; });
-    for (bool image_cached : {true, false})
-      for (auto entry = first; entry != last; ++entry) place_job(entry->id, *entry->job, image_cached);
+    for (auto image_policy : {ImagePolicy::kCachedOnly, ImagePolicy::kMayFetch})
+      for (auto entry = first; entry != last; ++entry) place_job(entry->id, *entry->job, image_policy);
     first = last;
   }
 }
@@ -73,14 +73,14 @@
   return being_tried;
 }
 
-void Placer::place_job(const JobId& id, ShardJob& job, bool image_cached) {
+void Placer::place_job(const JobId& id, ShardJob& job, ImagePolicy image_policy) {
   if (job.record.spec->kind == JobKind::kGang) {
-    if (!image_cached) place_gang(state_, id, job, open_machines_, now_);
+    if (image_policy == ImagePolicy::kMayFetch) place_gang(state_, id, job, open_machines_, now_);
     return;
   }
   JobPlacement placement{id,
                          job,
-                         image_cached,
+                         image_policy,
                          request_of(*job.record.spec, 1),
                          state_.failure_attribution.failed_on(id, now_),
                          state_.failure_attribution.job_fails(id, now_),
@@ -93,17 +93,18 @@
 
 Placer::Next Placer::place_task(JobPlacement& placement, std::uint32_t index, GrantedTask& task) {
   const auto& request = placement.request;
-  if (!placement.image_cached && !task.preempt && !task.preemption_target &&
-      is_unplaceable(request, task.zone))
+  bool cached_only = placement.image_policy == ImagePolicy::kCachedOnly;
+  if (!cached_only && !task.preempt && !task.preemption_target && is_unplaceable(request, task.zone))
     return Next::kNextTask;
   auto* best = best_candidate(placement, task.zone);
-  if (placement.image_cached && !best) return task.zone ? Next::kNextTask : Next::kNextJob;
+  if (cached_only && !best) return task.zone ? Next::kNextTask : Next::kNextJob;
   TaskId id{placement.id, index};
   // A guard against every mistake elsewhere: what any machine still lists is not started.
   if (state_.locations.is_live_anywhere(id)) return Next::kNextTask;
   // Where room is being made for it, and the image is, it starts sooner than anywhere else.
   if (auto* target = usable_preemption_target(task)) {
-    if (available_tasks(*target, request, state_.params.rules, false) == 0) return Next::kNextTask;
+    if (available_tasks(*target, request, state_.params.rules, LowerPriorityWork::kKept) == 0)
+      return Next::kNextTask;
     preemption_.on_placed(target->name, request.each);
     state_.place(*target, id, placement.job, task, now_);
     return placement.fails_everywhere ? Next::kNextJob : Next::kNextTask;
@@ -124,13 +125,13 @@
   auto& candidates = placement.candidates;
   if (!candidates.searched || candidates.zone != zone) {
     state_.visited_count += open_machines_.size();
-    auto machines = choose_machines(open_machines_, placement.request, zone, rules, placement.avoided,
-                                    placement.image_cached, now_);
+    auto machines = choose_machines(
+        open_machines_, {placement.request, zone, placement.avoided, placement.image_policy}, rules, now_);
     candidates = {true, zone, std::move(machines), 0};
   }
   auto& next = candidates.next;
   while (next < candidates.machines.size() &&
-         available_tasks(*candidates.machines[next], placement.request, rules, false) == 0)
+         available_tasks(*candidates.machines[next], placement.request, rules, LowerPriorityWork::kKept) == 0)
     ++next;
   return next < candidates.machines.size() ? candidates.machines[next] : nullptr;
 }
@@ -151,8 +152,8 @@
 // Rather where the image is, and otherwise only if there is no machine without preemption.
 bool Placer::preempt(const JobPlacement& placement, GrantedTask& task, const Machine* best) {
   bool must_fetch = !best || !best->images.has(placement.request.image);
-  if (must_fetch && preemption_.make_room_for(placement.job, task, true)) return true;
-  return !best && preemption_.make_room_for(placement.job, task, false);
+  if (must_fetch && preemption_.make_room_for(placement.job, task, ImagePolicy::kCachedOnly)) return true;
+  return !best && preemption_.make_room_for(placement.job, task, ImagePolicy::kMayFetch);
 }
 
 }  // namespace beaconsill::shard
--- a/src/shard/placer.h
+++ b/src/shard/placer.h
@@ -40,7 +40,7 @@
   struct JobPlacement {
     const JobId& id;
     ShardJob& job;
-    bool image_cached;  // only where the image is
+    ImagePolicy image_policy;
     protocol::ResourceRequest request;
     std::set<MachineName> avoided;  // the job failed there lately
     bool fails_everywhere;          // to be tried by one task at a time
@@ -51,7 +51,7 @@
   std::vector<WaitingJob> collect_waiting_jobs();
   // The job fails wherever it is started, and isn't to be tried at present.
   bool in_crash_loop_backoff(const JobId& id) const;
-  void place_job(const JobId& id, ShardJob& job, bool image_cached);
+  void place_job(const JobId& id, ShardJob& job, ImagePolicy image_policy);
   Next place_task(JobPlacement& placement, std::uint32_t index, GrantedTask& task);
   Machine* best_candidate(JobPlacement& placement, const std::optional<Zone>& zone);
   // A task that needs no less, and may use no other machines, was found not to fit.
--- a/src/shard/preemption.cpp
+++ b/src/shard/preemption.cpp
@@ -43,11 +43,11 @@
 }
 
 bool Preemption::is_candidate(const Machine& machine, const protocol::ResourceRequest& request,
-                              const GrantedTask& task, bool image_cached) const {
+                              const GrantedTask& task, ImagePolicy image_policy) const {
   return machine.usable(now_) && is_allowed(request, machine.type, machine.zone, machine.spot) &&
          (!task.zone || *task.zone == machine.zone) &&
-         accepts_image_state(image_state(machine, request.image), image_cached) &&
-         available_tasks(machine, request, state_.params.rules, true) > 0;
+         accepts_image_state(image_state(machine, request.image), image_policy) &&
+         available_tasks(machine, request, state_.params.rules, LowerPriorityWork::kPreempted) > 0;
 }
 
 std::optional<Preemption::Plan> Preemption::plan_on(Machine& machine,
@@ -77,12 +77,12 @@
   return plan;
 }
 
-bool Preemption::make_room_for(const ShardJob& job, GrantedTask& task, bool image_cached) {
+bool Preemption::make_room_for(const ShardJob& job, GrantedTask& task, ImagePolicy image_policy) {
   auto request = request_of(*job.record.spec, 1);
   collect_reservations();
   std::optional<Plan> best;
   for (auto& [name, machine] : state_.machines) {
-    if (!is_candidate(machine, request, task, image_cached)) continue;
+    if (!is_candidate(machine, request, task, image_policy)) continue;
     auto plan = plan_on(machine, request);
     if (plan && (!best || plan->lost_cpu_seconds < best->lost_cpu_seconds)) best = std::move(plan);
   }
--- a/src/shard/preemption.h
+++ b/src/shard/preemption.h
@@ -18,8 +18,8 @@
   Preemption(ShardState& state, Instant now) : state_(state), now_(now) {}
 
   // Stops the work that loses least, so that one task of the job fits, and makes that machine its target.
-  // False: there is no such machine. `image_cached`: only on machines that hold the job's image.
-  bool make_room_for(const ShardJob& job, GrantedTask& task, bool image_cached);
+  // False: there is no such machine.
+  bool make_room_for(const ShardJob& job, GrantedTask& task, ImagePolicy image_policy);
   // A task has been placed on its target: nothing is reserved for it any more.
   void on_placed(const MachineName& target, const Resources& resources);
 
@@ -32,7 +32,7 @@
   };
   void collect_reservations();
   bool is_candidate(const Machine& machine, const protocol::ResourceRequest& request, const GrantedTask& task,
-                    bool image_cached) const;
+                    ImagePolicy image_policy) const;
   std::optional<Plan> plan_on(Machine& machine, const protocol::ResourceRequest& request) const;
 
   ShardState& state_;
--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -64,7 +64,7 @@
     state_.failure_detector.set_timeouts(machine);
     machine.address = record.address;
     machine.quarantined = record.quarantined;
-    machine.retry_at = now;
+    machine.probe_at = now;
     state_.dispatch_queue.push(machine);
     state_.apply_catalogue(machine);
   }
@@ -92,12 +92,12 @@
                                     [](const auto& task) { return task.state != TaskState::kEnded; });
   if (!machine || !has_live_tasks) return true;
   if (!machine->relayed_since) machine->relayed_since = now;
-  if (!machine->commands_answered || now - *machine->commands_answered > kHeartbeatAnswerTimeout) {
+  if (!machine->last_command_answer_at || now - *machine->last_command_answer_at > kHeartbeatAnswerTimeout) {
     if (machine->can_be_probed()) request_probe(*machine, state_.dispatch_queue, now);
     return false;
   }
-  if (machine->redirected && now - *machine->redirected < kRedirectInterval) return false;
-  machine->redirected = now;
+  if (machine->last_redirect_at && now - *machine->last_redirect_at < kRedirectInterval) return false;
+  machine->last_redirect_at = now;
   return true;
 }
 
@@ -205,7 +205,7 @@
                                              [](const auto& entry) { return entry.second.deleting; }));
   for (auto& [name, machine] : state_.machines) {
     if (names.size() + under_way >= protocol::kMaxDelete) break;
-    if (machine.deleting || (machine.delete_retry && now < *machine.delete_retry)) continue;
+    if (machine.deleting || (machine.retry_deletion_at && now < *machine.retry_deletion_at)) continue;
     bool partitioned = partitioned_zones.contains(machine.zone);
     auto reason = state_.failure_detector.reason_to_delete(machine, partitioned, now);
     if (!reason) continue;
@@ -234,7 +234,7 @@
   if (!machine) return;
   machine->deleting = false;
   state_.dispatch_queue.push(*machine);
-  machine->delete_retry = now + kRetryDeletionAfter;
+  machine->retry_deletion_at = now + kRetryDeletionAfter;
 }
 
 void ShardManager::release(const MachineName& name) {
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -56,7 +56,7 @@
   drop_tasks_if(
       machine, [](const TaskKey&, const MachineTask&) { return true; }, now);
   machine.channel = Machine::Channel::kIdle;
-  machine.retry_at.reset();
+  machine.probe_at.reset();
   machine.idle_since = now;
 }
 
--- a/tests/command_channel_test.cpp
+++ b/tests/command_channel_test.cpp
@@ -39,10 +39,10 @@
   };
   for (const auto& entry : {Case{std::nullopt, true}, Case{9.5, false}, Case{9, true}}) {
     auto probed = machine("m1");
-    if (entry.last_probe) probed.probed = at(*entry.last_probe);
+    if (entry.last_probe) probed.last_probe_at = at(*entry.last_probe);
     DispatchQueue queue;
     request_probe(probed, queue, at(10));
-    EXPECT_EQ(probed.retry_at.has_value(), entry.requested);
+    EXPECT_EQ(probed.probe_at.has_value(), entry.requested);
     EXPECT_EQ(queue.take_all().size(), entry.requested ? 1u : 0u);
   }
 }
@@ -92,7 +92,7 @@
   resolve_in_flight(fenced, queue);
   EXPECT_EQ(fenced.channel, Channel::kIdle);
   EXPECT_FALSE(fenced.suspected_since);
-  EXPECT_FALSE(fenced.retry_at);
+  EXPECT_FALSE(fenced.probe_at);
   EXPECT_EQ(task(0).start, Start::kAcknowledged);
   EXPECT_EQ(task(1).start, Start::kQueued);
   EXPECT_FALSE(task(2).stop_sent || task(2).forget_sent);
--- a/tests/command_delivery_test.cpp
+++ b/tests/command_delivery_test.cpp
@@ -115,7 +115,7 @@
 TEST_F(CommandDeliveryTest, AProbeIsSentOnceDueAndCommandsTakeItsPlace) {
   struct Case {
     const char* what;
-    double retry_at;
+    double probe_at;
     bool has_command;
     std::size_t batches, commands;
   };
@@ -127,12 +127,12 @@
   for (const auto& entry : cases) {
     reset();
     auto& machine = add_machine("m1");
-    machine.retry_at = at(entry.retry_at);
+    machine.probe_at = at(entry.probe_at);
     grant(job_spec("run-1", 1));
     if (entry.has_command) place(machine, "run-1");
     auto batches = take_batches(machine);
     ASSERT_EQ(batches.size(), entry.batches) << entry.what;
-    EXPECT_EQ(machine.retry_at.has_value(), entry.batches == 0) << entry.what;
+    EXPECT_EQ(machine.probe_at.has_value(), entry.batches == 0) << entry.what;
     if (batches.empty()) continue;
     EXPECT_EQ(batches[0].commands.size(), entry.commands) << entry.what;
     EXPECT_EQ(machine.probe_under_way, !entry.has_command) << entry.what;
@@ -191,7 +191,7 @@
   machine.incarnation = Incarnation(2);
   CommandDelivery(state, at(kNow_s)).on_result(machine, batch, CommandResult::kExecuted);
   EXPECT_EQ(machine.tasks.begin()->second.start, Start::kSent);
-  EXPECT_EQ(machine.commands_answered, at(kNow_s));
+  EXPECT_EQ(machine.last_command_answer_at, at(kNow_s));
 }
 
 TEST_F(CommandDeliveryTest, AMachineIsProbedAgainUntilItIsConfirmed) {
@@ -200,7 +200,7 @@
     bool confirmed;
     Channel channel;
     Incarnation incarnation;  // the one that the machine has shown; the probe was for the first
-    std::optional<double> retry_at;
+    std::optional<double> probe_at;
   };
   const Case cases[] = {
       {"confirmed", true, Channel::kIdle, Incarnation(1), std::nullopt},
@@ -216,8 +216,8 @@
     machine.incarnation = entry.incarnation;
     CommandBatch probe{machine.name, machine.address, Incarnation(1), machine.token, {}};
     CommandDelivery(state, at(kNow_s)).schedule_next_probe(machine, probe);
-    auto expected = entry.retry_at ? std::optional(at(*entry.retry_at)) : std::nullopt;
-    EXPECT_EQ(machine.retry_at, expected) << entry.what;
+    auto expected = entry.probe_at ? std::optional(at(*entry.probe_at)) : std::nullopt;
+    EXPECT_EQ(machine.probe_at, expected) << entry.what;
   }
 }
 
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -55,7 +55,7 @@
   }
   GrantedTask& task_of(const JobId& id) { return state.jobs.at(id).granted_tasks.at(0); }
   bool make_room_for(Preemption& preemption, const JobId& id) {
-    return preemption.make_room_for(state.jobs.at(id), task_of(id), false);
+    return preemption.make_room_for(state.jobs.at(id), task_of(id), ImagePolicy::kMayFetch);
   }
 
   ShardState state{ShardId(0), Term(5), params(), at(0)};
