--- a/src/api/cancellation.cpp
+++ b/src/api/cancellation.cpp
@@ -32,13 +32,13 @@
 
 void Cancellation::on_result(const protocol::Txn& txn, const JobId& id, const net::HttpServer::Reply& reply,
                              const state_store::TxnResult& result) const {
-  using state_store::RequestOutcome;
-  if (result.outcome == RequestOutcome::kOk) {
-    context_.reader->apply_own(txn, result.revision);
+  using state_store::TxnError;
+  if (result) {
+    context_.reader->apply_own(txn, *result);
     reply(status_.status_response(id, protocol::JobState::kCancelled));
-    return context_.hooks.changed(result.revision);
+    return context_.hooks.changed(*result);
   }
-  if (result.outcome != RequestOutcome::kConflict && result.outcome != RequestOutcome::kUnknown)
+  if (result.error() != TxnError::kConflict && result.error() != TxnError::kUnknown)
     return reply(retry_later(kUnreachable));
   // Done or cancelled by now, or no response: what is stored decides.
   context_.read_now([this, id, reply](bool fresh) {
--- a/src/api/submission.cpp
+++ b/src/api/submission.cpp
@@ -10,7 +10,7 @@
 namespace beaconsill::api {
 namespace {
 
-using state_store::RequestOutcome;
+using state_store::TxnError;
 using state_store::TxnResult;
 
 }  // namespace
@@ -118,8 +118,8 @@
   if (draft.empty()) return write_record(values, reply);
   // What is written by now is there when the user repeats the request.
   context_.commit(draft.txn(), [this, values, reply, txn = draft.txn()](const TxnResult& result) {
-    if (result.outcome != RequestOutcome::kOk) return reply(retry_later(kStateUnknown));
-    context_.reader->apply_own(txn, result.revision);
+    if (!result) return reply(retry_later(kStateUnknown));
+    context_.reader->apply_own(txn, *result);
     write_job(values, reply);
   });
 }
@@ -139,17 +139,19 @@
 
 void Submission::on_record_result(const protocol::Txn& txn, const JobId& id, const Reply& reply,
                                   const TxnResult& result) const {
-  switch (result.outcome) {
-    case RequestOutcome::kOk:
-      context_.reader->apply_own(txn, result.revision);
-      spdlog::debug("job_accepted job={} revision={}", id.value(), result.revision.value());
-      context_.hooks.changed(result.revision);
-      return reply_accepted(id, reply);
-    case RequestOutcome::kConflict:
-    case RequestOutcome::kUnknown:
+  if (result) {
+    context_.reader->apply_own(txn, *result);
+    spdlog::debug("job_accepted job={} revision={}", id.value(), result->value());
+    context_.hooks.changed(*result);
+    return reply_accepted(id, reply);
+  }
+  switch (result.error()) {
+    case TxnError::kConflict:
+    case TxnError::kUnknown:
       // Known already, or no response: what is stored decides.
       return context_.read_now([this, id, reply](bool fresh) { reply_known(id, fresh, reply); });
-    default:
+    case TxnError::kRefused:
+    case TxnError::kRejected:
       return reply(retry_later(kUnreachable));
   }
 }
--- a/src/controller/garbage_collector.cpp
+++ b/src/controller/garbage_collector.cpp
@@ -36,8 +36,8 @@
     if (!delete_dependency_keys(id, keys, draft)) break;
   if (draft.empty()) return;
   auto done = [this, txn = draft.txn()](state_store::TxnResult result) {
-    if (result.outcome == state_store::RequestOutcome::kOk) {
-      ctx_.watch_cache->apply_own(txn, result.revision);
+    if (result) {
+      ctx_.watch_cache->apply_own(txn, *result);
       collecting_.clear();
       return;
     }
--- a/src/controller/grant_writer.cpp
+++ b/src/controller/grant_writer.cpp
@@ -30,8 +30,8 @@
   auto txn = build_txn(grants, leader);
   auto done = [this, txn, term = leadership_.term(), grants](state_store::TxnResult result) {
     if (!leadership_.is_leader_under(term)) return;
-    if (result.outcome == state_store::RequestOutcome::kOk) {
-      on_written(grants, txn, result.revision);
+    if (result) {
+      on_written(grants, txn, *result);
       return;
     }
     // It may have been applied, or something else was: read before the next round.
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -148,8 +148,8 @@
   state_store::Role acquired{ctx_.settings.controller, term, role.value.min_reader_version};
   txn.writes = {{state.key, state_store::to_json(acquired), std::nullopt}};
   auto done = [this, &state, txn, term](state_store::TxnResult result) {
-    if (result.outcome == state_store::RequestOutcome::kOk) {
-      on_acquired(state, term, txn, result.revision);
+    if (result) {
+      on_acquired(state, term, txn, *result);
       return;
     }
     // Another controller won, or this one's transaction had no answer: read before trying again.
@@ -188,7 +188,7 @@
   state.writing = true;
   auto done = [this, &state, txn](state_store::TxnResult result) {
     state.writing = false;
-    if (result.outcome == state_store::RequestOutcome::kOk) ctx_.watch_cache->apply_own(txn, result.revision);
+    if (result) ctx_.watch_cache->apply_own(txn, *result);
   };
   ctx_.store->txn(txn, state_store::Urgency::kElection, std::move(done));
 }
--- a/src/controller/liveness_lease.cpp
+++ b/src/controller/liveness_lease.cpp
@@ -8,7 +8,6 @@
 namespace {
 constexpr std::uint32_t kLeaseTtlMs = 2000;
 constexpr Duration kKeepAlivePeriod = std::chrono::milliseconds(500);
-constexpr int kHttpNotFound = 404;
 }  // namespace
 
 LivenessLease::LivenessLease(ControllerContext& ctx) : ctx_(ctx), timer_(ctx.io, [this] { run(); }) {}
@@ -37,9 +36,9 @@
 
 void LivenessLease::on_granted(const state_store::ReadResult& result) {
   request_pending_ = false;
-  if (result.outcome != state_store::RequestOutcome::kOk) return;
+  if (!result) return;
   try {
-    lease_ = protocol::parse_lease(result.body);
+    lease_ = protocol::parse_lease(result->body);
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("lease_answer_malformed reason=\"{}\"", error.what());
     return;
@@ -55,13 +54,13 @@
 
 void LivenessLease::on_renewed(const state_store::ReadResult& result) {
   request_pending_ = false;
-  if (result.status == kHttpNotFound) {
+  if (result == tl::unexpected(state_store::ReadError::kNotFound)) {
     spdlog::info("lease_expired controller={}", ctx_.settings.controller.value());
     lease_.reset();
     run();
     return;
   }
-  if (result.outcome != state_store::RequestOutcome::kOk) return;
+  if (!result) return;
   // The key may have gone although the lease stands: an earlier process of this controller wrote it, its
   // transaction was carried out late and attached the key to that process's lease, which has expired since.
   bool key_gone = ctx_.watch_cache->ready() && !ctx_.view().alive(ctx_.settings.controller);
@@ -75,10 +74,10 @@
   txn.writes = {{state_store::alive_key(ctx_.settings.controller), state_store::alive_value(), lease_}};
   auto done = [this, txn](state_store::TxnResult result) {
     request_pending_ = false;
-    if (result.outcome == state_store::RequestOutcome::kBad) lease_.reset();  // expired meanwhile
-    if (result.outcome != state_store::RequestOutcome::kOk) return;
+    if (result == tl::unexpected(state_store::TxnError::kRejected)) lease_.reset();  // expired meanwhile
+    if (!result) return;
     liveness_written_ = true;
-    ctx_.watch_cache->apply_own(txn, result.revision);
+    ctx_.watch_cache->apply_own(txn, *result);
   };
   ctx_.store->txn(txn, state_store::Urgency::kElection, std::move(done));
 }
--- a/src/controller/progress_writer.cpp
+++ b/src/controller/progress_writer.cpp
@@ -75,10 +75,10 @@
     if (auto* led = shards_.find(id, term)) led->writing_progress = false;
   };
   auto done = [this, finish, txn](state_store::TxnResult result) {
-    if (result.outcome == state_store::RequestOutcome::kOk) {
+    if (result) {
       finish();
-      ctx_.watch_cache->apply_own(txn, result.revision);
-      peers_.broadcast(protocol::ChangeNotification{result.revision});
+      ctx_.watch_cache->apply_own(txn, *result);
+      peers_.broadcast(protocol::ChangeNotification{*result});
       return;
     }
     ctx_.watch_cache->sync([finish](bool) { finish(); });
--- a/src/controller/registry_sync.cpp
+++ b/src/controller/registry_sync.cpp
@@ -46,9 +46,9 @@
     if (auto* led = shards_.find(id, term)) led->writing_registry = false;
   };
   auto done = [this, finish, txn = *txn](state_store::TxnResult result) {
-    if (result.outcome == state_store::RequestOutcome::kOk) {
+    if (result) {
       finish();
-      ctx_.watch_cache->apply_own(txn, result.revision);
+      ctx_.watch_cache->apply_own(txn, *result);
       return;
     }
     ctx_.watch_cache->sync([finish](bool) { finish(); });
--- a/src/controller/terminal_record_writer.cpp
+++ b/src/controller/terminal_record_writer.cpp
@@ -50,9 +50,9 @@
   auto txn = build_txn(ids, end, *leader);
   in_progress_.insert(ids.begin(), ids.end());
   ctx_.watch_cache->commit(txn, urgency, [this, txn, ids](state_store::TxnResult result) {
-    if (result.outcome == state_store::RequestOutcome::kOk) {
-      ctx_.watch_cache->apply_own(txn, result.revision);
-      peers_.broadcast(protocol::ChangeNotification{result.revision});
+    if (result) {
+      ctx_.watch_cache->apply_own(txn, *result);
+      peers_.broadcast(protocol::ChangeNotification{*result});
       finish(ids);
       return;
     }
--- a/src/controller/version_recorder.cpp
+++ b/src/controller/version_recorder.cpp
@@ -50,10 +50,10 @@
   writing_ = true;
   // As urgent as users' requests, which are refused until it is written.
   auto done = [this, txn, known_by_all](state_store::TxnResult result) {
-    if (result.outcome == state_store::RequestOutcome::kOk) {
+    if (result) {
       writing_ = false;
       spdlog::info("versions_recorded known_by_all={}", known_by_all);
-      ctx_.watch_cache->apply_own(txn, result.revision);
+      ctx_.watch_cache->apply_own(txn, *result);
       return;
     }
     ctx_.watch_cache->sync([this](bool) { writing_ = false; });
--- a/src/state_store/access.h
+++ b/src/state_store/access.h
@@ -4,6 +4,7 @@
 
 #include <cstddef>
 #include <functional>
+#include <tl/expected.hpp>
 
 #include "protocol/state_store.h"
 #include "state_store/state_view.h"
@@ -17,18 +18,16 @@
 // How long a request waits for its share of the rate limits before it's refused.
 constexpr Duration kQueueWait = std::chrono::milliseconds(2500);
 
-enum class RequestOutcome {
-  kOk,
+// Why a transaction isn't known to be applied.
+enum class TxnError {
   kConflict,  // 409: nothing was changed
   kRefused,   // not executed: an outage, a limit, or not sent in time
-  kUnknown,   // no response: it may have been executed, or may still be
-  kBad,       // 400, 404, 410 or a response that isn't understood
+  kUnknown,   // no response, or none that is understood: it may have been executed, or may still be
+  kRejected,  // any other status, such as 400 for its size or 404 for its lease
 };
 
-struct TxnResult {
-  RequestOutcome outcome = RequestOutcome::kRefused;
-  Revision revision;  // of the changes, if the outcome is kOk
-};
+// The revision of the changes.
+using TxnResult = tl::expected<Revision, TxnError>;
 
 // Carries out transactions.
 class TxnExecutor {
@@ -54,7 +53,7 @@
   virtual bool is_responsive() const = 0;
   // Sends a transaction, or refuses it if that takes longer than `queue_wait`. If its response is late, reads
   // tell whether it was applied; `done` is called with the first that is known. Without either it may still
-  // be applied later (RequestOutcome::kUnknown).
+  // be applied later (TxnError::kUnknown).
   virtual void commit(protocol::Txn txn, Urgency urgency, std::function<void(TxnResult)> done,
                       Duration queue_wait) = 0;
   // A change that this controller itself made, under this revision.
--- a/src/state_store/client.cpp
+++ b/src/state_store/client.cpp
@@ -20,7 +20,9 @@
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusBadRequest = 400;
+constexpr int kStatusNotFound = 404;
 constexpr int kStatusConflict = 409;
+constexpr int kStatusCompacted = 410;
 constexpr int kStatusTooLarge = 413;
 constexpr int kStatusTooMany = 429;
 constexpr int kStatusUnavailable = 503;
@@ -34,49 +36,46 @@
   return status == kStatusUnavailable || status == kStatusTooMany;
 }
 
-RequestOutcome outcome_without_response(net::RequestError error) {
-  return error == net::RequestError::kNoResponse ? RequestOutcome::kUnknown : RequestOutcome::kRefused;
+ReadError read_error(int status) {
+  if (refused_for_load(status)) return ReadError::kRefused;
+  if (status == kStatusNotFound) return ReadError::kNotFound;
+  if (status == kStatusCompacted) return ReadError::kCompacted;
+  return ReadError::kRejected;
 }
 
 ReadResult to_read_result(const net::Result& response) {
-  ReadResult result;
   if (!response) {
-    result.outcome = outcome_without_response(response.error());
-    return result;
-  }
-  result.status = response->status;
-  if (refused_for_load(response->status)) {
-    result.outcome = RequestOutcome::kRefused;
-    return result;
-  }
-  if (response->status != kStatusOk) {
-    result.outcome = RequestOutcome::kBad;
-    return result;
+    const bool sent = response.error() == net::RequestError::kNoResponse;
+    return tl::unexpected(sent ? ReadError::kUnknown : ReadError::kRefused);
   }
+  if (response->status != kStatusOk) return tl::unexpected(read_error(response->status));
   try {
-    result.body = protocol::parse_object(response->body);
-    result.outcome = RequestOutcome::kOk;
+    return ReadResponse{protocol::parse_object(response->body)};
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("state_store_response_malformed reason=\"{}\"", error.what());
-    result.outcome = RequestOutcome::kBad;
+    return tl::unexpected(ReadError::kRejected);
   }
-  return result;
+}
+
+TxnError txn_error(const net::Response& response) {
+  if (response.status == kStatusConflict) return TxnError::kConflict;
+  if (refused_for_load(response.status)) return TxnError::kRefused;
+  spdlog::error("state_store_txn_rejected status={} reason=\"{}\"", response.status,
+                response.body.substr(0, kLoggedBodyBytes));
+  return TxnError::kRejected;
 }
 
 TxnResult to_txn_result(const net::Result& response) {
-  if (!response) return {outcome_without_response(response.error()), {}};
-  if (response->status == kStatusConflict) return {RequestOutcome::kConflict, {}};
-  if (refused_for_load(response->status)) return {RequestOutcome::kRefused, {}};
-  if (response->status != kStatusOk) {
-    spdlog::error("state_store_txn_rejected status={} reason=\"{}\"", response->status,
-                  response->body.substr(0, kLoggedBodyBytes));
-    return {RequestOutcome::kBad, {}};
+  if (!response) {
+    const bool sent = response.error() == net::RequestError::kNoResponse;
+    return tl::unexpected(sent ? TxnError::kUnknown : TxnError::kRefused);
   }
+  if (response->status != kStatusOk) return tl::unexpected(txn_error(*response));
   try {
-    return {RequestOutcome::kOk, protocol::parse_revision(protocol::parse_object(response->body))};
+    return protocol::parse_revision(protocol::parse_object(response->body));
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("state_store_txn_response_malformed reason=\"{}\"", error.what());
-    return {RequestOutcome::kUnknown, {}};
+    return tl::unexpected(TxnError::kUnknown);
   }
 }
 
@@ -139,7 +138,7 @@
   request.done = [weak = weak_from_this(), txn = std::move(txn),
                   done = std::move(done)](const net::Result& response) {
     const auto result = to_txn_result(response);
-    if (auto self = weak.lock(); self && response && result.outcome == RequestOutcome::kBad)
+    if (auto self = weak.lock(); self && response && result == tl::unexpected(TxnError::kRejected))
       self->on_size_refused(txn, response->status);
     done(result);
   };
--- a/src/state_store/client.h
+++ b/src/state_store/client.h
@@ -18,14 +18,24 @@
 
 namespace beaconsill::state_store {
 
-// The result of a read or of a request about a lease. `body` is an object if the outcome is kOk.
+// Why a read, or a request about a lease, has no result.
+enum class ReadError {
+  kRefused,    // not executed: an outage, a limit, or not sent in time
+  kUnknown,    // no response: it may have been executed, or may still be
+  kNotFound,   // 404: there is no such lease
+  kCompacted,  // 410: the changes since that revision aren't kept any more
+  kRejected,   // any other status, or a response that isn't understood
+};
+
+// What a read, or a request about a lease, was answered. A type of its own, since JSON converts from nearly
+// everything, errors included.
 // NOLINTNEXTLINE(bugprone-exception-escape): the JSON library's move asserts its invariants, nothing more.
-struct ReadResult {
-  RequestOutcome outcome = RequestOutcome::kRefused;
-  int status = 0;  // of HTTP; 0: no response
-  protocol::Json body;
+struct ReadResponse {
+  protocol::Json body;  // an object
 };
 
+using ReadResult = tl::expected<ReadResponse, ReadError>;
+
 // Sends requests to the state store within this controller's share of the service's rate limits. All calls
 // and callbacks are made on the thread of the io_context; callbacks of requests are called exactly once.
 class StoreClient : public TxnExecutor, public std::enable_shared_from_this<StoreClient> {
--- a/src/state_store/watch_cache.cpp
+++ b/src/state_store/watch_cache.cpp
@@ -11,7 +11,6 @@
 constexpr std::uint32_t kPageItems = 400;
 // A read that takes longer is no use to a request that comes now.
 constexpr Duration kSlowRead = std::chrono::milliseconds(400);
-constexpr int kStatusCompacted = 410;
 // From so many failed reads in a row on, reads are probes.
 constexpr int kProbeAfterFailures = 2;
 
@@ -71,10 +70,10 @@
 }
 
 void WatchCache::on_page(const ReadResult& result, bool first) {
-  if (result.outcome != RequestOutcome::kOk) return on_load_failed();
+  if (!result) return on_load_failed();
   std::optional<std::string> next;
   try {
-    next = apply_page(result, first);
+    next = apply_page(*result, first);
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("state_store_page_malformed reason=\"{}\"", error.what());
     return on_load_failed();
@@ -84,8 +83,8 @@
   read();
 }
 
-std::optional<std::string> WatchCache::apply_page(const ReadResult& result, bool first) {
-  auto page = protocol::parse_page(result.body);
+std::optional<std::string> WatchCache::apply_page(const ReadResponse& response, bool first) {
+  auto page = protocol::parse_page(response.body);
   if (first) load_revision_ = page.revision;
   std::string last;
   for (auto& item : page.items) {
@@ -124,18 +123,18 @@
 }
 
 bool WatchCache::apply_result(const ReadResult& result, Instant started) {
-  if (result.status == kStatusCompacted && result.outcome != RequestOutcome::kOk) {
+  if (result == tl::unexpected(ReadError::kCompacted)) {
     spdlog::info("state_store_watch_compacted revision={}", revision_.value());
     loaded_ = ready_ = false;
   }
-  if (result.outcome != RequestOutcome::kOk) return false;
+  if (!result) return false;
   try {
-    auto changes = protocol::parse_changes(result.body);
+    auto changes = protocol::parse_changes(result->body);
     auto applied = pending_txns_.take_applied(changes.changes);
     apply_changes(std::move(changes), started);
     // As if their responses had come: with the view complete, lest one of them shows a user something older
     // than what was read, and before anybody else is shown the changes.
-    for (auto& txn : applied) txn.done({RequestOutcome::kOk, txn.revision});
+    for (auto& txn : applied) txn.done(txn.revision);
     return true;
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("state_store_changes_malformed reason=\"{}\"", error.what());
--- a/src/state_store/watch_cache.h
+++ b/src/state_store/watch_cache.h
@@ -54,7 +54,7 @@
   void load(const std::string& after);
   void on_page(const ReadResult& result, bool first);
   // Applies a page; the key to go on after, none: it was the last page. Throws ProtocolError.
-  std::optional<std::string> apply_page(const ReadResult& result, bool first);
+  std::optional<std::string> apply_page(const ReadResponse& response, bool first);
   void on_load_failed();
   // Reads the changes since the last read.
   void read();
--- a/tests/sim/controller_leader_election.cpp
+++ b/tests/sim/controller_leader_election.cpp
@@ -93,12 +93,12 @@
     t.conditions.push_back({state_store::alive_key(r.value.controller), Revision()});
   env_.state.txn(number_, t, [this, key, shard, term, t](state_store::TxnResult result) {
     auto& s = process_.roles[key];
-    if (result.outcome != state_store::RequestOutcome::kOk)
+    if (!result)
       return process_.watch_cache->sync([this, key](bool) { process_.roles[key].acquiring = false; });
     s.acquiring = false;
     s.vacant_since.reset();
     s.held = term;
-    process_.watch_cache->apply_own(t, result.revision);
+    process_.watch_cache->apply_own(t, *result);
     if (!s.held) return;  // lost again within the call above
     if (shard) {
       acquire_shard(*shard, term);
@@ -117,8 +117,7 @@
   s.acquiring = true;
   env_.state.txn(number_, t, [this, key, t](state_store::TxnResult result) {
     process_.roles[key].acquiring = false;
-    if (result.outcome == state_store::RequestOutcome::kOk)
-      process_.watch_cache->apply_own(t, result.revision);
+    if (result) process_.watch_cache->apply_own(t, *result);
   });
 }
 
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -88,9 +88,9 @@
   }
   env_.state.txn(number_, t, [this, term = process_.leader_term, t, grants](state_store::TxnResult r) {
     if (!process_.scheduler || process_.leader_term != term) return;
-    if (r.outcome == state_store::RequestOutcome::kOk) {
-      process_.scheduler->on_granted(grants, r.revision, instant());
-      return process_.watch_cache->apply_own(t, r.revision);
+    if (r) {
+      process_.scheduler->on_granted(grants, *r, instant());
+      return process_.watch_cache->apply_own(t, *r);
     }
     process_.watch_cache->sync([this, term, grants](bool) {
       if (process_.scheduler && process_.leader_term == term)
@@ -121,7 +121,7 @@
                    {state_store::leader_role_key(), view().leader().revision}},
                   {{state_store::terminal_key(id), state_store::to_json(terminal_record), std::nullopt}}};
   env_.state.txn(number_, t, [this, id, t](state_store::TxnResult r) {
-    if (r.outcome == state_store::RequestOutcome::kOk) process_.watch_cache->apply_own(t, r.revision);
+    if (r) process_.watch_cache->apply_own(t, *r);
     process_.watch_cache->sync([this, id](bool) { process_.terminal_record.erase(id); });
   });
 }
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -142,9 +142,9 @@
 void Controller::write(ShardId id, Term term, const protocol::Txn& t, bool OwnedShard::*flag) {
   find(id, term)->*flag = true;
   env_.state.txn(number_, t, [this, id, term, t, flag](state_store::TxnResult r) {
-    if (r.outcome == state_store::RequestOutcome::kOk) {
+    if (r) {
       if (auto* o = find(id, term)) o->*flag = false;
-      return process_.watch_cache->apply_own(t, r.revision);
+      return process_.watch_cache->apply_own(t, *r);
     }
     process_.watch_cache->sync([this, id, term, flag](bool) {
       if (auto* o = find(id, term)) o->*flag = false;
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -65,30 +65,32 @@
   };
   if (auto cut = network_.blocked_path_to_state(controller); cut && cut->deliver_later) {
     apply_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), t);
-    return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
+    return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
   }
-  if (!answers(controller)) return answer(kRefusal, {state_store::RequestOutcome::kRefused, {}});
+  if (!answers(controller)) return answer(kRefusal, tl::unexpected(state_store::TxnError::kRefused));
   double there = path_delay();
   if (at_once_.hits(queue_)) {
     apply_later(there, t);
-    return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
+    return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
   }
   if (late_.hits(queue_)) {
     apply_later(queue_.uniform(2, 12), t);
-    return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
+    return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
   }
   if (queue_.random_fault(lost_responses_)) {
     // No answer. It's carried out, never, or long after.
     if (!queue_.chance(0.3)) apply_later(queue_.chance(0.5) ? there : queue_.uniform(1, 60), t);
-    return answer(kTimeout, {state_store::RequestOutcome::kUnknown, {}});
+    return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
   }
   double back = path_delay();
   queue_.after(there, [this, t, answer, there, back] {
     Revision r;
     bool ok = apply(t, r);
     // The answer of a service that took its time comes too late.
-    if (there + back > kTimeout) return answer(kTimeout - there, {state_store::RequestOutcome::kUnknown, {}});
-    answer(back, {ok ? state_store::RequestOutcome::kOk : state_store::RequestOutcome::kConflict, r});
+    if (there + back > kTimeout)
+      return answer(kTimeout - there, tl::unexpected(state_store::TxnError::kUnknown));
+    if (!ok) return answer(back, tl::unexpected(state_store::TxnError::kConflict));
+    answer(back, r);
   });
 }
 
--- a/tests/state_store_test.cpp
+++ b/tests/state_store_test.cpp
@@ -149,10 +149,11 @@
   for (const auto& c : cases) {
     PendingTxns pending;
     std::optional<Revision> applied;
-    auto id = pending.add({{}, {{"a", one, {}}, {"b", {}, {}}}}, [&](TxnResult r) { applied = r.revision; });
+    auto id =
+        pending.add({{}, {{"a", one, {}}, {"b", {}, {}}}}, [&](TxnResult result) { applied = *result; });
     if (c.sent) pending.sent(id, Revision(5), at(0));
     EXPECT_EQ(pending.oldest_sent().has_value(), c.sent) << c.what;
-    for (auto& a : pending.take_applied(c.changes)) a.done({RequestOutcome::kOk, a.revision});
+    for (auto& a : pending.take_applied(c.changes)) a.done(a.revision);
     EXPECT_EQ(applied, c.applied) << c.what;
     EXPECT_EQ(static_cast<bool>(pending.take(id)), !c.applied) << c.what;  // its own answer is then dropped
   }
@@ -165,8 +166,8 @@
     fixture.client->txn(create("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
   fixture.client->get(protocol::watch_target(kPrefix, Revision(), 0), Urgency::kUserRequest,
-                      [&](ReadResult r) {
-                        EXPECT_EQ(r.outcome, RequestOutcome::kOk);
+                      [&](ReadResult result) {
+                        EXPECT_TRUE(result);
                         read = true;
                       });
   EXPECT_LT(fixture.run_until([&] { return read; }), ms(300));
@@ -178,9 +179,10 @@
   StateStoreFixture fixture({1000, 2});
   int refused = 0, ok = 0;
   for (int i = 0; i < 12; ++i)
-    fixture.client->txn(create("x" + std::to_string(i)), Urgency::kUserRequest,
-                        [&](TxnResult r) { ++(r.outcome == RequestOutcome::kRefused ? refused : ok); },
-                        {ms(600), {}});
+    fixture.client->txn(
+        create("x" + std::to_string(i)), Urgency::kUserRequest,
+        [&](TxnResult result) { ++(result == tl::unexpected(TxnError::kRefused) ? refused : ok); },
+        {ms(600), {}});
   EXPECT_LT(fixture.run_until([&] { return refused + ok == 12; }), ms(900));
   EXPECT_GT(refused, 6);
   EXPECT_EQ(fixture.state.requests["/txn"], ok);
@@ -208,9 +210,9 @@
   int ok = 0;
   for (int i = 0; i < 10; ++i)
     fixture.watch_cache->commit(create("x" + std::to_string(i), 1 + i % 3), Urgency::kUserRequest,
-                                [&](TxnResult r) {
-                                  EXPECT_EQ(r.outcome, RequestOutcome::kOk);
-                                  EXPECT_GT(r.revision, Revision());
+                                [&](TxnResult result) {
+                                  ASSERT_TRUE(result);
+                                  EXPECT_GT(*result, Revision());
                                   ++ok;
                                 });
   EXPECT_LT(fixture.run_until([&] { return ok == 10; }), ms(350));
@@ -222,15 +224,16 @@
 TEST(WatchCache, WhatIsNotFoundStaysUnknown) {
   StateStoreFixture fixture;
   fixture.state.silent = true;
-  std::optional<RequestOutcome> outcome;
+  std::optional<TxnResult> result;
   bool sent_again = false;
-  fixture.watch_cache->commit(create("x"), Urgency::kUserRequest, [&](TxnResult r) { outcome = r.outcome; });
+  fixture.watch_cache->commit(create("x"), Urgency::kUserRequest,
+                              [&](TxnResult received) { result = received; });
   fixture.io.run_for(ms(50));
   fixture.state.silent = false;  // reads are answered from here on, and show nothing
-  EXPECT_GT(fixture.run_until([&] { return outcome.has_value(); }), ms(1000));
-  EXPECT_EQ(outcome, RequestOutcome::kUnknown);
+  EXPECT_GT(fixture.run_until([&] { return result.has_value(); }), ms(1000));
+  EXPECT_TRUE(*result == tl::unexpected(TxnError::kUnknown));
   fixture.watch_cache->commit(create("x"), Urgency::kUserRequest,
-                              [&](TxnResult r) { sent_again = r.outcome == RequestOutcome::kOk; });
+                              [&](TxnResult received) { sent_again = received.has_value(); });
   fixture.run_until([&] { return sent_again; });
 }
 
