--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -16,25 +16,32 @@
 constexpr int kHttpTooManyRequests = 429;
 constexpr int kHttpUnavailable = 503;
 
-// The answer as `parse` reads it; none if it isn't 200 or malformed. `request`: for the log.
+bool says_no_capacity(const net::Response& response) {
+  if (response.status != kHttpUnavailable) return false;
+  try {
+    return protocol::get_string(protocol::parse_object(response.body), "error") == "no capacity";
+  } catch (const protocol::ProtocolError&) {
+    return false;
+  }
+}
+
+// What an answer other than 200, or the lack of one, means.
+CloudError to_error(const net::Result& result) {
+  if (!result) return CloudError::kUnanswered;
+  if (result->status == kHttpBadRequest) return CloudError::kRejected;
+  return says_no_capacity(*result) ? CloudError::kNoCapacity : CloudError::kUnanswered;
+}
+
+// The answer as `parse` reads it. `request`: for the log.
 template <class Parse>
 auto parse_answer(const net::Result& result, const char* request, Parse parse)
-    -> std::optional<decltype(parse(protocol::Json()))> {
-  if (!result || result->status != kHttpOk) return std::nullopt;
+    -> tl::expected<decltype(parse(protocol::Json())), CloudError> {
+  if (!result || result->status != kHttpOk) return tl::unexpected(to_error(result));
   try {
     return parse(protocol::parse_object(result->body));
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("cloud_answer_malformed request={} reason=\"{}\"", request, error.what());
-    return std::nullopt;
-  }
-}
-
-bool says_no_capacity(const net::Result& result) {
-  if (!result || result->status != kHttpUnavailable) return false;
-  try {
-    return protocol::get_string(protocol::parse_object(result->body), "error") == "no capacity";
-  } catch (const protocol::ProtocolError&) {
-    return false;
+    return tl::unexpected(CloudError::kUnanswered);
   }
 }
 }  // namespace
@@ -126,7 +133,7 @@
     auto self = weak.lock();
     auto page = parse_answer(result, "list_machines", protocol::parse_machine_page);
     if (!self || !page) {
-      done(std::nullopt);
+      done(tl::unexpected(page ? CloudError::kUnanswered : page.error()));
       return;
     }
     for (auto& machine : page->machines) machines->push_back(std::move(machine));
@@ -139,22 +146,24 @@
   enqueue(QueuePosition::kBack, "GET", protocol::machine_page_target(after), "", std::move(on_page));
 }
 
-void CloudClient::remove(const std::vector<MachineName>& machines, std::function<void(bool)> done) {
+void CloudClient::remove(const std::vector<MachineName>& machines, RemoveCallback done) {
   enqueue(QueuePosition::kFront, "POST", "/machines/delete", protocol::render_delete(machines),
-          [done = std::move(done)](const net::Result& result) { done(result && result->status == kHttpOk); });
+          [done = std::move(done)](const net::Result& result) {
+            if (result && result->status == kHttpOk) {
+              done({});
+              return;
+            }
+            done(tl::unexpected(to_error(result)));
+          });
 }
 
 void CloudClient::rent(const protocol::RentRequest& request, RentCallback done) {
   auto on_answer = [done = std::move(done)](const net::Result& result) {
-    if (auto machines = parse_answer(result, "rent_machines", protocol::parse_rented)) {
-      done(RentOutcome::kRented, std::move(*machines));
-      return;
-    }
-    bool malformed = result && result->status == kHttpBadRequest;
-    if (malformed)
+    auto machines = parse_answer(result, "rent_machines", protocol::parse_rented);
+    if (result && machines == tl::unexpected(CloudError::kRejected))
       spdlog::error("cloud_request_refused request=rent_machines reason=\"{}\"",
                     result->body.substr(0, kMaxLoggedBody));
-    done(malformed || says_no_capacity(result) ? RentOutcome::kNoCapacity : RentOutcome::kUnanswered, {});
+    done(std::move(machines));
   };
   enqueue(QueuePosition::kBack, "POST", "/machines", protocol::render_rent(request), std::move(on_answer));
 }
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -8,6 +8,7 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "net/http_client.h"
@@ -16,25 +17,34 @@
 
 namespace beaconsill::cloud {
 
+// Why a request to the cloud has no result.
+enum class CloudError {
+  kUnanswered,  // no well-formed answer in time: it may have been carried out, or may yet be
+  kNoCapacity,  // the cloud has no such machine to rent now
+  kRejected,    // 400: the request itself is wrong
+};
+
 // Owns the queue of requests and the connections. A request waits for its turn within `rps` (requests per
-// second) for a few seconds, and isn't repeated. Errors aren't thrown: a callback gets nothing (nullopt,
-// false, kUnanswered) if there was no well-formed answer in time. Every callback is called once, at the
-// latest by stop(). One thread.
+// second) for a few seconds, and isn't repeated. Errors aren't thrown: a callback gets a CloudError. Every
+// callback is called once, at the latest by stop(). One thread.
 class CloudClient : public std::enable_shared_from_this<CloudClient> {
  public:
-  using CatalogueCallback = std::function<void(std::optional<protocol::Catalogue>)>;
-  using ListCallback = std::function<void(std::optional<std::vector<protocol::ListedMachine>>)>;
-  enum class RentOutcome { kRented, kNoCapacity, kUnanswered };
-  using RentCallback = std::function<void(RentOutcome, std::vector<MachineName>)>;
+  using CatalogueResult = tl::expected<protocol::Catalogue, CloudError>;
+  using ListResult = tl::expected<std::vector<protocol::ListedMachine>, CloudError>;
+  using RemoveResult = tl::expected<void, CloudError>;
+  using RentResult = tl::expected<std::vector<MachineName>, CloudError>;
+  using CatalogueCallback = std::function<void(CatalogueResult)>;
+  using ListCallback = std::function<void(ListResult)>;
+  using RemoveCallback = std::function<void(RemoveResult)>;
+  using RentCallback = std::function<void(RentResult)>;
 
   CloudClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& endpoint, double rps);
 
   void catalogue(CatalogueCallback done);
   // All pages of the list of machines.
   void list(ListCallback done);
-  // Deletes machines; true: they are deleted. Deletions go before everything else: tasks wait for them.
-  void remove(const std::vector<MachineName>& machines, std::function<void(bool)> done);
-  // kUnanswered: the request may have been carried out, or may yet be.
+  // Deletes machines; on success they are deleted. Deletions go before everything else: tasks wait for them.
+  void remove(const std::vector<MachineName>& machines, RemoveCallback done);
   void rent(const protocol::RentRequest& request, RentCallback done);
   void set_rate(double rps);
   void stop();
--- a/src/controller/autoscaler_service.cpp
+++ b/src/controller/autoscaler_service.cpp
@@ -58,26 +58,27 @@
   auto now = ctx_.now();
   auto request = autoscaler_->rent(leadership_.scheduler().demand(now), now);
   if (!request) return;
-  auto done = [this, request = *request, term = leadership_.term()](cloud::CloudClient::RentOutcome outcome,
-                                                                    const std::vector<MachineName>& names) {
-    if (leadership_.is_leader_under(term)) on_rent_outcome(request, outcome, names);
+  auto done = [this, request = *request,
+               term = leadership_.term()](const cloud::CloudClient::RentResult& names) {
+    if (leadership_.is_leader_under(term)) on_rent_result(request, names);
   };
   ctx_.cloud->rent(*request, std::move(done));
 }
 
-void AutoscalerService::on_rent_outcome(const protocol::RentRequest& request,
-                                        cloud::CloudClient::RentOutcome outcome,
-                                        const std::vector<MachineName>& names) {
-  switch (outcome) {
-    case cloud::CloudClient::RentOutcome::kRented:
-      autoscaler_->on_scale_out_result(request, names, ctx_.now());
-      rent();  // the next at once: machines take long enough to come up
-      return;
-    case cloud::CloudClient::RentOutcome::kNoCapacity:
+void AutoscalerService::on_rent_result(const protocol::RentRequest& request,
+                                       const cloud::CloudClient::RentResult& names) {
+  if (names) {
+    autoscaler_->on_scale_out_result(request, *names, ctx_.now());
+    rent();  // the next at once: machines take long enough to come up
+    return;
+  }
+  switch (names.error()) {
+    case cloud::CloudError::kNoCapacity:
+    case cloud::CloudError::kRejected:
       autoscaler_->on_refused(request, ctx_.now());
       rent();
       return;
-    case cloud::CloudClient::RentOutcome::kUnanswered:
+    case cloud::CloudError::kUnanswered:
       autoscaler_->on_unanswered(ctx_.now());
       return;
   }
@@ -86,7 +87,7 @@
 void AutoscalerService::delete_failed_instances() {
   auto failed = autoscaler_->failed_instances(ctx_.now());
   if (failed.empty()) return;
-  ctx_.cloud->remove(failed, [this, failed](bool deleted) {
+  ctx_.cloud->remove(failed, [this, failed](const cloud::CloudClient::RemoveResult& deleted) {
     if (!deleted || stopped_) return;
     peers_.broadcast(protocol::TerminatedMachines{failed});
     shards_.on_machines_terminated(failed);
@@ -108,7 +109,7 @@
   const auto begun = ctx_.now();
   if (!autoscaler_ || listing_ || (list_not_before_ && begun < *list_not_before_)) return;
   listing_ = true;
-  ctx_.cloud->list([this, begun](std::optional<std::vector<protocol::ListedMachine>> machines) {
+  ctx_.cloud->list([this, begun](cloud::CloudClient::ListResult machines) {
     listing_ = false;
     auto now = ctx_.now();
     list_not_before_ = now + (now - begun);
--- a/src/controller/autoscaler_service.h
+++ b/src/controller/autoscaler_service.h
@@ -33,8 +33,7 @@
   void run();
   bool may_act();
   void rent();
-  void on_rent_outcome(const protocol::RentRequest& request, cloud::CloudClient::RentOutcome outcome,
-                       const std::vector<MachineName>& names);
+  void on_rent_result(const protocol::RentRequest& request, const cloud::CloudClient::RentResult& names);
   void delete_failed_instances();
   void release_idle_instances();
 
--- a/src/controller/catalogue_refresher.cpp
+++ b/src/controller/catalogue_refresher.cpp
@@ -24,10 +24,10 @@
   if (fetching_ || (ctx_.catalogue && ctx_.now() - fetched_at_ < kMaxAge)) return;
   fetching_ = true;
   ctx_.cloud->catalogue(
-      [this](std::optional<protocol::Catalogue> catalogue) { on_fetched(std::move(catalogue)); });
+      [this](cloud::CloudClient::CatalogueResult catalogue) { on_fetched(std::move(catalogue)); });
 }
 
-void CatalogueRefresher::on_fetched(std::optional<protocol::Catalogue> catalogue) {
+void CatalogueRefresher::on_fetched(cloud::CloudClient::CatalogueResult catalogue) {
   fetching_ = false;
   if (!catalogue || stopped_) return;
   fetched_at_ = ctx_.now();
--- a/src/controller/catalogue_refresher.h
+++ b/src/controller/catalogue_refresher.h
@@ -2,7 +2,6 @@
 #pragma once
 
 #include <functional>
-#include <optional>
 
 #include "controller/controller_context.h"
 #include "controller/timers.h"
@@ -20,7 +19,7 @@
 
  private:
   void run();
-  void on_fetched(std::optional<protocol::Catalogue> catalogue);
+  void on_fetched(cloud::CloudClient::CatalogueResult catalogue);
 
   ControllerContext& ctx_;
   std::function<void()> on_catalogue_;
--- a/src/controller/shard_service.cpp
+++ b/src/controller/shard_service.cpp
@@ -164,7 +164,8 @@
   if (!ctx_.roles_read_since_pause()) return;
   auto machines = shard.manager->take_machines_to_delete(ctx_.now());
   if (machines.empty()) return;
-  ctx_.cloud->remove(machines, [this, id, term = shard.manager->term(), machines](bool deleted) {
+  ctx_.cloud->remove(machines, [this, id, term = shard.manager->term(),
+                                machines](const cloud::CloudClient::RemoveResult& deleted) {
     if (stopped_) return;
     if (deleted) {
       peers_.broadcast(protocol::TerminatedMachines{machines});
--- /dev/null
+++ b/tests/cloud_client_test.cpp
@@ -0,0 +1,115 @@
+// What the answers of the cloud, or their lack, become as results: over loopback.
+#include <gtest/gtest.h>
+
+#include <functional>
+#include <optional>
+
+#include "base/log.h"
+#include "cloud/client.h"
+#include "fakes/loopback.h"
+
+namespace beaconsill::cloud {
+namespace {
+
+// A client, and a server that gives every request the same answer; none: it gives none.
+struct CloudClientFixture {
+  explicit CloudClientFixture(std::optional<net::Response> given_answer) : answer(std::move(given_answer)) {
+    spdlog::set_level(spdlog::level::off);
+    server = std::make_shared<net::HttpServer>(
+        io, fakes::any_port(), net::ServerLimits{}, [](const net::Request&) { return false; },
+        [this](const net::Request&, net::HttpServer::Reply reply) {
+          if (answer) return reply(*answer);
+          unanswered.push_back(std::move(reply));
+        });
+    server->start();
+    client = std::make_shared<CloudClient>(io, clock, server->local(), 100);
+  }
+  ~CloudClientFixture() {
+    client->stop();
+    server->stop();
+    io.poll();
+  }
+  void run_until(const std::function<bool()>& done) {
+    const auto started = clock.now();
+    while (!done() && clock.now() - started < std::chrono::seconds(10))
+      io.run_one_for(std::chrono::milliseconds(5));
+    ASSERT_TRUE(done());
+  }
+
+  asio::io_context io;
+  SystemClock clock;
+  std::optional<net::Response> answer;
+  std::vector<net::HttpServer::Reply> unanswered;
+  std::shared_ptr<net::HttpServer> server;
+  std::shared_ptr<CloudClient> client;
+};
+
+TEST(CloudClient, RentalsEndInMachinesOrAnError) {
+  const std::vector<MachineName> machines{MachineName("m1"), MachineName("m2")};
+  struct Case {
+    const char* what;
+    net::Response answer;
+    CloudClient::RentResult result;
+  };
+  const Case cases[] = {
+      {"machines", {200, R"({"beacons":["m1","m2"]})"}, machines},
+      {"no machines", {200, R"({"beacons":[]})"}, std::vector<MachineName>{}},
+      {"no list", {200, "{}"}, tl::unexpected(CloudError::kUnanswered)},
+      {"no JSON", {200, "machines"}, tl::unexpected(CloudError::kUnanswered)},
+      {"malformed request", {400, "{}"}, tl::unexpected(CloudError::kRejected)},
+      {"not found", {404, "{}"}, tl::unexpected(CloudError::kUnanswered)},
+      {"too many requests", {429, "{}"}, tl::unexpected(CloudError::kUnanswered)},
+      {"failure", {500, R"({"error":"no capacity"})"}, tl::unexpected(CloudError::kUnanswered)},
+      {"no capacity", {503, R"({"error":"no capacity"})"}, tl::unexpected(CloudError::kNoCapacity)},
+      {"outage", {503, R"({"error":"unavailable"})"}, tl::unexpected(CloudError::kUnanswered)},
+      {"outage without JSON", {503, "unavailable"}, tl::unexpected(CloudError::kUnanswered)},
+  };
+  for (const auto& test_case : cases) {
+    CloudClientFixture fixture(test_case.answer);
+    std::optional<CloudClient::RentResult> result;
+    fixture.client->rent({"r1", MachineType("t"), Zone("z"), false, 2},
+                         [&](CloudClient::RentResult received) { result = std::move(received); });
+    fixture.run_until([&] { return result.has_value(); });
+    EXPECT_TRUE(*result == test_case.result) << test_case.what;
+  }
+}
+
+TEST(CloudClient, MachinesAreDeletedOnlyIfTheAnswerSaysSo) {
+  struct Case {
+    int status;
+    std::optional<CloudError> error;
+  };
+  const Case cases[] = {{200, std::nullopt},
+                        {400, CloudError::kRejected},
+                        {404, CloudError::kUnanswered},
+                        {429, CloudError::kUnanswered},
+                        {503, CloudError::kUnanswered}};
+  for (const auto& test_case : cases) {
+    SCOPED_TRACE(test_case.status);
+    CloudClientFixture fixture(net::Response{test_case.status, "{}"});
+    std::optional<CloudClient::RemoveResult> result;
+    fixture.client->remove({MachineName("m1")},
+                           [&](CloudClient::RemoveResult received) { result = received; });
+    fixture.run_until([&] { return result.has_value(); });
+    const auto error = *result ? std::nullopt : std::optional(result->error());
+    EXPECT_EQ(error, test_case.error);
+  }
+}
+
+TEST(CloudClient, EveryRequestIsCalledBackByTheStop) {
+  CloudClientFixture fixture(std::nullopt);
+  std::vector<std::optional<CloudError>> errors;
+  auto record = [&](const auto& result) {
+    errors.push_back(result ? std::nullopt : std::optional(result.error()));
+  };
+  fixture.client->catalogue(record);
+  fixture.client->list(record);
+  fixture.run_until([&] { return fixture.unanswered.size() == 2; });
+  fixture.client->remove({MachineName("m1")}, record);
+  fixture.client->stop();
+  fixture.client->rent({}, record);  // after the stop
+  EXPECT_EQ(errors, std::vector(4, std::optional(CloudError::kUnanswered)));
+}
+
+}  // namespace
+}  // namespace beaconsill::cloud
