--- a/src/controller/scheduler_service.cpp
+++ b/src/controller/scheduler_service.cpp
@@ -67,9 +67,8 @@
   const auto* job = view.job(id);
   // Cancelled through others: none of its tasks can be anywhere, and there is nothing to schedule.
   if (view.dependencies().unrecorded().contains(id)) job = nullptr;
-  auto ready_since = view.dependencies().ready_since(id);
   // Versions before pipelines don't record when a job ended: it counts from when that is seen.
-  if (ready_since && ready_since->value() == 0) ready_since = ctx_.clock.wall();
+  auto ready_since = view.dependencies().ready_since(id, ctx_.clock.wall());
   leadership_.scheduler().on_job(id, job, view.terminal_state(id), ctx_.now(), ready_since);
 }
 
--- a/src/state_store/controller_liveness.cpp
+++ b/src/state_store/controller_liveness.cpp
@@ -17,9 +17,9 @@
   versions_ = {};
 }
 
-Revision ControllerLiveness::alive_version(const ControllerName& controller) const {
+bool ControllerLiveness::alive(const ControllerName& controller) const {
   auto it = advertised_.find(controller);
-  return it == advertised_.end() ? Revision() : it->second.revision;
+  return it != advertised_.end() && it->second.exists();
 }
 
 std::optional<std::uint32_t> ControllerLiveness::advertised_version(const ControllerName& controller) const {
--- a/src/state_store/controller_liveness.h
+++ b/src/state_store/controller_liveness.h
@@ -20,8 +20,8 @@
   bool apply_versions(const protocol::Change& change);
   void clear();
 
-  // The revision of the controller's liveness record; 0: it isn't alive.
-  Revision alive_version(const ControllerName& controller) const;
+  // Whether the controller has a liveness record.
+  bool alive(const ControllerName& controller) const;
   // The format version that the controller's running process advertises; none: it isn't alive.
   std::optional<std::uint32_t> advertised_version(const ControllerName& controller) const;
   // The highest format versions ever advertised, as recorded.
--- a/src/state_store/dependencies.cpp
+++ b/src/state_store/dependencies.cpp
@@ -96,10 +96,10 @@
   return it != dependents_.end() && it->second.unfinished > 0;
 }
 
-std::optional<WallMs> Dependencies::ready_since(const JobId& job) const {
+std::optional<WallMs> Dependencies::ready_since(const JobId& job, WallMs if_unknown) const {
   auto it = dependents_.find(job);
   if (it == dependents_.end() || it->second.unfinished > 0) return std::nullopt;
-  return it->second.ready_since;
+  return it->second.ready_since.value_or(if_unknown);
 }
 
 const JobId* Dependencies::cancelled_by(const JobId& job) const {
--- a/src/state_store/dependencies.h
+++ b/src/state_store/dependencies.h
@@ -31,8 +31,9 @@
 
   // Whether some job that this one depends on isn't done yet.
   bool waiting(const JobId& job) const;
-  // When the last job that it depends on was done (0: not known); none: it waits, or depends on nothing.
-  std::optional<WallMs> ready_since(const JobId& job) const;
+  // When the last job that it depends on was done, `if_unknown` if no record says so; none: it waits, or
+  // depends on nothing.
+  std::optional<WallMs> ready_since(const JobId& job, WallMs if_unknown) const;
   // The job whose recorded cancellation reaches this one through its dependencies; null: none does.
   const JobId* cancelled_by(const JobId& job) const;
   // Cancelled through others, without a terminal record of their own yet.
@@ -46,7 +47,7 @@
   struct Dependent {
     std::vector<JobId> depends_on;
     std::size_t unfinished = 0;  // of them, those that aren't done
-    WallMs ready_since;
+    std::optional<WallMs> ready_since;
     std::optional<JobId> cancelled_by;
     bool has_terminal_record = false;
   };
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -66,16 +66,17 @@
 
 Json to_json(const TerminalRecord& record) {
   Json json{{"end", record.state == TerminalState::kDone ? "done" : "cancelled"}, {"done", record.done}};
-  if (record.completed_at.value() > 0) json["at"] = record.completed_at.value();
+  if (record.completed_at > WallMs()) json["at"] = record.completed_at->value();
   return json;
 }
 
 TerminalRecord parse_terminal_record(const Json& json) {
   const auto state = protocol::get_string(json, "end");
   const auto done = static_cast<std::uint32_t>(protocol::get_count(json, "done"));
-  WallMs at;
+  std::optional<WallMs> at;
   if (const Json* field = protocol::find(json, "at"); field && field->is_number_integer())
     at = WallMs(field->get<std::int64_t>());
+  if (at <= WallMs()) at.reset();
   if (state == "done") return {TerminalState::kDone, done, at};
   if (state == "cancelled") return {TerminalState::kCancelled, done, at};
   throw ProtocolError("end is unknown");
--- a/src/state_store/records.h
+++ b/src/state_store/records.h
@@ -21,8 +21,8 @@
 struct TerminalRecord {
   TerminalState state = TerminalState::kDone;
   std::uint32_t done = 0;  // tasks that had completed, for display
-  // When the job was seen to be done; 0: not known (format version 0 doesn't record it).
-  WallMs completed_at{};
+  // When the job was seen to be done; none: not known (format version 0 doesn't record it).
+  std::optional<WallMs> completed_at;
 };
 
 // Tasks that the leader gave to a shard. A task is in at most one chunk of its job.
--- a/src/state_store/state_view.h
+++ b/src/state_store/state_view.h
@@ -65,10 +65,7 @@
   const Versioned<Role>& shard_role(ShardId shard) const;
 
   // See ControllerLiveness.
-  bool alive(const ControllerName& controller) const { return alive_version(controller).value() != 0; }
-  Revision alive_version(const ControllerName& controller) const {
-    return controllers_.alive_version(controller);
-  }
+  bool alive(const ControllerName& controller) const { return controllers_.alive(controller); }
   std::optional<std::uint32_t> advertised_version(const ControllerName& controller) const {
     return controllers_.advertised_version(controller);
   }
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -17,6 +17,7 @@
 #include "fakes/cloud.h"
 #include "fakes/state_store.h"
 #include "fakes/worker.h"
+#include "job_submission.h"
 #include "net/http_client.h"
 
 namespace beaconsill {
@@ -44,28 +45,6 @@
   return settings;
 }
 
-// A submission as users send it. `kind`: batch or daemon.
-inline std::string job_json(const std::string& id, const char* kind, int tasks, const char* priority) {
-  return fakes::Json{{"ref", id},
-                     {"berth", "c"},
-                     {"crew", "blue"},
-                     {"shape", kind},
-                     {"precedence", priority},
-                     {"lamps", tasks},
-                     {"vcpus", 1.0},
-                     {"cards", 0.0},
-                     {"memoryGb", 1.0},
-                     {"cargo", "img"},
-                     {"sizeGb", 0.5},
-                     {"together", false},
-                     {"scatter", false},
-                     {"driftwood", false},
-                     {"reckonS", 1.0},
-                     {"markS", 0.0},
-                     {"stowS", 0.0}}
-      .dump();
-}
-
 // Whether this is a transaction that sets a key which begins with `prefix`.
 inline bool is_txn_that_sets(const fakes::Request& request, std::string_view prefix) {
   if (request.path != "/txn") return false;
--- a/tests/dependency_records_test.cpp
+++ b/tests/dependency_records_test.cpp
@@ -2,6 +2,7 @@
 // versions with and without dependencies read each other's records.
 #include <gtest/gtest.h>
 
+#include "job_submission.h"
 #include "state_store/state_view.h"
 #include "state_store/value_sizes.h"
 
@@ -16,24 +17,7 @@
 
 Json submission() {
   // From text, as it comes: there a count is no signed number.
-  return protocol::parse_json(Json{
-      {"ref", "run-000412"},
-      {"berth", "c"},
-      {"crew", "blue"},
-      {"shape", "batch"},
-      {"precedence", "high"},
-      {"lamps", 3},
-      {"vcpus", 1.0},
-      {"cards", 0.0},
-      {"memoryGb", 1.0},
-      {"cargo", "img"},
-      {"sizeGb", 0.5},
-      {"together", false},
-      {"scatter", false},
-      {"driftwood", false},
-      {"reckonS", 1.0},
-      {"markS", 0.0},
-      {"stowS", 0.0}}.dump());
+  return protocol::parse_json(job_json("run-000412", "batch", 3, "high"));
 }
 
 Json names(std::size_t n) {
@@ -123,11 +107,14 @@
   // A terminal record without a time, and a liveness record without a version, are of format version 0.
   auto terminal_record = parse_terminal_record(Json{{"end", "done"}, {"done", 3u}});
   EXPECT_EQ(terminal_record.state, TerminalState::kDone);
-  EXPECT_EQ(terminal_record.completed_at, WallMs());
+  EXPECT_EQ(terminal_record.completed_at, std::nullopt);
   EXPECT_EQ(parse_alive(Json{{"up", true}}), 0u);
   EXPECT_EQ(parse_alive(alive_value()), kFormatVersion);
   EXPECT_EQ(parse_terminal_record(to_json(TerminalRecord{TerminalState::kDone, 3, WallMs(77)})).completed_at,
             WallMs(77));
+  // A time of zero is neither written nor read.
+  EXPECT_FALSE(to_json(TerminalRecord{TerminalState::kDone, 3, WallMs()}).contains("at"));
+  EXPECT_EQ(parse_terminal_record(Json{{"end", "done"}, {"done", 3u}, {"at", 0}}).completed_at, std::nullopt);
   // Fields that are not known yet are ignored.
   EXPECT_EQ(parse_terminal_record(Json{{"end", "cancelled"}, {"done", 0u}, {"later", 1}}).state,
             TerminalState::kCancelled);
@@ -168,7 +155,7 @@
     put(terminal_key(id), to_json(TerminalRecord{e, 0, WallMs(at)}));
   }
   void drop(const std::string& key) { view.apply({key, std::nullopt, Revision(++revision)}); }
-  bool ready(const JobId& id) const { return view.dependencies().ready_since(id).has_value(); }
+  bool ready(const JobId& id) const { return view.dependencies().ready_since(id, WallMs()).has_value(); }
   bool cancelled(const JobId& id) const { return view.terminal_state(id) == TerminalState::kCancelled; }
   std::uint64_t visited_count() const { return view.dependencies().visited_count(); }
 };
@@ -245,7 +232,7 @@
   r.end(run(2), TerminalState::kDone);  // by a version that doesn't say when
   EXPECT_TRUE(r.view.take_changes().jobs.contains(run(9)));
   ASSERT_TRUE(r.ready(run(9)));
-  EXPECT_EQ(*r.view.dependencies().ready_since(run(9)), WallMs(500));
+  EXPECT_EQ(*r.view.dependencies().ready_since(run(9), WallMs(900)), WallMs(500));
   // Submitted when all are over and their records are dropped: ready at once.
   for (std::size_t i = 0; i < 3; ++i) r.drop(job_key(run(i)));
   r.job(run(10), {run(0), run(1), run(2)});
@@ -253,6 +240,17 @@
   EXPECT_FALSE(r.view.terminal_state(run(10)));
 }
 
+TEST(Dependencies, WithoutARecordedTimeAJobIsReadySinceTheGivenOne) {
+  Records records;
+  records.job(run(1));
+  records.job(run(2), {run(1)});
+  const auto& dependencies = records.view.dependencies();
+  EXPECT_EQ(dependencies.ready_since(run(1), WallMs(9)), std::nullopt);  // depends on nothing
+  EXPECT_EQ(dependencies.ready_since(run(2), WallMs(9)), std::nullopt);  // waits
+  records.end(run(1), TerminalState::kDone);
+  EXPECT_EQ(dependencies.ready_since(run(2), WallMs(9)), WallMs(9));
+}
+
 TEST(Dependencies, CancellationReachesAllThatNeedTheJob) {
   struct Case {
     const char* what;
--- /dev/null
+++ b/tests/job_submission.h
@@ -0,0 +1,32 @@
+// A job as users submit it.
+#pragma once
+
+#include <string>
+
+#include "protocol/json.h"
+
+namespace beaconsill {
+
+// A submission as users send it. `kind`: batch or daemon.
+inline std::string job_json(const std::string& id, const char* kind, int tasks, const char* priority) {
+  return protocol::Json{{"ref", id},
+                        {"berth", "c"},
+                        {"crew", "blue"},
+                        {"shape", kind},
+                        {"precedence", priority},
+                        {"lamps", tasks},
+                        {"vcpus", 1.0},
+                        {"cards", 0.0},
+                        {"memoryGb", 1.0},
+                        {"cargo", "img"},
+                        {"sizeGb", 0.5},
+                        {"together", false},
+                        {"scatter", false},
+                        {"driftwood", false},
+                        {"reckonS", 1.0},
+                        {"markS", 0.0},
+                        {"stowS", 0.0}}
+      .dump();
+}
+
+}  // namespace beaconsill
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -33,7 +33,7 @@
     const auto& dependencies = view().dependencies();
     // Cancelled through others: there is nothing to serve.
     const auto* job = dependencies.unrecorded().contains(j) ? nullptr : view().job(j);
-    auto since = dependencies.ready_since(j);
+    auto since = dependencies.ready_since(j, WallMs());
     if (has_bug(SeededBug::kDependenciesIgnored)) since = env_.queue.wall();
     process_.scheduler->on_job(j, job, view().terminal_state(j), instant(), since);
   }
