--- a/tests/fakes/watch_cache.h
+++ b/tests/fakes/watch_cache.h
@@ -38,11 +38,11 @@
   // The oldest transaction is carried out. Returns its revision.
   Revision commit_oldest() {
     auto revision = next_revision();
-    take_oldest_txn().done({state_store::RequestOutcome::kOk, revision});
+    take_oldest_txn().done(revision);
     return revision;
   }
   // The oldest transaction isn't carried out.
-  void refuse_oldest(state_store::RequestOutcome outcome) { take_oldest_txn().done({outcome, Revision()}); }
+  void refuse_oldest(state_store::TxnError error) { take_oldest_txn().done(tl::unexpected(error)); }
   // The oldest read ends.
   void finish_oldest_sync(bool read) {
     auto done = std::move(syncs.at(0));
--- a/tests/grant_writer_test.cpp
+++ b/tests/grant_writer_test.cpp
@@ -8,7 +8,7 @@
 namespace beaconsill::controller {
 namespace {
 
-using state_store::RequestOutcome;
+using state_store::TxnError;
 using state_store::Urgency;
 
 constexpr Term kLeaderTerm(7);
@@ -96,7 +96,7 @@
 }
 
 TEST_F(GrantWriterTest, ATransactionThatFailedIsNotRepeatedAndTheRoundEndsOnceTheStateWasRead) {
-  for (auto outcome : {RequestOutcome::kConflict, RequestOutcome::kRefused, RequestOutcome::kUnknown}) {
+  for (auto outcome : {TxnError::kConflict, TxnError::kRefused, TxnError::kUnknown}) {
     write(run_round());
     ASSERT_EQ(cache->txns.size(), 1u);
     cache->refuse_oldest(outcome);
@@ -133,7 +133,7 @@
 TEST_F(GrantWriterTest, AReadForAnEarlierTermHasNoEffect) {
   write(run_round());
   ASSERT_EQ(cache->txns.size(), 1u);
-  cache->refuse_oldest(RequestOutcome::kConflict);
+  cache->refuse_oldest(TxnError::kConflict);
   leadership.end_term();
   cache->finish_oldest_sync(true);
   EXPECT_EQ(rounds_written, 0);
--- a/tests/progress_writer_test.cpp
+++ b/tests/progress_writer_test.cpp
@@ -7,7 +7,7 @@
 namespace beaconsill::controller {
 namespace {
 
-using state_store::RequestOutcome;
+using state_store::TxnError;
 
 constexpr Term kTerm(5);
 constexpr Duration kBatchDelay = std::chrono::seconds(1);
@@ -117,7 +117,7 @@
 }
 
 TEST_F(ProgressWriterTest, RepeatsAFailedTransactionOnceTheStateWasRead) {
-  for (auto outcome : {RequestOutcome::kConflict, RequestOutcome::kRefused, RequestOutcome::kUnknown}) {
+  for (auto outcome : {TxnError::kConflict, TxnError::kRefused, TxnError::kUnknown}) {
     if (!shard().manager->unwritten_progress().contains(job)) release_tasks_of(job);
     write_after(kCheckPeriod);
     write_after(kBatchDelay);
--- a/tests/registry_sync_test.cpp
+++ b/tests/registry_sync_test.cpp
@@ -10,7 +10,7 @@
 namespace beaconsill::controller {
 namespace {
 
-using state_store::RequestOutcome;
+using state_store::TxnError;
 
 constexpr Term kTerm(5);
 
@@ -129,7 +129,7 @@
 TEST_F(RegistrySyncTest, RepeatsAFailedTransactionOnceTheStateWasRead) {
   read_and_add_worker();
   write();
-  cache->refuse_oldest(RequestOutcome::kConflict);
+  cache->refuse_oldest(TxnError::kConflict);
   EXPECT_TRUE(cache->applied.empty());
   write();
   EXPECT_TRUE(cache->txns.empty());
--- a/tests/sim/controller_leader_election.cpp
+++ b/tests/sim/controller_leader_election.cpp
@@ -96,12 +96,12 @@
     txn.conditions.push_back({state_store::alive_key(role.value.controller), Revision()});
   env_.state.txn(number_, txn, [this, key, shard, term, txn](state_store::TxnResult result) {
     auto& state = process_.roles[key];
-    if (result.outcome != state_store::RequestOutcome::kOk)
+    if (!result)
       return process_.watch_cache->sync([this, key](bool) { process_.roles[key].acquiring = false; });
     state.acquiring = false;
     state.vacant_since.reset();
     state.held = term;
-    process_.watch_cache->apply_own(txn, result.revision);
+    process_.watch_cache->apply_own(txn, *result);
     if (!state.held) return;  // lost again within the call above
     if (shard) {
       acquire_shard(*shard, term);
@@ -120,8 +120,8 @@
   state.acquiring = true;
   env_.state.txn(number_, txn, [this, key, txn](state_store::TxnResult result) {
     process_.roles[key].acquiring = false;
-    if (result.outcome == state_store::RequestOutcome::kOk)
-      process_.watch_cache->apply_own(txn, result.revision);
+    if (result)
+      process_.watch_cache->apply_own(txn, *result);
   });
 }
 
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -34,7 +34,7 @@
     const auto& dependencies = view().dependencies();
     // Cancelled through others: there is nothing to serve.
     const auto* job = dependencies.unrecorded().contains(id) ? nullptr : view().job(id);
-    auto since = dependencies.ready_since(id);
+    auto since = dependencies.ready_since(id, WallMs());
     if (has_bug(SeededBug::kDependenciesIgnored)) since = env_.queue.wall();
     process_.scheduler->on_job(id, job, view().terminal_state(id), instant(), since);
   }
@@ -92,9 +92,9 @@
   env_.state.txn(number_, txn,
                  [this, term = process_.leader_term, txn, grants](state_store::TxnResult result) {
                    if (!process_.scheduler || process_.leader_term != term) return;
-                   if (result.outcome == state_store::RequestOutcome::kOk) {
-                     process_.scheduler->on_granted(grants, result.revision, instant());
-                     return process_.watch_cache->apply_own(txn, result.revision);
+                   if (result) {
+                     process_.scheduler->on_granted(grants, *result, instant());
+                     return process_.watch_cache->apply_own(txn, *result);
                    }
                    process_.watch_cache->sync([this, term, grants](bool) {
                      if (process_.scheduler && process_.leader_term == term)
@@ -125,8 +125,8 @@
                      {state_store::leader_role_key(), view().leader().revision}},
                     {{state_store::terminal_key(id), state_store::to_json(terminal_record), std::nullopt}}};
   env_.state.txn(number_, txn, [this, id, txn](state_store::TxnResult result) {
-    if (result.outcome == state_store::RequestOutcome::kOk)
-      process_.watch_cache->apply_own(txn, result.revision);
+    if (result)
+      process_.watch_cache->apply_own(txn, *result);
     process_.watch_cache->sync([this, id](bool) { process_.terminal_record.erase(id); });
   });
 }
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -142,9 +142,9 @@
 void Controller::write(ShardId id, Term term, const protocol::Txn& txn, bool LedShard::*flag) {
   find(id, term)->*flag = true;
   env_.state.txn(number_, txn, [this, id, term, txn, flag](state_store::TxnResult result) {
-    if (result.outcome == state_store::RequestOutcome::kOk) {
+    if (result) {
       if (auto* led = find(id, term)) led->*flag = false;
-      return process_.watch_cache->apply_own(txn, result.revision);
+      return process_.watch_cache->apply_own(txn, *result);
     }
     process_.watch_cache->sync([this, id, term, flag](bool) {
       if (auto* led = find(id, term)) led->*flag = false;
