--- a/tests/sim/controller_leader_election.cpp
+++ b/tests/sim/controller_leader_election.cpp
@@ -120,8 +120,7 @@
   state.acquiring = true;
   env_.state.txn(number_, txn, [this, key, txn](state_store::TxnResult result) {
     process_.roles[key].acquiring = false;
-    if (result)
-      process_.watch_cache->apply_own(txn, *result);
+    if (result) process_.watch_cache->apply_own(txn, *result);
   });
 }
 
--- a/tests/sim/state_store.cpp
+++ b/tests/sim/state_store.cpp
@@ -108,7 +108,8 @@
     bool ok = apply(txn, revision);
     // The answer of a service that took its time comes too late.
 <<<<<<< HEAD:tests/sim/state_store.cpp
-    if (there + back > kTimeout) return answer(kTimeout - there, tl::unexpected(state_store::TxnError::kUnknown));
+    if (there + back > kTimeout)
+      return answer(kTimeout - there, tl::unexpected(state_store::TxnError::kUnknown));
     if (!ok) return answer(back, tl::unexpected(state_store::TxnError::kConflict));
     answer(back, revision);
 =======
