--- a/tests/sim/concurrent_faults.cpp
+++ b/tests/sim/concurrent_faults.cpp
@@ -1,6 +1,6 @@
 // Random schedules: which faults are concurrent, and how long each lasts.
 #include "sim/controller.h"
-#include "sim/faults.h"
+#include "sim/fault_injector.h"
 
 namespace beaconsill::sim {
 namespace {
--- a/tests/sim/faults.h
+++ b/tests/sim/fault.h
@@ -1,11 +1,11 @@
-// Fault injection: groups of two or three concurrent faults drawn at random, and those that a test scripts.
+// The kinds of faults, and what one of them affects.
 #pragma once
 
 #include <optional>
 #include <vector>
 
-#include "sim/environment.h"
-#include "sim/users.h"
+#include "base/types.h"
+#include "sim/network.h"
 
 namespace beaconsill::sim {
 
@@ -99,37 +99,4 @@
   std::optional<CallbackKind> before_callback = {};
 };
 
-class FaultInjector {
- public:
-  FaultInjector(Environment& env, Ledger& ledger, Users& users) : env_(env), ledger_(ledger), users_(users) {}
-
-  // Schedules it.
-  void add(const Fault& fault);
-  // Schedules concurrent faults of two or three drawn kinds, each within seconds of the others, up to that
-  // time.
-  void draw_concurrent_faults(double end);
-  // When the last of the scheduled ones is over.
-  double over() const { return over_; }
-  // The leader as the state store has it; none while there is none.
-  std::optional<int> leader() const;
-
- private:
-  void begin(const Fault& fault);
-  void begin_at_controller(const Fault& fault, int controller);
-  void begin_at_machine(const Fault& fault, Machine& machine);
-  void begin_in_state_store(const Fault& fault);
-  void begin_with_messages(const Fault& fault);
-  void begin_with_users(const Fault& fault);
-  void change_leaders(const Fault& fault);
-  void repeat(double until, double period, std::function<void()> action);
-  std::vector<int> select(const ControllerSelector& selector);
-  std::vector<Machine*> select(const MachineSelector& selector);
-  Fault draw(FaultKind kind);
-
-  Environment& env_;
-  Ledger& ledger_;
-  Users& users_;
-  double over_ = 0;
-};
-
 }  // namespace beaconsill::sim
--- a/tests/sim/faults.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -1,4 +1,4 @@
-#include "sim/faults.h"
+#include "sim/fault_injector.h"
 
 #include "sim/controller.h"
 
@@ -12,45 +12,6 @@
 constexpr std::size_t kMaxHangingMachines = 8;
 }  // namespace
 
-const char* to_string(FaultKind kind) {
-  static const char* const names[] = {"controller_crash",
-                                      "controller_pause",
-                                      "repeated_failover",
-                                      "controller_cut_from_state",
-                                      "controller_cut_from_peers",
-                                      "controller_cut_from_state_and_peers",
-                                      "controller_cut",
-                                      "state_refuses_controller",
-                                      "state_outage",
-                                      "state_slow",
-                                      "lost_responses",
-                                      "late_writes",
-                                      "zone_cut",
-                                      "lost_peer_messages",
-                                      "late_peer_messages",
-                                      "late_heartbeats",
-                                      "heartbeats_for_next_leader",
-                                      "late_commands",
-                                      "machine_hangs",
-                                      "machine_inbound_cut",
-                                      "machine_outbound_cut",
-                                      "machine_crash",
-                                      "fast_boot",
-                                      "cancel_running",
-                                      "cancel_at_completion",
-                                      "query_bursts",
-                                      "invalid_requests",
-                                      "single_task_jobs",
-                                      "quotas_filled",
-                                      "failing_jobs",
-                                      "poll_storm",
-                                      "machine_faulty",
-                                      "slow_boot",
-                                      "long_controller_pause"};
-  static_assert(std::size(names) == kFaultKinds);
-  return names[static_cast<std::size_t>(kind)];
-}
-
 void FaultInjector::add(const Fault& fault) {
   over_ = std::max(over_, fault.at_s + fault.duration_s);
   env_.queue.at(fault.at_s, [this, fault] { begin(fault); });
--- a/tests/sim/invariants.h
+++ b/tests/sim/invariants.h
@@ -12,6 +12,9 @@
 
 namespace beaconsill::sim {
 
+// Of sums of CPUs and of GB.
+constexpr double kRoundingError = 1e-6;
+
 class InvariantChecker {
  public:
   // `advance`: lets everything happen that is due on the machines.
--- /dev/null
+++ b/tests/sim/worker_agents.cpp
@@ -0,0 +1,108 @@
+#include "sim/worker_agents.h"
+
+namespace beaconsill::sim {
+namespace {
+constexpr double kFailsWithin = 3;
+}  // namespace
+
+void WorkerAgents::advance_all() {
+  for (auto& [name, machine] : ledger_.machines)
+    if (!machine.terminated) advance(machine);
+}
+
+protocol::WorkerHeartbeat WorkerAgents::compose_heartbeat(Machine& machine) {
+  advance(machine);
+  protocol::WorkerHeartbeat heartbeat;
+  heartbeat.machine = machine.name;
+  heartbeat.address = "10.0.0.1:1";
+  heartbeat.type = MachineType("t8");
+  heartbeat.zone = machine.zone;
+  heartbeat.incarnation = Incarnation(machine.incarnation);
+  heartbeat.sequence = Sequence(++machine.sequence);
+  heartbeat.token = FencingToken(machine.token);
+  for (const auto& [key, task] : machine.tasks)
+    heartbeat.tasks.push_back({key.first, key.second,
+                               task.ended     ? protocol::TaskState::kEnded
+                               : task.running ? protocol::TaskState::kRunning
+                                              : protocol::TaskState::kFetching,
+                               task.cause, false});
+  return heartbeat;
+}
+
+// What happened on the machine up to now.
+void WorkerAgents::advance(Machine& machine) {
+  double now = queue_.now();
+  if (now - machine.lease_from > kLease) {
+    machine.tasks.clear();
+    ++machine.incarnation;
+    machine.lease_from = now;
+  }
+  if (now < machine.hangs_until) return;
+  for (auto& [key, task] : machine.tasks) {
+    if (task.ended) continue;
+    auto& job = ledger_.jobs.at(key.first.job);
+    if (!task.running && now >= task.ready) {
+      task.running = true;
+      // The result of a task that completed is kept: it ends at once.
+      if (job.done.contains(key.first.index)) task.ends = now;
+      invariants_.on_begin(machine, key.first, job);
+    }
+    if (task.running && task.fails && now >= task.ends) {
+      task.ended = true;
+      task.cause = protocol::EndCause::kError;
+      continue;
+    }
+    if (task.running && job.spec->kind == JobKind::kArray && now >= task.ends) {
+      task.ended = true;
+      task.cause = protocol::EndCause::kDone;
+      on_task_done(key.first.job, job, key.first.index);
+    }
+  }
+}
+
+void WorkerAgents::on_task_done(const JobId& id, Job& job, std::uint32_t index) {
+  if (!job.done.insert(index).second || job.done.size() < job.spec->tasks) return;
+  queue_.after(0, [this, id] { on_job_completed_(id); });
+}
+
+void WorkerAgents::apply(Machine& machine, const protocol::Command& command) {
+  const TaskKey key{command.task, command.attempt};
+  auto it = machine.tasks.find(key);
+  if (command.op == protocol::Command::Op::kStart) {
+    if (it != machine.tasks.end()) return;
+    start(machine, key);
+  } else if (command.op == protocol::Command::Op::kStop && it != machine.tasks.end() && !it->second.ended) {
+    it->second.ended = true;
+    it->second.cause = protocol::EndCause::kStopped;
+  } else if (command.op == protocol::Command::Op::kForget && it != machine.tasks.end() && it->second.ended) {
+    machine.tasks.erase(it);
+  }
+}
+
+void WorkerAgents::start(Machine& machine, const TaskKey& key) {
+  auto& task = machine.tasks[key];
+  task.ready = queue_.now() + queue_.uniform(0.1, 1.5);
+  const auto& job = ledger_.jobs.at(key.first.job);
+  task.ends = task.ready + job.run_s.value_or(queue_.uniform(0.5, 6));
+  task.fails = job.always_fails || queue_.now() < machine.faulty_until;
+  if (task.fails) task.ends = task.ready + queue_.uniform(0.1, kFailsWithin);
+  ++outcome_.started;
+  outcome_.failing_starts += job.always_fails;
+  // Time passes between heartbeats as well.
+  for (double when : {task.ready, task.ends})
+    queue_.at(when + 0.001, [this, name = machine.name] {
+      if (auto* current = ledger_.machine(name)) advance(*current);
+    });
+}
+
+CommandReply WorkerAgents::execute(Machine& machine, const shard::ShardManager::Batch& batch) {
+  advance(machine);
+  bool ok = batch.token.value() >= machine.token && batch.incarnation.value() == machine.incarnation;
+  if (ok) {
+    machine.token = batch.token.value();
+    for (const auto& command : batch.commands) apply(machine, command);
+  }
+  return {ok, compose_heartbeat(machine)};
+}
+
+}  // namespace beaconsill::sim
--- a/tests/sim/workers.cpp
+++ b/tests/sim/workers.cpp
@@ -5,7 +5,6 @@
 constexpr double kHeartbeatTimeout = 4;
 constexpr double kNextControllerDelay = 1;  // a worker waits so long before it tries the next one
 constexpr double kCommandTimeout = 2;
-constexpr double kFailsWithin = 3;
 }  // namespace
 
 Workers::Workers(EventQueue& queue, Network& network, DecisionDigest& decisions, Ledger& ledger,
@@ -14,81 +13,20 @@
       network_(network),
       decisions_(decisions),
       ledger_(ledger),
-      invariants_(invariants),
-      outcome_(outcome),
       options_(options),
-      hooks_(std::move(hooks)) {}
+      on_heartbeat_(std::move(hooks.heartbeat)),
+      agents_(queue, ledger, invariants, outcome, std::move(hooks.job_completed)) {}
 
 void Workers::on_added(const MachineName& name) {
   queue_.after(queue_.uniform(0, 1), [this, name] { heartbeat(name); });
 }
 
-void Workers::advance_all() {
-  for (auto& [name, machine] : ledger_.machines)
-    if (!machine.terminated) advance(machine);
-}
-
-protocol::WorkerHeartbeat Workers::compose(Machine& machine) {
-  advance(machine);
-  protocol::WorkerHeartbeat heartbeat;
-  heartbeat.machine = machine.name;
-  heartbeat.address = "10.0.0.1:1";
-  heartbeat.type = MachineType("t8");
-  heartbeat.zone = machine.zone;
-  heartbeat.incarnation = Incarnation(machine.incarnation);
-  heartbeat.sequence = Sequence(++machine.sequence);
-  heartbeat.token = FencingToken(machine.token);
-  for (const auto& [key, task] : machine.tasks)
-    heartbeat.tasks.push_back({key.first, key.second,
-                               task.ended     ? protocol::TaskState::kEnded
-                               : task.running ? protocol::TaskState::kRunning
-                                              : protocol::TaskState::kFetching,
-                               task.cause, false});
-  return heartbeat;
-}
-
-// What happened on the machine up to now.
-void Workers::advance(Machine& machine) {
-  double now = queue_.now();
-  if (now - machine.lease_from > kLease) {
-    machine.tasks.clear();
-    ++machine.incarnation;
-    machine.lease_from = now;
-  }
-  if (now < machine.hangs_until) return;
-  for (auto& [key, task] : machine.tasks) {
-    if (task.ended) continue;
-    auto& job = ledger_.jobs.at(key.first.job);
-    if (!task.running && now >= task.ready) {
-      task.running = true;
-      // The result of a task that completed is kept: it ends at once.
-      if (job.done.contains(key.first.index)) task.ends = now;
-      invariants_.on_begin(machine, key.first, job);
-    }
-    if (task.running && task.fails && now >= task.ends) {
-      task.ended = true;
-      task.cause = protocol::EndCause::kError;
-      continue;
-    }
-    if (task.running && job.spec->kind == JobKind::kArray && now >= task.ends) {
-      task.ended = true;
-      task.cause = protocol::EndCause::kDone;
-      on_done(key.first.job, job, key.first.index);
-    }
-  }
-}
-
-void Workers::on_done(const JobId& id, Job& job, std::uint32_t index) {
-  if (!job.done.insert(index).second || job.done.size() < job.spec->tasks) return;
-  queue_.after(0, [this, id] { hooks_.job_completed(id); });
-}
-
 void Workers::heartbeat(const MachineName& name) {
   auto* machine = ledger_.machine(name);
   if (!machine) return;
   queue_.after(options_.heartbeat_period_s * queue_.uniform(0.75, 1.25), [this, name] { heartbeat(name); });
   if (queue_.now() < machine->hangs_until || machine->in_flight) return;
-  auto heartbeat = compose(*machine);
+  auto heartbeat = agents_.compose_heartbeat(*machine);
   machine->in_flight = true;
   int to = machine->controller;
   int next = (to + 1) % kControllers;
@@ -118,7 +56,7 @@
   });
   queue_.after(queue_.uniform(0.0005, 0.007), [this, to, heartbeat, reply] {
     network_.run(to, CallbackKind::kHeartbeat,
-                 [this, to, heartbeat, reply] { hooks_.heartbeat(to, heartbeat, reply); });
+                 [this, to, heartbeat, reply] { on_heartbeat_(to, heartbeat, reply); });
   });
 }
 
@@ -139,7 +77,7 @@
     decisions_.on_heartbeat_reply(controller, name, answer);
   };
   network_.run(controller, CallbackKind::kHeartbeat,
-               [this, controller, heartbeat, reply] { hooks_.heartbeat(controller, heartbeat, reply); });
+               [this, controller, heartbeat, reply] { on_heartbeat_(controller, heartbeat, reply); });
 }
 
 void Workers::on_new_leader() {
@@ -176,11 +114,11 @@
   if (now < machine->hangs_until || machine->incarnation != incarnation ||
       reply.answer->token.value() < machine->token)
     return;
-  advance(*machine);
+  agents_.advance(*machine);
   if (machine->incarnation != incarnation) return;
   machine->token = reply.answer->token.value();
   machine->lease_from = std::max(machine->lease_from, sent);
-  for (const auto& command : reply.answer->commands) apply_command(*machine, command);
+  for (const auto& command : reply.answer->commands) agents_.apply(*machine, command);
 }
 
 void Workers::command(int controller, const shard::ShardManager::Batch& batch,
@@ -223,39 +161,7 @@
     carry_out_later(machine->hangs_until - queue_.now(), batch);
     return std::nullopt;
   }
-  advance(*machine);
-  bool ok = batch.token.value() >= machine->token && batch.incarnation.value() == machine->incarnation;
-  if (ok) {
-    machine->token = batch.token.value();
-    for (const auto& command : batch.commands) apply_command(*machine, command);
-  }
-  return CommandReply{ok, compose(*machine)};
-}
-
-void Workers::apply_command(Machine& machine, const protocol::Command& command) {
-  std::pair key{command.task, command.attempt};
-  auto it = machine.tasks.find(key);
-  if (command.op == protocol::Command::Op::kStart) {
-    if (it != machine.tasks.end()) return;
-    auto& task = machine.tasks[key];
-    task.ready = queue_.now() + queue_.uniform(0.1, 1.5);
-    const auto& job = ledger_.jobs.at(command.task.job);
-    task.ends = task.ready + job.run_s.value_or(queue_.uniform(0.5, 6));
-    task.fails = job.always_fails || queue_.now() < machine.faulty_until;
-    if (task.fails) task.ends = task.ready + queue_.uniform(0.1, kFailsWithin);
-    ++outcome_.started;
-    outcome_.failing_starts += job.always_fails;
-    // Time passes between heartbeats as well.
-    for (double when : {task.ready, task.ends})
-      queue_.at(when + 0.001, [this, name = machine.name] {
-        if (auto* current = ledger_.machine(name)) advance(*current);
-      });
-  } else if (command.op == protocol::Command::Op::kStop && it != machine.tasks.end() && !it->second.ended) {
-    it->second.ended = true;
-    it->second.cause = protocol::EndCause::kStopped;
-  } else if (command.op == protocol::Command::Op::kForget && it != machine.tasks.end() && it->second.ended) {
-    machine.tasks.erase(it);
-  }
+  return agents_.execute(*machine, batch);
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/workers.h
+++ b/tests/sim/workers.h
@@ -1,4 +1,5 @@
-// Simulated workers: they send heartbeats, carry out commands, and let their tasks run.
+// The way between controllers and workers: heartbeats and commands, and what the network does to them. What
+// happens on the machines is in worker_agents.h.
 #pragma once
 
 #include <functional>
@@ -6,10 +7,8 @@
 
 #include "shard/shard_manager.h"
 #include "sim/decision_digest.h"
-#include "sim/invariants.h"
-#include "sim/ledger.h"
 #include "sim/network.h"
-#include "sim/options.h"
+#include "sim/worker_agents.h"
 
 namespace beaconsill::sim {
 
@@ -19,12 +18,6 @@
   int redirect = -1;  // -1: unknown
 };
 
-// What comes back from a direct command.
-struct CommandReply {
-  bool executed = false;
-  protocol::WorkerHeartbeat heartbeat;
-};
-
 class Workers {
  public:
   using Reply = std::function<void(const HeartbeatReply&)>;
@@ -41,7 +34,7 @@
   // A new worker begins to send heartbeats.
   void on_added(const MachineName& name);
   // Lets everything happen that is due on the machines.
-  void advance_all();
+  void advance_all() { agents_.advance_all(); }
   // Direct commands of a controller; `done` gets none if there was no answer.
   void command(int controller, const shard::ShardManager::Batch& batch,
                std::function<void(std::optional<CommandReply>)> done);
@@ -57,9 +50,6 @@
   void delay_commands(Window window) { late_commands_ = window; }
 
  private:
-  protocol::WorkerHeartbeat compose(Machine& machine);
-  void advance(Machine& machine);
-  void on_done(const JobId& id, Job& job, std::uint32_t index);
   void heartbeat(const MachineName& name);
   void send_heartbeat_to(const MachineName& name, int to, const protocol::WorkerHeartbeat& heartbeat);
   void copy_later(const protocol::WorkerHeartbeat& heartbeat);
@@ -69,16 +59,14 @@
                 const HeartbeatReply& reply);
   std::optional<CommandReply> carry_out(const shard::ShardManager::Batch& batch);
   void carry_out_later(double delay, const shard::ShardManager::Batch& batch);
-  void apply_command(Machine& machine, const protocol::Command& command);
 
   EventQueue& queue_;
   Network& network_;
   DecisionDigest& decisions_;
   Ledger& ledger_;
-  InvariantChecker& invariants_;
-  Outcome& outcome_;
   const Options& options_;
-  Hooks hooks_;
+  std::function<void(int, const protocol::WorkerHeartbeat&, Reply)> on_heartbeat_;
+  WorkerAgents agents_;
   Window duplicates_, held_for_next_leader_, late_commands_;
   std::vector<protocol::WorkerHeartbeat> held_heartbeats_;
 };
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -68,14 +68,15 @@
                {[this](int number, const auto& heartbeat, auto reply) {
                   controller(number).on_worker_heartbeat(heartbeat, reply);
                 },
-                [this](const auto& id) { users_.on_job_completed(id); }}),
+                [this](const auto& id) { random_users_.on_job_completed(id); }}),
       cloud_(queue_, ledger_, [this](const auto& name) { workers_.on_added(name); }),
       env_{options_,      queue_,      network_,
            state_,        workers_,    cloud_,
            decisions_,    outcome_,    settings_,
            partitioning_, catalogue(), [this](int number) -> Controller& { return controller(number); }},
-      users_(env_, ledger_, invariants_),
-      faults_(env_, ledger_, users_) {
+      users_(env_, ledger_, invariants_, [this](const JobId& id) { random_users_.on_news(id); }),
+      random_users_(env_, ledger_, users_),
+      faults_(env_, ledger_, random_users_) {
   for (int number = 0; number < kControllers; ++number)
     controllers_[static_cast<std::size_t>(number)] = std::make_unique<Controller>(number, env_);
   for (int i = 0; i < options.machines; ++i) cloud_.add_machine();
@@ -130,9 +131,10 @@
   for (int number = 0; number < kControllers; ++number)
     queue_.at(0.05 * number, [this, number] { controller(number).start(); });
   for (int i = 0; i < options_.jobs; ++i)
-    queue_.at(1 + queue_.uniform(0, options_.faults_s * 0.8), [this, i] { users_.submit_drawn(i); });
+    queue_.at(1 + queue_.uniform(0, options_.faults_s * 0.8), [this, i] { random_users_.submit_drawn(i); });
   for (int i = 0; i < options_.pipelines; ++i)
-    queue_.at(1 + queue_.uniform(0, options_.faults_s * 0.8), [this, i] { users_.submit_pipeline(i); });
+    queue_.at(1 + queue_.uniform(0, options_.faults_s * 0.8),
+              [this, i] { random_users_.submit_pipeline(i); });
   if (options_.random_faults) faults_.draw_concurrent_faults(options_.faults_s);
   queue_.every(1, [this] {
     invariants_.check_all(std::max(faults_.over(), last_request_));
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -40,7 +40,7 @@
 #include <memory>
 
 #include "sim/controller.h"
-#include "sim/faults.h"
+#include "sim/fault_injector.h"
 #include "sim/users.h"
 
 namespace beaconsill::sim {
@@ -109,6 +109,7 @@
   Environment env_;
   std::array<std::unique_ptr<Controller>, kControllers> controllers_;
   Users users_;
+  RandomUsers random_users_;
   FaultInjector faults_;
   std::vector<std::pair<std::string, Predicate>> probes_;
   double last_request_ = 0;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -142,7 +142,7 @@
   app.add_option("--first", beaconsill::sim::first, "the first seed");
   auto* pipelines = app.add_option("--pipelines", beaconsill::sim::pipelines, "pipelines in each schedule");
   auto* operations = app.add_flag("--operations", beaconsill::sim::operations,
-                                  "with the faults that operators reported, see sim/faults.h");
+                                  "with the faults that operators reported, see sim/fault.h");
   bool digest = false;
   app.add_flag("--digest", digest, "print the digests of schedules of all kinds, and run no test")
       ->excludes(pipelines)
