--- a/tests/sim/clock.h
+++ b/tests/sim/clock.h
@@ -33,7 +33,7 @@
     events_.emplace(std::max(time, now_), std::move(callback));
   }
   void after(double delay, std::function<void()> callback) { at(now_ + delay, std::move(callback)); }
-  void every(double period, std::function<void()> callback) {
+  void every(double period, const std::function<void()>& callback) {
     after(period, [this, period, callback] {
       callback();
       every(period, callback);
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -26,7 +26,7 @@
   queue_.after(boot, [this] { add_machine(); });
 }
 
-void Cloud::remove(const MachineName& name, std::function<void(bool)> answer) {
+void Cloud::remove(const MachineName& name, const std::function<void(bool)>& answer) {
   ++deletions_;
   queue_.after(queue_.uniform(0.1, 0.4), [this, name, answer] {
     bool ok = !queue_.random_fault(0.1);
--- a/tests/sim/cloud.h
+++ b/tests/sim/cloud.h
@@ -18,7 +18,7 @@
   // Ends a machine; nobody is notified. Another one comes some seconds later.
   void kill(const MachineName& name);
   // A request for deletion. `answer` gets whether the cloud said that it was carried out.
-  void remove(const MachineName& name, std::function<void(bool)> answer);
+  void remove(const MachineName& name, const std::function<void(bool)>& answer);
   // Until then new machines are up within two seconds.
   void boot_fast(double until) { fast_boot_until_ = until; }
   // Until then they take up to a minute.
--- a/tests/sim/concurrent_faults.cpp
+++ b/tests/sim/concurrent_faults.cpp
@@ -35,7 +35,14 @@
                        : MachineSelector::drawn(1 + queue.draw_below(4));
   fault.zone = zones()[static_cast<std::size_t>(queue.draw_below(3))];
   fault.count = 1 + queue.draw_below(6);
-  switch (kind) {
+  adjust_to_kind(fault);
+  return fault;
+}
+
+// Of what is drawn for all kinds, some kinds need other values.
+void FaultInjector::adjust_to_kind(Fault& fault) {
+  auto& queue = env_.queue;
+  switch (fault.kind) {
     case FaultKind::kControllerCrash: {
       constexpr double kBack[] = {0.1, 0.15, 1, 3, 13};
       fault.duration_s = kBack[queue.draw_below(5)];
@@ -76,7 +83,6 @@
     default:
       break;
   }
-  return fault;
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/controller.cpp
+++ b/tests/sim/controller.cpp
@@ -14,7 +14,7 @@
   process_ = Process{};
   auto seeded_bug = env_.options.seeded_bug;
   process_.watch_cache = std::make_shared<WatchCache>(
-      number_, env_.queue, env_.state, seeded_bug,
+      number_, env_.queue, env_.state,
       [this](const state_store::StateView::ChangeSet& changes) { on_view(changes); });
   process_.endpoint_reader = std::make_shared<EndpointReader>(process_.watch_cache, seeded_bug);
   process_.heartbeats = std::make_unique<Heartbeats>(number_, env_.queue.wall(), instant());
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -15,6 +15,7 @@
 
 std::vector<ControllerName> all_controllers() {
   std::vector<ControllerName> controllers;
+  controllers.reserve(kControllers);
   for (int number = 0; number < kControllers; ++number) controllers.push_back(controller_name(number));
   return controllers;
 }
@@ -214,7 +215,7 @@
 void Controller::command(ShardId id, Term term, const shard::ShardManager::Batch& batch) {
   auto incarnation = env_.network.incarnation(number_);
   env_.workers.command(
-      number_, batch, [this, id, term, batch, incarnation](std::optional<CommandReply> reply) {
+      number_, batch, [this, id, term, batch, incarnation](const std::optional<CommandReply>& reply) {
         env_.network.run(number_, incarnation, CallbackKind::kCommand, [this, id, term, batch, reply] {
           auto* led = find(id, term);
           if (!led) return;
--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -1,5 +1,7 @@
 #include "sim/fault_injector.h"
 
+#include <numeric>
+
 #include "sim/controller.h"
 
 namespace beaconsill::sim {
@@ -37,8 +39,8 @@
     case ControllerSelector::Kind::kAll:
       break;
   }
-  std::vector<int> all;
-  for (int number = 0; number < kControllers; ++number) all.push_back(number);
+  std::vector<int> all(kControllers);
+  std::iota(all.begin(), all.end(), 0);
   return all;
 }
 
@@ -231,7 +233,7 @@
   });
 }
 
-void FaultInjector::repeat(double until, double period, std::function<void()> action) {
+void FaultInjector::repeat(double until, double period, const std::function<void()>& action) {
   if (env_.queue.now() >= until) return;
   action();
   env_.queue.after(period, [this, until, period, action] { repeat(until, period, action); });
--- a/tests/sim/fault_injector.h
+++ b/tests/sim/fault_injector.h
@@ -34,10 +34,11 @@
   void begin_with_messages(const Fault& fault);
   void begin_with_users(const Fault& fault);
   void change_leaders(const Fault& fault);
-  void repeat(double until, double period, std::function<void()> action);
+  void repeat(double until, double period, const std::function<void()>& action);
   std::vector<int> select(const ControllerSelector& selector);
   std::vector<Machine*> select(const MachineSelector& selector);
   Fault draw(FaultKind kind);
+  void adjust_to_kind(Fault& fault);
 
   Environment& env_;
   Ledger& ledger_;
--- a/tests/sim/invariants.cpp
+++ b/tests/sim/invariants.cpp
@@ -4,28 +4,39 @@
 #include "state_store/records.h"
 
 namespace beaconsill::sim {
+
 void InvariantChecker::report_violation(const std::string& rule, const std::string& what) {
   if (outcome_.violations[rule]++ == 0 && outcome_.first_violation.empty())
     outcome_.first_violation = rule + " at " + std::to_string(queue_.now()) + ": " + what;
 }
 
+bool InvariantChecker::ended_by_now(const Machine& machine, const Job& job, const Task& task) const {
+  return queue_.now() >= machine.hangs_until && job.spec->kind == JobKind::kArray &&
+         queue_.now() >= task.ends;
+}
+
+// Calls `visit(machine, task, job)` for all tasks that run on machines whose lease is valid.
+template <class F>
+void InvariantChecker::each_running(F visit) const {
+  for (const auto& [name, machine] : ledger_.machines) {
+    if (machine.terminated || queue_.now() - machine.lease_from > kLease) continue;
+    for (const auto& [key, task] : machine.tasks) {
+      if (!task.on_machine()) continue;
+      const auto& job = ledger_.jobs.at(key.first.job);
+      if (!ended_by_now(machine, job, task)) visit(machine, key.first, job);
+    }
+  }
+}
+
 void InvariantChecker::on_begin(const Machine& machine, const TaskId& task, const Job& job) {
   double now = queue_.now();
   auto text = protocol::task_name(task) + " on " + machine.name.value();
   double used = 0;
-  for (const auto& [name, other] : ledger_.machines) {
-    if (other.terminated || now - other.lease_from > kLease) continue;
-    for (const auto& [key, other_task] : other.tasks) {
-      if (!other_task.on_machine()) continue;
-      const auto& other_job = ledger_.jobs.at(key.first.job);
-      bool over =
-          now >= other.hangs_until && other_job.spec->kind == JobKind::kArray && now >= other_task.ends;
-      if (over) continue;  // ended, though the fake hasn't looked at it yet
-      if (other_job.spec->team == job.spec->team) used += other_job.spec->each.cpus;
-      if (&other != &machine && key.first == task)
-        report_violation("ran_twice", text + " and " + other.name.value());
-    }
-  }
+  each_running([&](const Machine& other, const TaskId& other_task, const Job& other_job) {
+    if (other_job.spec->team == job.spec->team) used += other_job.spec->each.cpus;
+    if (&other != &machine && other_task == task)
+      report_violation("ran_twice", text + " and " + other.name.value());
+  });
   if (used > kTeamCpus + kRoundingError) report_violation("quota", text + ": " + std::to_string(used));
   check_place(machine, task, job);
   ledger_.each_needed(task.job, [&](const Job& needed) {
@@ -46,9 +57,8 @@
   if (!spec.one_zone && !spec.spread) return;
   std::map<Zone, std::set<std::uint32_t>> there;
   ledger_.each_task(task.job, [&](const Machine& other, const auto& key, const Task& other_task) {
-    bool over =
-        queue_.now() >= other.hangs_until && spec.kind == JobKind::kArray && queue_.now() >= other_task.ends;
-    if (other_task.on_machine() && !over && queue_.now() - other.lease_from <= kLease)
+    if (other_task.on_machine() && !ended_by_now(other, job, other_task) &&
+        queue_.now() - other.lease_from <= kLease)
       there[other.zone].insert(key.first.index);
   });
   there[machine.zone].insert(task.index);
@@ -88,12 +98,7 @@
   }
   const auto& job = it->second;
   auto& known = known_to_users_[response.job];
-  bool accepted_before = known.accepted && *known.accepted <= response.sent_s;
-  if (accepted_before && response.status == 404) report_violation("forgotten", text);
-  if (accepted_before && (response.status == 400 || response.status == 422))
-    report_violation("forgotten", text + " to a repeat");
-  if (response.status == 422 && awaits_accepted(job, response.sent_s))
-    report_violation("forgotten", text + ": a job that it awaits");
+  check_remembered(response, job, known, text);
   if (!response.ok()) {
     if (!known.unanswered_from) known.unanswered_from = queue_.now();
     known.unanswered_to = queue_.now();
@@ -104,6 +109,22 @@
   if (known.over && *known.over <= response.sent_s && !response.final())
     report_violation("went_back", text + ": not over any more");
   if (!response.final()) return check_orphaned(response, text);
+  check_final_state(response, job, known, text);
+}
+
+// No response denies a job that its user knows to be accepted.
+void InvariantChecker::check_remembered(const UserResponse& response, const Job& job,
+                                        const KnownToUser& known, const std::string& text) {
+  bool accepted_before = known.accepted && *known.accepted <= response.sent_s;
+  if (accepted_before && response.status == 404) report_violation("forgotten", text);
+  if (accepted_before && (response.status == 400 || response.status == 422))
+    report_violation("forgotten", text + " to a repeat");
+  if (response.status == 422 && awaits_accepted(job, response.sent_s))
+    report_violation("forgotten", text + ": a job that it awaits");
+}
+
+void InvariantChecker::check_final_state(const UserResponse& response, const Job& job, KnownToUser& known,
+                                         const std::string& text) {
   if (known.end && known.end != response.state)
     report_violation("went_back", text + ": ended otherwise before");
   bool asked = job.cancel_requested;
--- a/tests/sim/invariants.h
+++ b/tests/sim/invariants.h
@@ -49,6 +49,14 @@
     double since = 0;
     int started = 0;
   };
+  template <class F>
+  void each_running(F visit) const;
+  // Whether the task has completed, though the fake of its machine hasn't noticed yet.
+  bool ended_by_now(const Machine& machine, const Job& job, const Task& task) const;
+  void check_remembered(const UserResponse& response, const Job& job, const KnownToUser& known,
+                        const std::string& text);
+  void check_final_state(const UserResponse& response, const Job& job, KnownToUser& known,
+                         const std::string& text);
   void check_place(const Machine& machine, const TaskId& task, const Job& job);
   void check_late_cancellations();
   void check_orphaned(const UserResponse& response, const std::string& text);
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -73,7 +73,7 @@
   return first(active(at(controller).users), leaving(controller_zone(controller)));
 }
 
-void Network::peer(int from, int to, std::function<void()> callback) {
+void Network::peer(int from, int to, const std::function<void()>& callback) {
   if (from == to) return callback();
   auto arrive = [this, to, callback] { run(to, CallbackKind::kPeer, callback); };
   if (auto cut = blocked_path_between(from, to)) {
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -54,7 +54,7 @@
 
   // ---- Messages between controllers
   // Lost, late, or come twice. `callback` is what the receiver does.
-  void peer(int from, int to, std::function<void()> callback);
+  void peer(int from, int to, const std::function<void()>& callback);
   // That share of the messages between controllers is lost, or comes late and repeatedly.
   void lose_peer_messages(Window window) { lost_ = window; }
   void delay_peer_messages(Window window) { delayed_ = window; }
--- a/tests/sim/random_users.cpp
+++ b/tests/sim/random_users.cpp
@@ -128,7 +128,9 @@
 
 std::vector<MachineName> RandomUsers::cancel_running(int count) {
   std::vector<JobId> long_to_go;
-  for (const auto& [id, job] : ledger_.jobs) {
+  for (const auto& entry : ledger_.jobs) {
+    const auto& id = entry.first;
+    const auto& job = entry.second;  // no structured binding: clang 14 can't capture one
     bool runs = false;
     ledger_.each_task(id, [&](const Machine&, const auto&, const Task& task) {
       runs |= task.on_machine() && (job.spec->kind == JobKind::kService || task.ends - env_.queue.now() > 2);
--- a/tests/sim/state_store.cpp
+++ b/tests/sim/state_store.cpp
@@ -55,7 +55,7 @@
   return slow_window_.hits(queue_) ? queue_.uniform(0.1, 1.2) : delay;
 }
 
-void StateStore::txn(int controller, protocol::Txn txn, Done done) {
+void StateStore::txn(int controller, const protocol::Txn& txn, const Done& done) {
   decisions_.on_transaction(controller, txn);
   auto answer = [this, controller, done, incarnation = network_.incarnation(controller)](
                     double delay, state_store::TxnResult result) {
@@ -92,7 +92,7 @@
   });
 }
 
-void StateStore::read(int controller, std::function<void(std::optional<std::size_t>)> done) {
+void StateStore::read(int controller, const std::function<void(std::optional<std::size_t>)>& done) {
   auto answer = [this, controller, done, incarnation = network_.incarnation(controller)](
                     double delay, std::optional<std::size_t> upto) {
     queue_.after(delay, [this, controller, done, incarnation, upto] {
--- a/tests/sim/state_store.h
+++ b/tests/sim/state_store.h
@@ -36,9 +36,9 @@
 
   // Whether this controller is served now.
   bool answers(int controller) const;
-  void txn(int controller, protocol::Txn txn, Done done);
+  void txn(int controller, const protocol::Txn& txn, const Done& done);
   // Reads all changes so far; `done` gets the number of entries of the log that were read, or none.
-  void read(int controller, std::function<void(std::optional<std::size_t>)> done);
+  void read(int controller, const std::function<void(std::optional<std::size_t>)>& done);
   const std::vector<protocol::Change>& log() const { return log_; }
   // Renews the lease of a controller's liveness key, and writes the key if it isn't there.
   void renew(int controller, const std::string& key);
--- a/tests/sim/topology.h
+++ b/tests/sim/topology.h
@@ -26,12 +26,12 @@
   return Zone(controller == 1 ? "west" : "east");
 }
 inline const std::vector<Zone>& zones() {
-  static const std::vector<Zone> all{Zone("east"), Zone("west"), Zone("north")};
-  return all;
+  static const std::vector<Zone> kAll{Zone("east"), Zone("west"), Zone("north")};
+  return kAll;
 }
 inline const std::vector<Team>& teams() {
-  static const std::vector<Team> all{Team("green"), Team("blue")};
-  return all;
+  static const std::vector<Team> kAll{Team("green"), Team("blue")};
+  return kAll;
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/watch_cache.cpp
+++ b/tests/sim/watch_cache.cpp
@@ -2,13 +2,9 @@
 
 namespace beaconsill::sim {
 
-WatchCache::WatchCache(int controller, EventQueue& queue, StateStore& state, SeededBug seeded_bug,
+WatchCache::WatchCache(int controller, EventQueue& queue, StateStore& state,
                        std::function<void(const state_store::StateView::ChangeSet&)> on_change)
-    : controller_(controller),
-      queue_(queue),
-      state_(state),
-      seeded_bug_(seeded_bug),
-      on_change_(std::move(on_change)) {}
+    : controller_(controller), queue_(queue), state_(state), on_change_(std::move(on_change)) {}
 
 Revision WatchCache::revision() const {
   return known_ ? state_.log()[known_ - 1].revision : Revision();
--- a/tests/sim/watch_cache.h
+++ b/tests/sim/watch_cache.h
@@ -8,7 +8,7 @@
 
 class WatchCache : public state_store::StateReader {
  public:
-  WatchCache(int controller, EventQueue& queue, StateStore& state, SeededBug seeded_bug,
+  WatchCache(int controller, EventQueue& queue, StateStore& state,
              std::function<void(const state_store::StateView::ChangeSet&)> on_change);
 
   const state_store::StateView& view() const override { return view_; }
@@ -19,7 +19,7 @@
   bool is_responsive() const override { return true; }
   void commit(protocol::Txn txn, state_store::Urgency, std::function<void(state_store::TxnResult)> done,
               Duration) override {
-    state_.txn(controller_, std::move(txn), std::move(done));
+    state_.txn(controller_, txn, done);
   }
   // Ends that another controller has read.
   void apply_cancelled(const std::vector<protocol::CancelledJob>& jobs);
@@ -37,7 +37,6 @@
   int controller_;
   EventQueue& queue_;
   StateStore& state_;
-  SeededBug seeded_bug_;
   std::function<void(const state_store::StateView::ChangeSet&)> on_change_;
   state_store::StateView view_;
   std::size_t known_ = 0;  // entries of the state store's log that were read
@@ -77,7 +76,7 @@
   Transactions(int controller, StateStore& state) : controller_(controller), state_(state) {}
   void txn(protocol::Txn txn, state_store::Urgency,
            std::function<void(state_store::TxnResult)> done) override {
-    state_.txn(controller_, std::move(txn), std::move(done));
+    state_.txn(controller_, txn, done);
   }
   // The fake has no limits.
   Duration write_wait(state_store::Urgency) const override { return Duration(0); }
--- a/tests/sim/workers.cpp
+++ b/tests/sim/workers.cpp
@@ -121,8 +121,7 @@
   for (const auto& command : reply.answer->commands) agents_.apply(*machine, command);
 }
 
-void Workers::command(int controller, const shard::ShardManager::Batch& batch,
-                      std::function<void(std::optional<CommandReply>)> done) {
+void Workers::command(int controller, const shard::ShardManager::Batch& batch, const OnCommandReply& done) {
   decisions_.on_commands(controller, batch);
   auto none = [this, done] { queue_.after(kCommandTimeout, [done] { done(std::nullopt); }); };
   auto* machine = ledger_.machine(batch.machine);
--- a/tests/sim/workers.h
+++ b/tests/sim/workers.h
@@ -21,6 +21,7 @@
 class Workers {
  public:
   using Reply = std::function<void(const HeartbeatReply&)>;
+  using OnCommandReply = std::function<void(const std::optional<CommandReply>&)>;
   struct Hooks {
     // A heartbeat reached a controller.
     std::function<void(int controller, const protocol::WorkerHeartbeat&, Reply)> heartbeat;
@@ -36,8 +37,7 @@
   // Lets everything happen that is due on the machines.
   void advance_all() { agents_.advance_all(); }
   // Direct commands of a controller; `done` gets none if there was no answer.
-  void command(int controller, const shard::ShardManager::Batch& batch,
-               std::function<void(std::optional<CommandReply>)> done);
+  void command(int controller, const shard::ShardManager::Batch& batch, const OnCommandReply& done);
 
   // ---- Faults
   // Of that share of heartbeats a copy arrives again, up to well over a lease later.
