--- a/src/api/api.cpp
+++ b/src/api/api.cpp
@@ -44,7 +44,7 @@
 
 void Api::handle_health(const net::Request& request, const net::HttpServer::Reply& reply) const {
   if (request.method != "GET") return reply(method_not_allowed());
-  reply(context_.hooks.healthy() ? net::Response{200, "{}"} : retry_later("not ready"));
+  reply(context_.hooks.is_healthy() ? net::Response{200, "{}"} : retry_later("not ready"));
 }
 
 void Api::handle_job(const net::Request& request, std::string_view path,
--- a/src/api/api.h
+++ b/src/api/api.h
@@ -20,6 +20,7 @@
 class Api {
  public:
   using Hooks = api::Hooks;
+  // The settings, the clock and the event loop have to outlive it.
   Api(asio::io_context& io, const Clock& clock, const config::Settings& settings,
       std::shared_ptr<state_store::TxnExecutor> store, std::shared_ptr<state_store::StateReader> watch_cache,
       Hooks hooks);
@@ -28,6 +29,7 @@
 
   // Whether the path is one of the users'.
   static bool is_user_path(const std::string& path);
+  // Responds to a request by a user or a health check. `reply` is called once.
   void handle(const net::Request& request, net::HttpServer::Reply reply);
 
  private:
--- a/src/api/cancellation.cpp
+++ b/src/api/cancellation.cpp
@@ -36,7 +36,7 @@
   if (result.outcome == RequestOutcome::kOk) {
     context_.reader->apply_own(txn, result.revision);
     reply(status_.status_response(id, protocol::JobState::kCancelled));
-    return context_.hooks.changed(result.revision);
+    return context_.hooks.on_change(result.revision);
   }
   if (result.outcome != RequestOutcome::kConflict && result.outcome != RequestOutcome::kUnknown)
     return reply(retry_later(kUnreachable));
--- a/src/api/cancellation.h
+++ b/src/api/cancellation.h
@@ -6,6 +6,8 @@
 
 namespace beaconsill::api {
 
+// Responds once the cancellation is recorded and may be shown (JobStatus); until then the user has to repeat
+// the request.
 class Cancellation {
  public:
   Cancellation(const Context& context, const JobStatus& status) : context_(context), status_(status) {}
--- a/src/api/context.h
+++ b/src/api/context.h
@@ -17,15 +17,16 @@
   // Null while the machine types aren't known.
   std::function<const protocol::Catalogue*()> catalogue;
   // A change that others should read soon.
-  std::function<void(Revision)> changed;
+  std::function<void(Revision)> on_change;
   // Whether a user may see now that the job, which is known to be cancelled, is. The response follows in the
   // same callback.
   std::function<bool(const JobId&)> may_reveal_cancellation;
   // How many tasks of the job run.
-  std::function<std::uint32_t(const JobId&)> running;
-  std::function<bool()> healthy;
+  std::function<std::uint32_t(const JobId&)> running_tasks;
+  // Whether this controller can serve users.
+  std::function<bool()> is_healthy;
   // Whether all controllers support this format version of records.
-  std::function<bool(std::uint32_t version)> all_support;
+  std::function<bool(std::uint32_t version)> all_controllers_support;
 };
 
 // The state store as the endpoints use it. Used on one thread.
--- a/src/api/job_status.cpp
+++ b/src/api/job_status.cpp
@@ -27,7 +27,7 @@
   if (auto terminal_state = view.terminal_state(id))
     return *terminal_state == state_store::TerminalState::kDone ? JobState::kDone : JobState::kCancelled;
   if (!view.job(id)) return std::nullopt;
-  return context_.hooks.running(id) > 0 ? JobState::kRunning : JobState::kQueued;
+  return context_.hooks.running_tasks(id) > 0 ? JobState::kRunning : JobState::kQueued;
 }
 
 bool JobStatus::acknowledgement_pending(const JobId& id, JobState state) const {
@@ -42,7 +42,7 @@
 net::Response JobStatus::status_response(const JobId& id, JobState state) const {
   if (acknowledgement_pending(id, state)) return retry_later(kNotAcknowledged);
   const bool terminal = state == JobState::kDone || state == JobState::kCancelled;
-  const auto running = terminal ? 0 : context_.hooks.running(id);
+  const auto running = terminal ? 0 : context_.hooks.running_tasks(id);
   return {200, protocol::render_status(id, state, done_tasks(id), running)};
 }
 
--- a/src/api/submission.cpp
+++ b/src/api/submission.cpp
@@ -88,7 +88,7 @@
 
 void Submission::accept(protocol::JobSpec spec, const Reply& reply) const {
   if (!context_.reader->is_responsive()) return reply(retry_later(kUnreachable));
-  if (!spec.depends_on.empty() && !context_.hooks.all_support(state_store::kDependenciesSince))
+  if (!spec.depends_on.empty() && !context_.hooks.all_controllers_support(state_store::kDependenciesSince))
     return reply(retry_later("not all controllers know of jobs that await others", kRetryLaterS));
   if (context_.overloaded()) return reply(retry_later("too many submissions", kRetryLaterS));
   state_store::JobRecord record{std::make_shared<const protocol::JobSpec>(std::move(spec)),
@@ -97,7 +97,8 @@
   auto values = state_store::fit_job(std::move(record), max_bytes);
   if (!values)
     return reply({422, protocol::render_error("its record is larger than the state service takes")});
-  if (!values->depends_on.empty() && !context_.hooks.all_support(state_store::kUnboundedKeysSince))
+  if (!values->depends_on.empty() &&
+      !context_.hooks.all_controllers_support(state_store::kUnboundedKeysSince))
     return reply(retry_later("not all controllers know of so many awaited jobs", kRetryLaterS));
   write_job(*values, reply);
 }
@@ -143,7 +144,7 @@
     case RequestOutcome::kOk:
       context_.reader->apply_own(txn, result.revision);
       spdlog::debug("job_accepted job={} revision={}", id.value(), result.revision.value());
-      context_.hooks.changed(result.revision);
+      context_.hooks.on_change(result.revision);
       return reply_accepted(id, reply);
     case RequestOutcome::kConflict:
     case RequestOutcome::kUnknown:
--- a/src/controller/command_sender.h
+++ b/src/controller/command_sender.h
@@ -15,9 +15,12 @@
  public:
   // `on_answer` is called after the shard was notified of an answer, or that there was none.
   CommandSender(ControllerContext& ctx, LedShards& shards, std::function<void()> on_answer);
+  // No answer is handed on any more.
   void stop();
 
+  // Sends the commands of a batch to its machine.
   void send(ShardId id, LedShard& shard, shard::ShardManager::Batch batch);
+  // Closes the connection to the machine.
   void on_machine_terminated(const MachineName& machine) { connections_.close(machine); }
 
  private:
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -90,13 +90,13 @@
 void Controller::make_api() {
   api::Api::Hooks hooks;
   hooks.catalogue = [this] { return ctx_.catalogue.get(); };
-  hooks.changed = [this](Revision revision) {
+  hooks.on_change = [this](Revision revision) {
     peers_->messenger().broadcast(protocol::ChangeNotification{revision});
   };
   hooks.may_reveal_cancellation = [this](const JobId& id) { return peers_->cancellations().may_reveal(id); };
-  hooks.running = [this](const JobId& id) { return summaries_->running(id); };
-  hooks.healthy = [this] { return healthy(); };
-  hooks.all_support = [this](std::uint32_t version) {
+  hooks.running_tasks = [this](const JobId& id) { return summaries_->running(id); };
+  hooks.is_healthy = [this] { return healthy(); };
+  hooks.all_controllers_support = [this](std::uint32_t version) {
     return ctx_.view().all_support(version, ctx_.partitioning.controllers());
   };
   api_ = std::make_unique<api::Api>(ctx_.io, ctx_.clock, ctx_.settings, ctx_.store, ctx_.watch_cache,
--- a/src/controller/heartbeat_relay.h
+++ b/src/controller/heartbeat_relay.h
@@ -23,6 +23,7 @@
   // Passes the heartbeat (as it came) on to the shard's leader, or redirects the worker. `reply` is called
   // once.
   void relay(ShardId shard, const std::string& heartbeat, const net::HttpServer::Reply& reply);
+  // The shard leader's answer; ignored if the worker was redirected meanwhile.
   void on_relayed_reply(const protocol::RelayedReply& relayed);
   // Redirects the workers whose heartbeats got no answer in time.
   void redirect_expired();
--- a/src/controller/leader_election.h
+++ b/src/controller/leader_election.h
@@ -18,6 +18,7 @@
 // repeated, nothing is thrown. One thread.
 class LeaderElection {
  public:
+  // What follows from acquiring or losing a role.
   struct Hooks {
     std::function<void(ShardId, Term)> acquire_shard;
     std::function<void(ShardId)> release_shard;
--- a/src/controller/peer_heartbeats.h
+++ b/src/controller/peer_heartbeats.h
@@ -25,6 +25,7 @@
   // `led_terms`: the shards that this controller leads, for its heartbeats.
   PeerHeartbeats(ControllerContext& ctx, PeerConnections& connections, CancellationVisibility& cancellations,
                  LedTerms led_terms);
+  // Sends the first heartbeats within this call.
   void start();
   void stop();
 
--- a/src/controller/peer_message_dispatcher.cpp
+++ b/src/controller/peer_message_dispatcher.cpp
@@ -6,7 +6,7 @@
 namespace beaconsill::controller {
 
 void PeerMessageDispatcher::dispatch(const protocol::PeerMessage& message) {
-  std::visit([&](const auto& body) { handle(message.from, body); }, message.body);
+  std::visit([&](const auto& payload) { handle(message.from, payload); }, message.payload);
 }
 
 void PeerMessageDispatcher::handle(const ControllerName& /*from*/, const protocol::Heartbeat& heartbeat) {
--- a/src/controller/peer_messenger.h
+++ b/src/controller/peer_messenger.h
@@ -18,6 +18,7 @@
 // The connections below the messages. The controller of a call has to be a peer.
 class PeerConnections : public PeerMessenger {
  public:
+  // Whether there is an open connection to the peer.
   virtual bool connected(const ControllerName& peer) const = 0;
   // Drops the connection to the peer with all that is queued, and connects again.
   virtual void reset(const ControllerName& peer) = 0;
--- a/src/controller/peer_service.cpp
+++ b/src/controller/peer_service.cpp
@@ -23,7 +23,7 @@
 }
 
 void PeerService::on_message(const protocol::PeerMessage& message) {
-  const auto* heartbeat = std::get_if<protocol::Heartbeat>(&message.body);
+  const auto* heartbeat = std::get_if<protocol::Heartbeat>(&message.payload);
   if (!heartbeat) {
     on_message_(message);
     return;
--- a/src/controller/peer_service.h
+++ b/src/controller/peer_service.h
@@ -21,6 +21,7 @@
   void stop();
   void on_view(const state_store::StateView::ChangeSet& changes) { heartbeats_.on_view(changes); }
 
+  // What its parts offer to the other components.
   PeerMessenger& messenger() { return links_; }
   const PeerStatus& status() const { return heartbeats_; }
   CancellationVisibility& cancellations() { return cancellations_; }
--- a/src/controller/progress_writer.h
+++ b/src/controller/progress_writer.h
@@ -20,6 +20,7 @@
   ProgressWriter(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers, LedShards& shards)
       : ctx_(ctx), messenger_(messenger), peers_(peers), shards_(shards) {}
 
+  // Writes the progress that has been unwritten for long enough, unless a transaction is under way.
   void write(ShardId id, LedShard& shard);
 
  private:
--- a/src/controller/scheduler_service.h
+++ b/src/controller/scheduler_service.h
@@ -34,6 +34,7 @@
   bool is_leader() const { return leadership_.is_leader(); }
 
   void on_view(const state_store::StateView::ChangeSet& changes);
+  // Messages of shard leaders, this controller's own included.
   void on_estimate_response(const protocol::EstimateResponse& response);
   void on_progress_report(const protocol::ProgressReport& report);
   void on_summary(const protocol::Summary& summary);
--- a/src/controller/shard_service.h
+++ b/src/controller/shard_service.h
@@ -51,6 +51,7 @@
   void on_machines_terminated(const std::vector<MachineName>& machines);
   // The leader has no use for these machines.
   void on_release(const std::vector<MachineName>& machines);
+  // What the led shards report to the leader.
   std::vector<protocol::Summary> summaries() const;
   // Tasks of the job that run on machines of led shards.
   std::uint32_t running(const JobId& id) const;
--- a/src/controller/worker_connection_pool.h
+++ b/src/controller/worker_connection_pool.h
@@ -16,6 +16,7 @@
 // idle one is closed; connections with a request in flight are never closed for that. One thread.
 class WorkerConnectionPool {
  public:
+  // To one machine.
   struct Connection {
     std::string address;
     std::shared_ptr<net::HttpClient> client;
@@ -33,6 +34,7 @@
   void release(const MachineName& machine, const std::shared_ptr<net::HttpClient>& client);
   // Closes the connection to the machine; its requests end unanswered.
   void close(const MachineName& machine);
+  // Closes all connections.
   void stop();
 
  private:
--- a/src/protocol/api.h
+++ b/src/protocol/api.h
@@ -35,25 +35,31 @@
   std::vector<JobId> depends_on;  // jobs that have to be done before any task of this one starts
 };
 
+// Tasks of one job, at most.
 constexpr std::uint32_t kMaxTasks = 100'000;
 
 // Whether a text has the form of a job id.
 bool valid_job_id(std::string_view id);
-// Throws ProtocolError.
+// A submission, or the same as the state store holds it. Throws ProtocolError.
 JobSpec parse_job(const Json& json);
+// The reverse of parse_job().
 Json job_to_json(const JobSpec& spec);
 // A list of job ids, as a job holds its dependencies. The parser throws ProtocolError.
 Json job_ids_to_json(const std::vector<JobId>& ids);
 std::vector<JobId> parse_job_ids(const Json& list);
 
+// What users see of a job.
 enum class JobState { kQueued, kRunning, kDone, kCancelled };
+// The body of the response to a submission.
 std::string render_accepted(const JobId& id, JobState state);
-// `done`, `running`: numbers of tasks.
+// The body of the response to a status request or a cancellation. `done`, `running`: numbers of tasks.
 std::string render_status(const JobId& id, JobState state, std::uint32_t done, std::uint32_t running);
+// The body of a refusal.
 std::string render_error(std::string_view reason);
 
 // Tasks are named JOB/NUMBER. None: the text is no such name.
 std::optional<TaskId> parse_task_id(std::string_view text);
+// The reverse of parse_task_id().
 std::string task_name(const TaskId& id);
 
 }  // namespace beaconsill::protocol
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -10,6 +10,7 @@
 
 namespace beaconsill::protocol {
 
+// Any JSON value.
 using Json = nlohmann::json;
 
 // A message that doesn't keep to the protocol. The text may be shown to users.
@@ -31,12 +32,15 @@
 const Json& need(const Json& json, const char* field);
 // A string that isn't empty and has at most `max_bytes`.
 std::string get_string(const Json& json, const char* field, std::size_t max_bytes = 200);
+// True or false.
 bool get_bool(const Json& json, const char* field);
+// The same; `otherwise` if the field is missing.
 bool get_bool_or(const Json& json, const char* field, bool otherwise);
 // A non-negative integer.
 std::uint64_t get_count(const Json& json, const char* field);
 // A finite number from 0 to 1e9.
 double get_amount(const Json& json, const char* field);
+// An array.
 const Json& get_list(const Json& json, const char* field);
 
 // Output that never throws, whatever bytes a string holds.
--- a/src/protocol/named_values.h
+++ b/src/protocol/named_values.h
@@ -7,6 +7,7 @@
 
 namespace beaconsill::protocol {
 
+// An enumerator and its name; a protocol has a table of them for each enumeration.
 template <class Enum>
 struct NamedValue {
   Enum value;
--- a/src/protocol/peer.cpp
+++ b/src/protocol/peer.cpp
@@ -13,7 +13,7 @@
   capnp::MallocMessageBuilder builder;
   auto root = builder.initRoot<peer::Message>();
   root.setFrom(message.from.value());
-  write_payload(root, message.body);
+  write_payload(root, message.payload);
   auto words = capnp::messageToFlatArray(builder);
   auto bytes = words.asBytes();
   return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
--- a/src/protocol/peer.h
+++ b/src/protocol/peer.h
@@ -16,6 +16,7 @@
 
 namespace beaconsill::protocol {
 
+// A shard and the term under which its leader leads it.
 struct ShardTerm {
   ShardId shard;
   Term term;
@@ -73,8 +74,10 @@
   std::uint32_t image_cached_preemptible = 0;  // of the preemptible, on machines that hold the image
   bool operator==(const ZoneCapacity&) const = default;
 };
+// The zones of a shard that have capacity.
 using CapacityByZone = std::vector<ZoneCapacity>;
 
+// A shard's answer to an EstimateRequest.
 struct EstimateResponse {
   std::uint64_t round = 0;
   ShardId shard;
@@ -141,6 +144,7 @@
   kWorks   // it was taken to fail, but some task has completed or runs well
 };
 
+// What became of the granted tasks of one job.
 struct JobProgress {
   JobId job;
   Ranges done;
@@ -155,15 +159,18 @@
   std::vector<JobProgress> jobs;
 };
 
+// Everything that controllers send each other.
 using PeerPayload =
     std::variant<Heartbeat, ChangeNotification, EstimateRequest, EstimateResponse, Summary, ReleaseMachines,
                  TerminatedMachines, RelayedHeartbeat, RelayedReply, ProgressReport>;
 
+// A message with its sender.
 struct PeerMessage {
   ControllerName from;
-  PeerPayload body;
+  PeerPayload payload;
 };
 
+// The bytes of a frame.
 std::string encode_peer(const PeerMessage& message);
 // None for anything that isn't a well-formed message.
 std::optional<PeerMessage> decode_peer(std::string_view bytes);
--- a/src/protocol/peer_messages.h
+++ b/src/protocol/peer_messages.h
@@ -6,6 +6,7 @@
 
 namespace beaconsill::protocol {
 
+// Fills in everything of the message but its sender.
 void write_payload(peer::Message::Builder builder, const PeerPayload& payload);
 // Throws kj::Exception for a message that isn't well-formed.
 PeerPayload read_payload(peer::Message::Reader reader);
--- a/src/protocol/state_store.h
+++ b/src/protocol/state_store.h
@@ -66,6 +66,7 @@
 Revision parse_revision(const Json& json);
 LeaseId parse_lease(const Json& json);
 
+// The body of a request to carry out the transaction.
 std::string render_txn(const Txn& txn);
 // A lease that expires after so many milliseconds without a renewal.
 std::string render_lease(std::uint32_t ttl_ms);
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -10,6 +10,7 @@
 
 namespace beaconsill::protocol {
 
+// The phase of a task on its machine.
 enum class TaskState { kFetching, kWaiting, kRunning, kSaving, kEnded };
 // Why a task ended, as the agent reports it. kError also stands for causes that aren't known.
 enum class EndCause { kDone, kStopped, kPeersGone, kAlone, kError, kNoCapacityLeft, kBusy, kUnknown };
@@ -42,7 +43,7 @@
   }
 };
 
-// Throws ProtocolError.
+// The body of a heartbeat, or of an agent's answer to commands. Throws ProtocolError.
 WorkerHeartbeat parse_worker_heartbeat(const Json& json);
 
 // What an agent is to do with a task.
--- a/tests/encoding_samples_peer_test.cpp
+++ b/tests/encoding_samples_peer_test.cpp
@@ -225,7 +225,7 @@
       "0100000032000000 72756e2d31000000";
   const auto message = decode_peer(from_words(words));
   ASSERT_TRUE(message);
-  const auto& decoded = std::get<Summary>(message->body);
+  const auto& decoded = std::get<Summary>(message->payload);
   EXPECT_EQ(decoded.page, 0u);
   EXPECT_FALSE(decoded.more);
   auto expected = summary();
@@ -243,7 +243,7 @@
       "0400000001000100 0300000000000000 0100000032000000 31302d3132000000";
   const auto message = decode_peer(from_words(words));
   ASSERT_TRUE(message);
-  const auto& decoded = std::get<ProgressReport>(message->body);
+  const auto& decoded = std::get<ProgressReport>(message->payload);
   ASSERT_EQ(decoded.jobs.size(), 1u);
   EXPECT_EQ(decoded.jobs.front().health, JobHealth::kNone);
   EXPECT_EQ(encode(decoded), encode(progress_report(JobHealth::kNone)));
--- a/tests/paging_test.cpp
+++ b/tests/paging_test.cpp
@@ -38,7 +38,7 @@
       EXPECT_LT(bytes.size(), kMaxFrame);
       auto m = decode_peer(bytes);
       ASSERT_TRUE(m);
-      whole = assembler.add(std::get<Summary>(m->body));
+      whole = assembler.add(std::get<Summary>(m->payload));
     }
     ASSERT_TRUE(whole);
     EXPECT_EQ(whole->machines.size(), c.machines);
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -208,7 +208,7 @@
     auto back = decode_peer(bytes);
     ASSERT_TRUE(back) << body.index();
     EXPECT_EQ(back->from, ControllerName("n1"));
-    EXPECT_EQ(back->body.index(), body.index());
+    EXPECT_EQ(back->payload.index(), body.index());
     EXPECT_EQ(encode_peer(*back), bytes) << body.index();
     // Cut off anywhere, it must be refused or read as something, never crash.
     for (std::size_t n = 0; n < bytes.size(); n += 8) decode_peer(std::string_view(bytes).substr(0, n));
@@ -216,16 +216,16 @@
   EXPECT_FALSE(decode_peer("garbage!"));
   EXPECT_FALSE(decode_peer("odd"));
   auto estimate_request =
-      std::get<EstimateRequest>(decode_peer(encode_peer({ControllerName("n"), bodies[3]}))->body);
+      std::get<EstimateRequest>(decode_peer(encode_peer({ControllerName("n"), bodies[3]}))->payload);
   EXPECT_EQ(estimate_request.resource_requests[0], resource_request);
-  auto progress_report =
-      std::get<ProgressReport>(decode_peer(encode_peer({ControllerName("n"), *std::rbegin(bodies)}))->body);
+  auto progress_report = std::get<ProgressReport>(
+      decode_peer(encode_peer({ControllerName("n"), *std::rbegin(bodies)}))->payload);
   std::vector<JobHealth> health;
   for (const auto& job : progress_report.jobs) health.push_back(job.health);
   EXPECT_EQ(health, (std::vector{JobHealth::kNone, JobHealth::kNone, JobHealth::kFails, JobHealth::kWorks}));
   // A heartbeat of a version without a cancellation sync differs from one that has nothing to sync.
   auto heartbeat = [&](std::size_t i) {
-    return std::get<Heartbeat>(decode_peer(encode_peer({ControllerName("n"), bodies[i]}))->body);
+    return std::get<Heartbeat>(decode_peer(encode_peer({ControllerName("n"), bodies[i]}))->payload);
   };
   EXPECT_FALSE(heartbeat(0).cancellation_sync);
   auto cancellation_sync = heartbeat(1).cancellation_sync;
