--- a/tests/paging_test.cpp
+++ b/tests/paging_test.cpp
@@ -8,48 +8,48 @@
 
 constexpr std::size_t kMaxFrame = std::size_t{1024} * 1024;  // of all versions' receivers
 
-Summary summary(std::size_t machines, std::size_t jobs) {
-  Summary s{ShardId(1), Term(7), Revision(30), {}, {}};
+Summary make_summary(std::size_t machines, std::size_t jobs) {
+  Summary summary{ShardId(1), Term(7), Revision(30), {}, {}};
   for (std::size_t i = 0; i < machines; ++i)
-    s.machines.push_back({MachineName("host-" + std::to_string(1000000 + i)),
-                          MachineType("a-type-of-thirty-characters-xx"),
-                          Zone("a-zone-of-thirty-characters-xx"),
-                          true,
-                          {4, 0, 16},
-                          3.5,
-                          true});
+    summary.machines.push_back({MachineName("host-" + std::to_string(1000000 + i)),
+                                MachineType("a-type-of-thirty-characters-xx"),
+                                Zone("a-zone-of-thirty-characters-xx"),
+                                true,
+                                {4, 0, 16},
+                                3.5,
+                                true});
   for (std::size_t i = 0; i < jobs; ++i)
-    s.running.push_back({JobId("run-" + std::to_string(10000000 + i)), 3});
-  return s;
+    summary.running.push_back({JobId("run-" + std::to_string(10000000 + i)), 3});
+  return summary;
 }
 
 TEST(Paging, ASummaryOfAnySizeArrivesWhole) {
   struct Case {
     std::size_t machines, jobs, pages;
   };
-  for (const auto& c : {Case{0, 0, 1}, Case{1, 1, 1}, Case{700, 4000, 1}, Case{6000, 60000, 7}}) {
+  for (const auto& test_case : {Case{0, 0, 1}, Case{1, 1, 1}, Case{700, 4000, 1}, Case{6000, 60000, 7}}) {
     SummaryAssembler assembler;
     std::optional<Summary> whole;
-    auto pages = paged(summary(c.machines, c.jobs));
-    EXPECT_EQ(pages.size(), c.pages);
+    auto pages = paged(make_summary(test_case.machines, test_case.jobs));
+    EXPECT_EQ(pages.size(), test_case.pages);
     for (const auto& page : pages) {
       EXPECT_FALSE(whole);
       auto bytes = encode_peer({ControllerName("a"), page});
       EXPECT_LT(bytes.size(), kMaxFrame);
-      auto m = decode_peer(bytes);
-      ASSERT_TRUE(m);
-      whole = assembler.add(std::get<Summary>(m->payload));
+      auto message = decode_peer(bytes);
+      ASSERT_TRUE(message);
+      whole = assembler.add(std::get<Summary>(message->payload));
     }
     ASSERT_TRUE(whole);
-    EXPECT_EQ(whole->machines.size(), c.machines);
-    EXPECT_EQ(whole->running.size(), c.jobs);
+    EXPECT_EQ(whole->machines.size(), test_case.machines);
+    EXPECT_EQ(whole->running.size(), test_case.jobs);
     EXPECT_EQ(whole->term, Term(7));
     EXPECT_EQ(whole->seen, Revision(30));
   }
 }
 
 TEST(Paging, ASummaryWithoutOneOfItsPagesIsDropped) {
-  auto pages = paged(summary(0, 60), 800);
+  auto pages = paged(make_summary(0, 60), 800);
   ASSERT_GE(pages.size(), 3u);
   SummaryAssembler assembler;
   for (std::size_t i = 0; i < pages.size(); ++i) {
@@ -68,7 +68,7 @@
   other.term = Term(8);
   EXPECT_FALSE(assembler.add(other));
   // Versions without pages send a single message.
-  EXPECT_TRUE(assembler.add(summary(2, 2)));
+  EXPECT_TRUE(assembler.add(make_summary(2, 2)));
 }
 
 TEST(Paging, ProgressReportsOfAnySizeFitIntoFrames) {
