--- a/src/api/cancellation.cpp
+++ b/src/api/cancellation.cpp
@@ -36,7 +36,7 @@
   if (result) {
     context_.reader->apply_own(txn, *result);
     reply(status_.status_response(id, protocol::JobState::kCancelled));
-    return context_.hooks.changed(*result);
+    return context_.hooks.on_change(*result);
   }
   if (result.error() != TxnError::kConflict && result.error() != TxnError::kUnknown)
     return reply(retry_later(kUnreachable));
--- a/src/protocol/peer.cpp
+++ b/src/protocol/peer.cpp
@@ -13,7 +13,7 @@
   capnp::MallocMessageBuilder builder;
   auto root = builder.initRoot<peer::Message>();
   root.setFrom(message.from.value());
-  write_payload(root, message.body);
+  write_payload(root, message.payload);
   auto words = capnp::messageToFlatArray(builder);
   auto bytes = words.asBytes();
   // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): Cap'n Proto's bytes are unsigned.
