--- a/tests/dependency_records_test.cpp
+++ b/tests/dependency_records_test.cpp
@@ -11,8 +11,8 @@
 
 using protocol::Json;
 
-JobId run(std::size_t n) {
-  return JobId("run-" + std::to_string(100000 + n));
+JobId run(std::size_t number) {
+  return JobId("run-" + std::to_string(100000 + number));
 }
 
 Json submission() {
@@ -20,9 +20,9 @@
   return protocol::parse_json(job_json("run-000412", "batch", 3, "high"));
 }
 
-Json names(std::size_t n) {
+Json names(std::size_t count) {
   Json list = Json::array();
-  for (std::size_t i = 0; i < n; ++i) list.push_back(run(i).value());
+  for (std::size_t i = 0; i < count; ++i) list.push_back(run(i).value());
   return list;
 }
 
@@ -51,22 +51,22 @@
       {"the job itself", {"run-000398", "run-000412"}, std::nullopt},
       {"a repeated name", {"run-000398", "run-000405", "run-000398"}, std::nullopt},
   };
-  for (const auto& c : cases) {
-    Json j = submission();
-    j["awaits"] = c.depends_on;
-    if (!c.count) {
-      EXPECT_THROW(protocol::parse_job(j), protocol::ProtocolError) << c.what;
+  for (const auto& test_case : cases) {
+    Json json = submission();
+    json["awaits"] = test_case.depends_on;
+    if (!test_case.count) {
+      EXPECT_THROW(protocol::parse_job(json), protocol::ProtocolError) << test_case.what;
       continue;
     }
-    EXPECT_EQ(protocol::parse_job(j).depends_on.size(), *c.count) << c.what;
+    EXPECT_EQ(protocol::parse_job(json).depends_on.size(), *test_case.count) << test_case.what;
   }
   EXPECT_TRUE(protocol::parse_job(submission()).depends_on.empty());
 }
 
 JobRecord record(const JobId& id, std::vector<JobId> depends_on) {
-  Json j = submission();
-  j["ref"] = id.value();
-  auto spec = protocol::parse_job(j);
+  Json json = submission();
+  json["ref"] = id.value();
+  auto spec = protocol::parse_job(json);
   spec.depends_on = std::move(depends_on);
   return {std::make_shared<const protocol::JobSpec>(std::move(spec)), WallMs(5)};
 }
@@ -77,21 +77,23 @@
     std::size_t dependency, max_bytes;
     std::size_t keys;
   };
-  for (const auto& c : {Case{0, 2048, 0}, Case{100, 2048, 0}, Case{200, 2048, 2}, Case{4600, 2048, 30},
-                        Case{2000, 32768, 0}, Case{4600, 32768, 2}, Case{4600, 1024, 60}}) {
+  for (const auto& test_case :
+       {Case{0, 2048, 0}, Case{100, 2048, 0}, Case{200, 2048, 2}, Case{4600, 2048, 30}, Case{2000, 32768, 0},
+        Case{4600, 32768, 2}, Case{4600, 1024, 60}}) {
     std::vector<JobId> dependency;
-    for (std::size_t i = 0; i < c.dependency; ++i) dependency.push_back(run(i));
-    auto values = fit_job(record(run(9000), dependency), c.max_bytes);
-    ASSERT_TRUE(values) << c.dependency;
-    EXPECT_EQ(values->depends_on.size(), c.keys) << c.dependency << " " << c.max_bytes;
-    EXPECT_LE(value_bytes(to_json(values->record)), c.max_bytes);
+    for (std::size_t i = 0; i < test_case.dependency; ++i) dependency.push_back(run(i));
+    auto values = fit_job(record(run(9000), dependency), test_case.max_bytes);
+    ASSERT_TRUE(values) << test_case.dependency;
+    EXPECT_EQ(values->depends_on.size(), test_case.keys)
+        << test_case.dependency << " " << test_case.max_bytes;
+    EXPECT_LE(value_bytes(to_json(values->record)), test_case.max_bytes);
     auto read = parse_job_record(protocol::parse_json(protocol::dump(to_json(values->record))));
-    EXPECT_EQ(read.dependency_keys, c.keys);
+    EXPECT_EQ(read.dependency_keys, test_case.keys);
     auto names = read.spec->depends_on;
     for (const auto& segment : values->depends_on) {
-      auto j = protocol::parse_json(protocol::dump(to_json(segment)));
-      EXPECT_LE(protocol::dump(j).size(), c.max_bytes);
-      auto some = parse_dependency_segment(j).depends_on;
+      auto json = protocol::parse_json(protocol::dump(to_json(segment)));
+      EXPECT_LE(protocol::dump(json).size(), test_case.max_bytes);
+      auto some = parse_dependency_segment(json).depends_on;
       names.insert(names.end(), some.begin(), some.end());
     }
     EXPECT_EQ(names, dependency);
@@ -151,8 +153,8 @@
   void job(const JobId& id, std::vector<JobId> depends_on = {}) {
     put(job_key(id), to_json(record(id, std::move(depends_on))));
   }
-  void end(const JobId& id, TerminalState e, std::int64_t at = 0) {
-    put(terminal_key(id), to_json(TerminalRecord{e, 0, WallMs(at)}));
+  void end(const JobId& id, TerminalState state, std::int64_t at = 0) {
+    put(terminal_key(id), to_json(TerminalRecord{state, 0, WallMs(at)}));
   }
   void drop(const std::string& key) { view.apply({key, std::nullopt, Revision(++revision)}); }
   bool ready(const JobId& id) const { return view.dependencies().ready_since(id, WallMs()).has_value(); }
@@ -162,22 +164,22 @@
 
 TEST(FormatVersions, AllSupportItOnceEachHasAdvertisedItAndNoneHasGoneBack) {
   const std::vector<ControllerName> controllers{ControllerName("a"), ControllerName("b")};
-  Records r;
-  auto advertise = [&](Versions v) { r.put(versions_key(), to_json(v)); };
-  EXPECT_FALSE(r.view.all_support(1, controllers));
+  Records records;
+  auto advertise = [&](Versions versions) { records.put(versions_key(), to_json(versions)); };
+  EXPECT_FALSE(records.view.all_support(1, controllers));
   advertise({{ControllerName("a"), 1}});
-  EXPECT_FALSE(r.view.all_support(1, controllers));
+  EXPECT_FALSE(records.view.all_support(1, controllers));
   advertise({{ControllerName("a"), 1}, {ControllerName("b"), 0}});
-  EXPECT_FALSE(r.view.all_support(1, controllers));
+  EXPECT_FALSE(records.view.all_support(1, controllers));
   advertise({{ControllerName("a"), 1}, {ControllerName("b"), 1}});
-  EXPECT_TRUE(r.view.all_support(1, controllers));
+  EXPECT_TRUE(records.view.all_support(1, controllers));
   // One that is away for a while doesn't count against it, an old process that is back does.
-  r.put(alive_key(ControllerName("b")), Json{{"up", true}});
-  EXPECT_FALSE(r.view.all_support(1, controllers));
-  r.drop(alive_key(ControllerName("b")));
-  EXPECT_TRUE(r.view.all_support(1, controllers));
-  r.put(alive_key(ControllerName("b")), alive_value());
-  EXPECT_TRUE(r.view.all_support(1, controllers));
+  records.put(alive_key(ControllerName("b")), Json{{"up", true}});
+  EXPECT_FALSE(records.view.all_support(1, controllers));
+  records.drop(alive_key(ControllerName("b")));
+  EXPECT_TRUE(records.view.all_support(1, controllers));
+  records.put(alive_key(ControllerName("b")), alive_value());
+  EXPECT_TRUE(records.view.all_support(1, controllers));
 }
 
 // Pages are read one after the other, so a record may be read before its keys: until all are there the job
@@ -191,53 +193,55 @@
   ASSERT_EQ(keys, 2u);
   // The record first, in the middle, and last.
   for (std::size_t place = 0; place <= keys; ++place) {
-    Records r;
-    for (std::size_t i = 0; i < 300; ++i) r.job(run(i));
-    for (std::size_t k = 0; k <= keys; ++k) {
-      EXPECT_FALSE(r.view.job(run(9000)) && k < keys) << place << " " << k;
-      EXPECT_FALSE(r.ready(run(9000)));
-      if (k == place) r.put(job_key(run(9000)), to_json(values->record));
-      if (k < keys)
-        r.put(dependency_key(run(9000), static_cast<std::uint32_t>(k)), to_json(values->depends_on[k]));
+    Records records;
+    for (std::size_t i = 0; i < 300; ++i) records.job(run(i));
+    for (std::size_t segment = 0; segment <= keys; ++segment) {
+      EXPECT_FALSE(records.view.job(run(9000)) && segment < keys) << place << " " << segment;
+      EXPECT_FALSE(records.ready(run(9000)));
+      if (segment == place) records.put(job_key(run(9000)), to_json(values->record));
+      if (segment < keys)
+        records.put(dependency_key(run(9000), static_cast<std::uint32_t>(segment)),
+                    to_json(values->depends_on[segment]));
     }
-    ASSERT_TRUE(r.view.job(run(9000))) << place;
-    EXPECT_EQ(r.view.job(run(9000))->record.spec->depends_on, dependency);
-    EXPECT_TRUE(r.view.dependencies().waiting(run(9000)));
-    for (std::size_t i = 0; i < 299; ++i) r.end(run(i), TerminalState::kDone);
-    EXPECT_FALSE(r.ready(run(9000)));
+    ASSERT_TRUE(records.view.job(run(9000))) << place;
+    EXPECT_EQ(records.view.job(run(9000))->record.spec->depends_on, dependency);
+    EXPECT_TRUE(records.view.dependencies().waiting(run(9000)));
+    for (std::size_t i = 0; i < 299; ++i) records.end(run(i), TerminalState::kDone);
+    EXPECT_FALSE(records.ready(run(9000)));
     if (place == 0) {
-      r.end(run(299), TerminalState::kDone);
-      EXPECT_TRUE(r.ready(run(9000)));
+      records.end(run(299), TerminalState::kDone);
+      EXPECT_TRUE(records.ready(run(9000)));
     } else {
-      r.end(run(299), TerminalState::kCancelled);
-      EXPECT_TRUE(r.cancelled(run(9000)));
+      records.end(run(299), TerminalState::kCancelled);
+      EXPECT_TRUE(records.cancelled(run(9000)));
     }
     // The record goes first, the keys after it.
-    r.drop(job_key(run(9000)));
-    EXPECT_EQ(r.view.dependency_keys(run(9000)).size(), keys);
-    for (std::size_t k = 0; k < keys; ++k) r.drop(dependency_key(run(9000), static_cast<std::uint32_t>(k)));
-    EXPECT_TRUE(r.view.all_dependency_keys().empty());
+    records.drop(job_key(run(9000)));
+    EXPECT_EQ(records.view.dependency_keys(run(9000)).size(), keys);
+    for (std::size_t segment = 0; segment < keys; ++segment)
+      records.drop(dependency_key(run(9000), static_cast<std::uint32_t>(segment)));
+    EXPECT_TRUE(records.view.all_dependency_keys().empty());
   }
 }
 
 TEST(Dependencies, ReadyOnlyOnceAllAreDone) {
-  Records r;
-  for (std::size_t i = 0; i < 3; ++i) r.job(run(i));
-  r.job(run(9), {run(0), run(1), run(2)});
-  r.end(run(1), TerminalState::kDone, 500);
-  r.end(run(0), TerminalState::kDone, 400);
-  EXPECT_FALSE(r.ready(run(9)));
-  EXPECT_TRUE(r.view.dependencies().waiting(run(9)));
-  r.view.take_changes();
-  r.end(run(2), TerminalState::kDone);  // by a version that doesn't say when
-  EXPECT_TRUE(r.view.take_changes().jobs.contains(run(9)));
-  ASSERT_TRUE(r.ready(run(9)));
-  EXPECT_EQ(*r.view.dependencies().ready_since(run(9), WallMs(900)), WallMs(500));
+  Records records;
+  for (std::size_t i = 0; i < 3; ++i) records.job(run(i));
+  records.job(run(9), {run(0), run(1), run(2)});
+  records.end(run(1), TerminalState::kDone, 500);
+  records.end(run(0), TerminalState::kDone, 400);
+  EXPECT_FALSE(records.ready(run(9)));
+  EXPECT_TRUE(records.view.dependencies().waiting(run(9)));
+  records.view.take_changes();
+  records.end(run(2), TerminalState::kDone);  // by a version that doesn't say when
+  EXPECT_TRUE(records.view.take_changes().jobs.contains(run(9)));
+  ASSERT_TRUE(records.ready(run(9)));
+  EXPECT_EQ(*records.view.dependencies().ready_since(run(9), WallMs(900)), WallMs(500));
   // Submitted when all are over and their records are dropped: ready at once.
-  for (std::size_t i = 0; i < 3; ++i) r.drop(job_key(run(i)));
-  r.job(run(10), {run(0), run(1), run(2)});
-  EXPECT_TRUE(r.ready(run(10)));
-  EXPECT_FALSE(r.view.terminal_state(run(10)));
+  for (std::size_t i = 0; i < 3; ++i) records.drop(job_key(run(i)));
+  records.job(run(10), {run(0), run(1), run(2)});
+  EXPECT_TRUE(records.ready(run(10)));
+  EXPECT_FALSE(records.view.terminal_state(run(10)));
 }
 
 TEST(Dependencies, WithoutARecordedTimeAJobIsReadySinceTheGivenOne) {
@@ -266,30 +270,31 @@
       {"one side of a diamond", {{}, {0}, {0}, {1, 2}}, 2, {3}},
       {"joined from two heads", {{}, {}, {0, 1}, {1}}, 0, {2}},
   };
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     // Whatever the order in which the records are read.
     for (int order = 0; order < 4; ++order) {
-      Records r;
-      auto write_terminal_record = [&] { r.end(run(c.cancelled), TerminalState::kCancelled); };
+      Records records;
+      auto write_terminal_record = [&] { records.end(run(test_case.cancelled), TerminalState::kCancelled); };
       auto write_jobs = [&](bool backwards) {
-        for (std::size_t k = 0; k < c.depends_on.size(); ++k) {
-          auto i = backwards ? c.depends_on.size() - 1 - k : k;
+        for (std::size_t position = 0; position < test_case.depends_on.size(); ++position) {
+          auto job = backwards ? test_case.depends_on.size() - 1 - position : position;
           std::vector<JobId> depends_on;
-          for (auto a : c.depends_on[i]) depends_on.push_back(run(a));
-          r.job(run(i), depends_on);
+          for (auto dependency : test_case.depends_on[job]) depends_on.push_back(run(dependency));
+          records.job(run(job), depends_on);
         }
       };
       if (order < 2) write_terminal_record();
       write_jobs(order % 2 == 1);
       if (order >= 2) write_terminal_record();
-      for (std::size_t i = 0; i < c.depends_on.size(); ++i) {
-        bool want = i == c.cancelled || c.reached.contains(i);
-        EXPECT_EQ(r.cancelled(run(i)), want) << c.what << ", order " << order << ", job " << i;
-        EXPECT_FALSE(want && r.ready(run(i))) << c.what;
-        auto by = want ? r.view.terminal_record(run(c.cancelled)).revision : Revision();
-        EXPECT_EQ(r.view.terminal_revision(run(i)), by) << c.what;
+      for (std::size_t job = 0; job < test_case.depends_on.size(); ++job) {
+        bool want = job == test_case.cancelled || test_case.reached.contains(job);
+        EXPECT_EQ(records.cancelled(run(job)), want)
+            << test_case.what << ", order " << order << ", job " << job;
+        EXPECT_FALSE(want && records.ready(run(job))) << test_case.what;
+        auto by = want ? records.view.terminal_record(run(test_case.cancelled)).revision : Revision();
+        EXPECT_EQ(records.view.terminal_revision(run(job)), by) << test_case.what;
       }
-      EXPECT_EQ(r.view.dependencies().unrecorded().size(), c.reached.size()) << c.what;
+      EXPECT_EQ(records.view.dependencies().unrecorded().size(), test_case.reached.size()) << test_case.what;
     }
   }
 }
@@ -298,61 +303,64 @@
 // must tell the same.
 TEST(Dependencies, StatesStandWhileTerminalRecordsAreWrittenAndRecordsDropped) {
   constexpr std::size_t kJobs = 300;
-  Records r;
-  for (std::size_t i = 0; i < kJobs; ++i) r.job(run(i), i ? std::vector{run(i - 1)} : std::vector<JobId>{});
-  r.end(run(0), TerminalState::kCancelled);
+  Records records;
+  for (std::size_t i = 0; i < kJobs; ++i)
+    records.job(run(i), i ? std::vector{run(i - 1)} : std::vector<JobId>{});
+  records.end(run(0), TerminalState::kCancelled);
   for (std::size_t i = 0; i < kJobs; ++i) {
     auto id = run(i * 7 % kJobs);
-    if (!r.view.terminal_record(id).exists()) r.end(id, TerminalState::kCancelled);
-    r.drop(job_key(id));
-    for (std::size_t k = 0; k < kJobs; k += 11) ASSERT_TRUE(r.cancelled(run(k))) << i << " " << k;
+    if (!records.view.terminal_record(id).exists()) records.end(id, TerminalState::kCancelled);
+    records.drop(job_key(id));
+    for (std::size_t job = 0; job < kJobs; job += 11)
+      ASSERT_TRUE(records.cancelled(run(job))) << i << " " << job;
   }
-  EXPECT_TRUE(r.view.dependencies().unrecorded().empty());
+  EXPECT_TRUE(records.view.dependencies().unrecorded().empty());
   // Submitted afterwards, naming one in the middle: accepted, and cancelled at once.
-  r.job(run(5000), {run(150)});
-  EXPECT_TRUE(r.cancelled(run(5000)));
+  records.job(run(5000), {run(150)});
+  EXPECT_TRUE(records.cancelled(run(5000)));
 }
 
 TEST(Dependencies, ACancellationAfterTheJobIsDoneChangesNothing) {
-  Records r;
-  r.job(run(0));
-  r.job(run(1), {run(0)});
-  r.job(run(2), {run(1)});
-  r.end(run(0), TerminalState::kDone);
+  Records records;
+  records.job(run(0));
+  records.job(run(1), {run(0)});
+  records.job(run(2), {run(1)});
+  records.end(run(0), TerminalState::kDone);
   // The cancellation came too late: the record that is there stands.
-  EXPECT_FALSE(r.cancelled(run(1)));
-  EXPECT_TRUE(r.ready(run(1)));
-  EXPECT_FALSE(r.ready(run(2)));
+  EXPECT_FALSE(records.cancelled(run(1)));
+  EXPECT_TRUE(records.ready(run(1)));
+  EXPECT_FALSE(records.ready(run(2)));
   // The user calls off a job in the middle: what is behind it goes, what is before it stays done.
-  r.end(run(1), TerminalState::kCancelled);
-  EXPECT_TRUE(r.cancelled(run(2)));
-  EXPECT_EQ(r.view.terminal_state(run(0)), TerminalState::kDone);
+  records.end(run(1), TerminalState::kCancelled);
+  EXPECT_TRUE(records.cancelled(run(2)));
+  EXPECT_EQ(records.view.terminal_state(run(0)), TerminalState::kDone);
 }
 
 // A chain of thousands (no recursion), and what events cost with ten thousand jobs that wait.
 TEST(Dependencies, CostNoMoreThanWhatChanges) {
   constexpr std::size_t kChain = 5000, kPairs = 5000;
-  Records r;
-  for (std::size_t i = 0; i < kChain; ++i) r.job(run(i), i ? std::vector{run(i - 1)} : std::vector<JobId>{});
+  Records records;
+  for (std::size_t i = 0; i < kChain; ++i)
+    records.job(run(i), i ? std::vector{run(i - 1)} : std::vector<JobId>{});
   for (std::size_t i = 0; i < kPairs; ++i) {
-    r.job(run(10000 + i));
-    r.job(run(20000 + i), {run(10000 + i)});
+    records.job(run(10000 + i));
+    records.job(run(20000 + i), {run(10000 + i)});
   }
-  auto before = r.visited_count();
-  r.end(run(10007), TerminalState::kDone);
-  EXPECT_LE(r.visited_count() - before, 1u);
-  before = r.visited_count();
-  r.end(run(10008), TerminalState::kCancelled);
-  EXPECT_LE(r.visited_count() - before, 1u);
-  before = r.visited_count();
-  r.job(run(30000), {run(4999), run(10009)});
-  EXPECT_LE(r.visited_count() - before, 2u);
-  before = r.visited_count();
-  r.end(run(0), TerminalState::kCancelled);
-  EXPECT_LE(r.visited_count() - before, kChain + 1);
-  EXPECT_TRUE(r.cancelled(run(4999)));
-  EXPECT_TRUE(r.cancelled(run(30000)));
-  EXPECT_FALSE(r.cancelled(run(20009)));
+  auto before = records.visited_count();
+  records.end(run(10007), TerminalState::kDone);
+  EXPECT_LE(records.visited_count() - before, 1u);
+  before = records.visited_count();
+  records.end(run(10008), TerminalState::kCancelled);
+  EXPECT_LE(records.visited_count() - before, 1u);
+  before = records.visited_count();
+  records.job(run(30000), {run(4999), run(10009)});
+  EXPECT_LE(records.visited_count() - before, 2u);
+  before = records.visited_count();
+  records.end(run(0), TerminalState::kCancelled);
+  EXPECT_LE(records.visited_count() - before, kChain + 1);
+  EXPECT_TRUE(records.cancelled(run(4999)));
+  EXPECT_TRUE(records.cancelled(run(30000)));
+  EXPECT_FALSE(records.cancelled(run(20009)));
 }
 
 }  // namespace
--- a/tests/message_parser_test.cpp
+++ b/tests/message_parser_test.cpp
@@ -52,21 +52,21 @@
        "/p", "xyzxyzxyzxy", true},
       {"not HTTP", "hello\r\n\r\n", Status::kMalformed, "", "", true},
   };
-  for (const auto& c : cases) {
-    for (std::size_t step : {std::size_t{1}, std::size_t{7}, c.bytes.size()}) {
+  for (const auto& test_case : cases) {
+    for (std::size_t step : {std::size_t{1}, std::size_t{7}, test_case.bytes.size()}) {
       CollectingSink sink;
       MessageParser parser(HTTP_REQUEST, sink);
       auto status = Status::kIncomplete;
-      for (std::size_t i = 0; i < c.bytes.size() && status == Status::kIncomplete; i += step)
-        status = parser.parse(std::string_view(c.bytes).substr(i, step)).status;
-      EXPECT_EQ(status, c.status) << c.what << ", " << step;
-      EXPECT_EQ(sink.target, c.target) << c.what << ", " << step;
-      if (c.status != Status::kMalformed) {
-        EXPECT_EQ(sink.body, c.body) << c.what << ", " << step;
+      for (std::size_t i = 0; i < test_case.bytes.size() && status == Status::kIncomplete; i += step)
+        status = parser.parse(std::string_view(test_case.bytes).substr(i, step)).status;
+      EXPECT_EQ(status, test_case.status) << test_case.what << ", " << step;
+      EXPECT_EQ(sink.target, test_case.target) << test_case.what << ", " << step;
+      if (test_case.status != Status::kMalformed) {
+        EXPECT_EQ(sink.body, test_case.body) << test_case.what << ", " << step;
       }
-      if (c.status == Status::kComplete) {
-        EXPECT_EQ(parser.keep_alive(), c.keep_alive) << c.what;
-        EXPECT_EQ(parser.method(), c.bytes.substr(0, c.bytes.find(' '))) << c.what;
+      if (test_case.status == Status::kComplete) {
+        EXPECT_EQ(parser.keep_alive(), test_case.keep_alive) << test_case.what;
+        EXPECT_EQ(parser.method(), test_case.bytes.substr(0, test_case.bytes.find(' '))) << test_case.what;
       }
     }
   }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -25,10 +25,11 @@
 struct Echo {
   explicit Echo(ServerLimits limits = {}) {
     server = std::make_shared<HttpServer>(
-        io, any_port(), limits, [](const Request& r) { return r.path == "/user"; },
-        [this](Request r, HttpServer::Reply reply) {
+        io, any_port(), limits, [](const Request& request) { return request.path == "/user"; },
+        [this](Request request, HttpServer::Reply reply) {
           ++handled;
-          reply({200, r.method + " " + r.path + "?" + r.query + " " + r.body, std::nullopt, false});
+          reply({200, request.method + " " + request.path + "?" + request.query + " " + request.body,
+                 std::nullopt, false});
         });
     server->start();
   }
@@ -37,37 +38,37 @@
     io.poll();
   }
   // Sends raw bytes, returns what comes back until `count` responses or the connection's end.
-  std::string raw(const std::string& bytes, bool shut = false) {
-    Tcp::socket s(io);
-    s.connect(server->local());
-    std::string got;
+  std::string raw(const std::string& bytes, bool close_sending = false) {
+    Tcp::socket socket(io);
+    socket.connect(server->local());
+    std::string received;
     bool over = false;
     std::array<char, 4096> buffer;
     std::function<void()> read = [&] {
-      s.async_read_some(asio::buffer(buffer), [&](std::error_code ec, std::size_t n) {
+      socket.async_read_some(asio::buffer(buffer), [&](std::error_code ec, std::size_t size) {
         if (ec) {
           over = true;
           return;
         }
-        got.append(buffer.data(), n);
+        received.append(buffer.data(), size);
         read();
       });
     };
     read();
-    asio::write(s, asio::buffer(bytes));
-    if (shut) s.shutdown(Tcp::socket::shutdown_send);
+    asio::write(socket, asio::buffer(bytes));
+    if (close_sending) socket.shutdown(Tcp::socket::shutdown_send);
     run_until(io, [&] { return over; });
-    return got;
+    return received;
   }
   asio::io_context io;
   std::shared_ptr<HttpServer> server;
   int handled = 0;
 };
 
-std::size_t count(const std::string& s, const std::string& what) {
-  std::size_t n = 0;
-  for (auto at = s.find(what); at != std::string::npos; at = s.find(what, at + 1)) ++n;
-  return n;
+std::size_t count(const std::string& text, const std::string& what) {
+  std::size_t found = 0;
+  for (auto at = text.find(what); at != std::string::npos; at = text.find(what, at + 1)) ++found;
+  return found;
 }
 
 TEST(HttpServer, RequestsGoodAndBad) {
@@ -92,41 +93,41 @@
       {"target too long", "GET /" + std::string(20000, 'x') + " HTTP/1.1\r\n\r\n", 0, 1},
       {"good, then bad", get + "\x01\x02\r\n\r\n", 1, 1},
   };
-  for (const auto& c : cases) {
-    Echo e;
-    auto got = e.raw(c.bytes);
-    EXPECT_EQ(count(got, "HTTP/1.1 200"), c.good) << c.what << "\n" << got;
-    EXPECT_EQ(count(got, "HTTP/1.1 4"), c.bad) << c.what << "\n" << got;
+  for (const auto& test_case : cases) {
+    Echo echo;
+    auto got = echo.raw(test_case.bytes);
+    EXPECT_EQ(count(got, "HTTP/1.1 200"), test_case.good) << test_case.what << "\n" << got;
+    EXPECT_EQ(count(got, "HTTP/1.1 4"), test_case.bad) << test_case.what << "\n" << got;
   }
 }
 
 TEST(HttpServer, TruncatedRequestsAreDropped) {
   for (const char* bytes : {"", "GET / HT", "POST /p HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc"}) {
-    Echo e;
-    auto got = e.raw(bytes, true);
+    Echo echo;
+    auto got = echo.raw(bytes, true);
     EXPECT_EQ(count(got, "HTTP/1.1 200"), 0u) << bytes;
-    EXPECT_EQ(e.handled, 0) << bytes;
-    EXPECT_EQ(e.server->connections(), 0u) << bytes;
+    EXPECT_EQ(echo.handled, 0) << bytes;
+    EXPECT_EQ(echo.server->connections(), 0u) << bytes;
   }
 }
 
 TEST(HttpServer, UsersBeyondTheirLimitAreRefusedForNow) {
   ServerLimits limits;
   limits.max_user_connections = 1;
-  Echo e(limits);
-  auto client = [&] { return std::make_shared<HttpClient>(e.io, e.server->local(), 1); };
+  Echo echo(limits);
+  auto client = [&] { return std::make_shared<HttpClient>(echo.io, echo.server->local(), 1); };
   auto first_user = client(), second_user = client(), agent = client();
   std::vector<int> statuses;
   std::optional<int> retry;
-  auto request = [&](auto& c, const char* path) {
+  auto request = [&](auto& sender, const char* path) {
     bool got = false;
-    c->request("GET", path, "", std::chrono::seconds(5), [&](Result result) {
+    sender->request("GET", path, "", std::chrono::seconds(5), [&](Result result) {
       ASSERT_TRUE(result);
       statuses.push_back(result->status);
       if (result->status == 503) retry = result->retry_after_s;
       got = true;
     });
-    run_until(e.io, [&] { return got; });
+    run_until(echo.io, [&] { return got; });
   };
   request(first_user, "/user");
   request(second_user, "/user");
@@ -140,20 +141,20 @@
 TEST(HttpServer, TheLongestIdleIsEvicted) {
   ServerLimits limits;
   limits.max_connections = 2;
-  Echo e(limits);
+  Echo echo(limits);
   std::vector<std::shared_ptr<HttpClient>> clients;
   for (int i = 0; i < 4; ++i) {
-    clients.push_back(std::make_shared<HttpClient>(e.io, e.server->local(), 1));
+    clients.push_back(std::make_shared<HttpClient>(echo.io, echo.server->local(), 1));
     int status = 0;
     clients.back()->request("GET", "/w", "", std::chrono::seconds(5), [&](Result result) {
       ASSERT_TRUE(result);
       status = result->status;
     });
-    run_until(e.io, [&] { return status != 0; });
+    run_until(echo.io, [&] { return status != 0; });
     EXPECT_EQ(status, 200);
-    EXPECT_LE(e.server->connections(), 2u);
+    EXPECT_LE(echo.server->connections(), 2u);
   }
-  for (auto& c : clients) c->stop();
+  for (auto& client : clients) client->stop();
 }
 
 TEST(HttpClient, ReportsWhatMayHaveBeenExecuted) {
@@ -163,20 +164,20 @@
   // Accepts and never responds: sent, no response.
   Tcp::acceptor silent(io, any_port());
   std::vector<Tcp::socket> held;
-  silent.async_accept([&](std::error_code, Tcp::socket s) { held.push_back(std::move(s)); });
+  silent.async_accept([&](std::error_code, Tcp::socket socket) { held.push_back(std::move(socket)); });
   struct Case {
     Tcp::endpoint to;
     RequestError error;
   };
-  for (const auto& c : {Case{closed.endpoint(), RequestError::kNotSent},
-                        Case{silent.local_endpoint(), RequestError::kNoResponse}}) {
-    auto client = std::make_shared<HttpClient>(io, c.to, 1);
+  for (const auto& test_case : {Case{closed.endpoint(), RequestError::kNotSent},
+                                Case{silent.local_endpoint(), RequestError::kNoResponse}}) {
+    auto client = std::make_shared<HttpClient>(io, test_case.to, 1);
     std::optional<Result> result;
     client->request("POST", "/x", "{}", std::chrono::milliseconds(200),
                     [&](Result received) { result = std::move(received); });
     run_until(io, [&] { return result.has_value(); });
     ASSERT_FALSE(*result);
-    EXPECT_EQ(result->error(), c.error);
+    EXPECT_EQ(result->error(), test_case.error);
     client->stop();
   }
 }
@@ -232,8 +233,8 @@
 TEST(PeerLink, DeliversInOrderAndSurvivesGarbage) {
   asio::io_context io;
   std::vector<std::string> got;
-  auto receiver =
-      std::make_shared<PeerReceiver>(io, any_port(), 4, [&](std::string_view m) { got.emplace_back(m); });
+  auto receiver = std::make_shared<PeerReceiver>(
+      io, any_port(), 4, [&](std::string_view message) { got.emplace_back(message); });
   receiver->start();
   auto sender = std::make_shared<PeerSender>(io, receiver->local());
   sender->start();
@@ -246,8 +247,8 @@
   bad.connect(receiver->local());
   asio::write(bad, asio::buffer(std::string("\xff\xff\xff\xff")));
   bool closed = false;
-  char c;
-  bad.async_read_some(asio::buffer(&c, 1), [&](std::error_code ec, std::size_t) { closed = bool(ec); });
+  char byte;
+  bad.async_read_some(asio::buffer(&byte, 1), [&](std::error_code ec, std::size_t) { closed = bool(ec); });
   run_until(io, [&] { return closed; });
   sender->send("still here");
   run_until(io, [&] { return got.size() == 51; });
--- a/tests/record_keys_test.cpp
+++ b/tests/record_keys_test.cpp
@@ -26,13 +26,13 @@
       {alive_key(ControllerName("a")), RecordKind::kAlive, "a", 0, 0},
       {versions_key(), RecordKind::kVersions, "", 0, 0},
   };
-  for (const auto& c : cases) {
-    const auto key = parse_key(c.key);
-    ASSERT_TRUE(key) << c.key;
-    EXPECT_EQ(key->kind, c.kind) << c.key;
-    EXPECT_EQ(key->name, c.name) << c.key;
-    EXPECT_EQ(key->shard, ShardId(c.shard)) << c.key;
-    EXPECT_EQ(key->number, c.number) << c.key;
+  for (const auto& test_case : cases) {
+    const auto key = parse_key(test_case.key);
+    ASSERT_TRUE(key) << test_case.key;
+    EXPECT_EQ(key->kind, test_case.kind) << test_case.key;
+    EXPECT_EQ(key->name, test_case.name) << test_case.key;
+    EXPECT_EQ(key->shard, ShardId(test_case.shard)) << test_case.key;
+    EXPECT_EQ(key->number, test_case.number) << test_case.key;
   }
 }
 
--- a/tests/request_queue_test.cpp
+++ b/tests/request_queue_test.cpp
@@ -14,37 +14,37 @@
 }
 
 TEST(RateLimiter, KeepsToItsRate) {
-  RateLimiter b(10, 1.0, at(0));
+  RateLimiter limiter(10, 1.0, at(0));
   int taken = 0;
   for (int ms = 0; ms < 10000; ms += 5)
-    while (b.take(1, false, at(ms / 1000.0))) ++taken;
+    while (limiter.take(1, false, at(ms / 1000.0))) ++taken;
   EXPECT_NEAR(taken, 110, 1);  // a burst, then the rate
 }
 
 TEST(RateLimiter, UrgentOverdrawsByOneBurstOnly) {
-  RateLimiter b(10, 1.0, at(0));
+  RateLimiter limiter(10, 1.0, at(0));
   int normal = 0, urgent = 0;
-  while (b.take(1, false, at(0))) ++normal;
-  while (b.take(1, true, at(0))) ++urgent;
+  while (limiter.take(1, false, at(0))) ++normal;
+  while (limiter.take(1, true, at(0))) ++urgent;
   EXPECT_EQ(normal, 10);
   EXPECT_EQ(urgent, 10);
-  EXPECT_FALSE(b.take(1, false, at(1.0)));  // the overdraft is paid back first
-  EXPECT_TRUE(b.take(1, false, at(1.2)));
+  EXPECT_FALSE(limiter.take(1, false, at(1.0)));  // the overdraft is paid back first
+  EXPECT_TRUE(limiter.take(1, false, at(1.2)));
 }
 
 TEST(RateLimiter, MoreThanABurstWaitsForAFullBucketOnly) {
-  RateLimiter b(5, 1.0, at(0));
-  EXPECT_TRUE(b.take(8, false, at(0)));
-  EXPECT_FALSE(b.take(8, false, at(1.0)));
-  EXPECT_LE(b.ready_at(8, false, at(1.0)), at(1.7));
-  EXPECT_TRUE(b.take(8, false, at(1.7)));
+  RateLimiter limiter(5, 1.0, at(0));
+  EXPECT_TRUE(limiter.take(8, false, at(0)));
+  EXPECT_FALSE(limiter.take(8, false, at(1.0)));
+  EXPECT_LE(limiter.ready_at(8, false, at(1.0)), at(1.7));
+  EXPECT_TRUE(limiter.take(8, false, at(1.7)));
 }
 
 TEST(RateLimiter, RefusalEmptiesIt) {
-  RateLimiter b(10, 1.0, at(0));
-  b.drain(at(0));
-  EXPECT_FALSE(b.take(1, false, at(0.05)));
-  EXPECT_TRUE(b.take(1, false, at(0.15)));
+  RateLimiter limiter(10, 1.0, at(0));
+  limiter.drain(at(0));
+  EXPECT_FALSE(limiter.take(1, false, at(0.05)));
+  EXPECT_TRUE(limiter.take(1, false, at(0.15)));
 }
 
 StoreRequest request(std::string target, std::size_t writes, Duration queue_wait = kQueueWait) {
@@ -111,20 +111,20 @@
        {"a", "b"},
        true},
   };
-  for (const auto& c : cases) {
-    RequestQueue queue(c.request_rate, c.write_rate, at(0));
-    for (const auto& queued : c.queued)
+  for (const auto& test_case : cases) {
+    RequestQueue queue(test_case.request_rate, test_case.write_rate, at(0));
+    for (const auto& queued : test_case.queued)
       queue.push(request(queued.target, queued.writes), queued.urgency, at(0));
     const auto dispatched = queue.dispatch(at(0));
-    EXPECT_EQ(targets(dispatched.ready), c.sent) << c.what;
-    EXPECT_TRUE(dispatched.expired.empty()) << c.what;
-    EXPECT_EQ(dispatched.next.has_value(), c.waits) << c.what;
+    EXPECT_EQ(targets(dispatched.ready), test_case.sent) << test_case.what;
+    EXPECT_TRUE(dispatched.expired.empty()) << test_case.what;
+    EXPECT_EQ(dispatched.next.has_value(), test_case.waits) << test_case.what;
     if (dispatched.next) {
-      EXPECT_GT(*dispatched.next, at(0)) << c.what;
-      EXPECT_LE(*dispatched.next, at(2.5)) << c.what;
+      EXPECT_GT(*dispatched.next, at(0)) << test_case.what;
+      EXPECT_LE(*dispatched.next, at(2.5)) << test_case.what;
     }
-    EXPECT_EQ(queue.take_all().size(), c.queued.size() - c.sent.size()) << c.what;
-    EXPECT_EQ(targets(queue.dispatch(at(100)).ready), Targets{}) << c.what;
+    EXPECT_EQ(queue.take_all().size(), test_case.queued.size() - test_case.sent.size()) << test_case.what;
+    EXPECT_EQ(targets(queue.dispatch(at(100)).ready), Targets{}) << test_case.what;
   }
 }
 
@@ -171,11 +171,11 @@
       {"one slow response of many raises it", {20, 20, 20, 20, 20, 20, 200}, 200, 300},
       {"slow ones: the most", {900, 900}, 400, 400},
   };
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     ResponseDelay delay;
-    for (int ms : c.delays_ms) delay.add_sample(std::chrono::milliseconds(ms));
-    EXPECT_GE(delay.timeout(), std::chrono::milliseconds(c.least_ms)) << c.what;
-    EXPECT_LE(delay.timeout(), std::chrono::milliseconds(c.most_ms)) << c.what;
+    for (int ms : test_case.delays_ms) delay.add_sample(std::chrono::milliseconds(ms));
+    EXPECT_GE(delay.timeout(), std::chrono::milliseconds(test_case.least_ms)) << test_case.what;
+    EXPECT_LE(delay.timeout(), std::chrono::milliseconds(test_case.most_ms)) << test_case.what;
   }
 }
 
--- a/tests/state_store_test.cpp
+++ b/tests/state_store_test.cpp
@@ -16,31 +16,32 @@
 }
 
 Json job(const char* id, int tasks) {
-  protocol::JobSpec s;
-  s.id = JobId(id);
-  s.job_class = "c";
-  s.team = Team("blue");
-  s.tasks = static_cast<std::uint32_t>(tasks);
-  s.image = ImageName("i");
-  return to_json(JobRecord{std::make_shared<const protocol::JobSpec>(s), WallMs(5)});
+  protocol::JobSpec spec;
+  spec.id = JobId(id);
+  spec.job_class = "c";
+  spec.team = Team("blue");
+  spec.tasks = static_cast<std::uint32_t>(tasks);
+  spec.image = ImageName("i");
+  return to_json(JobRecord{std::make_shared<const protocol::JobSpec>(spec), WallMs(5)});
 }
 
-protocol::Change set(std::string key, Json v, std::uint64_t rev) {
-  return {std::move(key), std::move(v), Revision(rev)};
+protocol::Change set(std::string key, Json value, std::uint64_t revision) {
+  return {std::move(key), std::move(value), Revision(revision)};
 }
 
 TEST(Records, SurviveTheRoundTrip) {
-  Grants g{{{Generation(3), ShardId(1), Term(7), Ranges::span(0, 4), Zone("z"), true, Attempt(9)},
-            {Generation(4), ShardId(0), Term(2), Ranges::span(4, 9), std::nullopt, false, {}}},
-           Generation(4)};
-  auto back = parse_grants(to_json(g));
-  EXPECT_EQ(back.chunks, g.chunks);
-  EXPECT_EQ(back.last, g.last);
-  Progress p{Ranges::span(0, 3), {{Generation(3), Ranges::span(3, 4)}}};
-  EXPECT_EQ(parse_progress(to_json(p)), p);
-  std::vector<MachineRecord> m{{MachineName("m"), MachineType("t"), Zone("z"), true, "10.0.0.1:9", true},
-                               {MachineName("n"), MachineType("t"), Zone("z")}};
-  EXPECT_EQ(parse_machines(to_json(m)), m);
+  Grants grants{{{Generation(3), ShardId(1), Term(7), Ranges::span(0, 4), Zone("z"), true, Attempt(9)},
+                 {Generation(4), ShardId(0), Term(2), Ranges::span(4, 9), std::nullopt, false, {}}},
+                Generation(4)};
+  auto back = parse_grants(to_json(grants));
+  EXPECT_EQ(back.chunks, grants.chunks);
+  EXPECT_EQ(back.last, grants.last);
+  Progress progress{Ranges::span(0, 3), {{Generation(3), Ranges::span(3, 4)}}};
+  EXPECT_EQ(parse_progress(to_json(progress)), progress);
+  std::vector<MachineRecord> machines{
+      {MachineName("m"), MachineType("t"), Zone("z"), true, "10.0.0.1:9", true},
+      {MachineName("n"), MachineType("t"), Zone("z")}};
+  EXPECT_EQ(parse_machines(to_json(machines)), machines);
   EXPECT_EQ(parse_terminal_record(to_json(TerminalRecord{TerminalState::kCancelled, 4})).done, 4u);
   EXPECT_THROW(parse_grants(Json{{"last", 1}, {"chunks", 7}}), protocol::ProtocolError);
   EXPECT_THROW(parse_progress(Json{{"done", "5-1"}, {"returned", Json::array()}}), protocol::ProtocolError);
@@ -52,13 +53,14 @@
 TEST(Records, TheRegistryOfALargeShardFitsIntoItsValues) {
   std::map<std::uint32_t, std::vector<MachineRecord>> buckets;
   for (int i = 0; i < 525; ++i) {
-    MachineName m("host-" + std::to_string(100000 + i));
-    buckets[machine_bucket(m)].push_back({m, MachineType("a-type-of-thirty-characters-xx"),
-                                          Zone("a-zone-of-thirty-characters-xx"), true,
-                                          "10.100.100.100:10000", true});
+    MachineName name("host-" + std::to_string(100000 + i));
+    buckets[machine_bucket(name)].push_back({name, MachineType("a-type-of-thirty-characters-xx"),
+                                             Zone("a-zone-of-thirty-characters-xx"), true,
+                                             "10.100.100.100:10000", true});
   }
   EXPECT_LE(buckets.rbegin()->first, kMachineBuckets - 1);
-  for (const auto& [b, machines] : buckets) EXPECT_LE(to_json(machines).dump().size(), 8 * 1024 * 0.9) << b;
+  for (const auto& [bucket, machines] : buckets)
+    EXPECT_LE(to_json(machines).dump().size(), 8 * 1024 * 0.9) << bucket;
 }
 
 TEST(StateView, OutstandingIsGrantedLessDoneAndReleased) {
@@ -108,18 +110,18 @@
   EXPECT_FALSE(view.terminal_state(JobId("run-1")));
 }
 
-constexpr Duration ms(int n) {
-  return std::chrono::milliseconds(n);
+constexpr Duration ms(int count) {
+  return std::chrono::milliseconds(count);
 }
 
 protocol::Txn create(const std::string& key, int writes = 1) {
-  protocol::Txn t;
+  protocol::Txn txn;
   for (int i = 0; i < writes; ++i) {
     auto name = std::string(kPrefix) + "test/" + key + std::to_string(i);
-    t.conditions.push_back({name, Revision()});
-    t.writes.push_back({name, Json{{"key", key}}, std::nullopt});
+    txn.conditions.push_back({name, Revision()});
+    txn.writes.push_back({name, Json{{"key", key}}, std::nullopt});
   }
-  return t;
+  return txn;
 }
 
 // What the changes of a read show of a transaction of two writes that has no response.
@@ -146,16 +148,17 @@
        true,
        Revision(7)},
   };
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     PendingTxns pending;
     std::optional<Revision> applied;
     auto id =
         pending.add({{}, {{"a", one, {}}, {"b", {}, {}}}}, [&](TxnResult result) { applied = *result; });
-    if (c.sent) pending.sent(id, Revision(5), at(0));
-    EXPECT_EQ(pending.oldest_sent().has_value(), c.sent) << c.what;
-    for (auto& a : pending.take_applied(c.changes)) a.done(a.revision);
-    EXPECT_EQ(applied, c.applied) << c.what;
-    EXPECT_EQ(static_cast<bool>(pending.take(id)), !c.applied) << c.what;  // its own answer is then dropped
+    if (test_case.sent) pending.sent(id, Revision(5), at(0));
+    EXPECT_EQ(pending.oldest_sent().has_value(), test_case.sent) << test_case.what;
+    for (auto& found : pending.take_applied(test_case.changes)) found.done(found.revision);
+    EXPECT_EQ(applied, test_case.applied) << test_case.what;
+    EXPECT_EQ(static_cast<bool>(pending.take(id)), !test_case.applied)
+        << test_case.what;  // its own answer is then dropped
   }
 }
 
@@ -245,15 +248,15 @@
     std::function<void(fakes::StateStore&, bool)> fail;
   };
   const Case cases[] = {
-      {"an outage", [](auto& s, bool on) { s.down = on; }},
-      {"this controller alone is refused", [](auto& s, bool on) { s.shut[0] = on; }},
-      {"connections stay open with no response", [](auto& s, bool on) { s.silent = on; }},
+      {"an outage", [](auto& store, bool on) { store.down = on; }},
+      {"this controller alone is refused", [](auto& store, bool on) { store.shut[0] = on; }},
+      {"connections stay open with no response", [](auto& store, bool on) { store.silent = on; }},
   };
-  for (const auto& c : cases) {
-    SCOPED_TRACE(c.what);
+  for (const auto& test_case : cases) {
+    SCOPED_TRACE(test_case.what);
     StateStoreFixture fixture;
     fixture.run_until([&] { return fixture.watch_cache->is_responsive(); });
-    c.fail(fixture.state, true);
+    test_case.fail(fixture.state, true);
     EXPECT_LT(fixture.run_until([&] { return !fixture.watch_cache->is_responsive(); }), ms(1000));
     fixture.io.run_for(ms(1000));
     EXPECT_FALSE(fixture.watch_cache->is_responsive());
@@ -266,7 +269,7 @@
     }
     failing = false;
     EXPECT_LE(fixture.state.refused["/watch"] - refused, 4);
-    c.fail(fixture.state, false);
+    test_case.fail(fixture.state, false);
     if (!fixture.state.unanswered.empty()) {  // what was held is answered late
       for (auto& reply : fixture.state.unanswered) reply({503, "{}"});
       fixture.state.unanswered.clear();
--- a/tests/value_sizes_test.cpp
+++ b/tests/value_sizes_test.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 // Every other of the first `n` tasks from `first` on.
-Ranges scattered(std::uint32_t n, std::uint32_t first = 0) {
-  Ranges r;
-  for (std::uint32_t i = first; i < n; i += 2) r.add(i);
-  return r;
+Ranges scattered(std::uint32_t count, std::uint32_t first = 0) {
+  Ranges tasks;
+  for (std::uint32_t i = first; i < count; i += 2) tasks.add(i);
+  return tasks;
 }
 
 bool holds(const Ranges& all, const Ranges& some) {
@@ -39,20 +39,20 @@
        true},
   };
   constexpr std::size_t kMax = 2048;
-  for (const auto& c : cases) {
-    auto p = fit_progress(c.recorded, c.wanted, kMax);
-    EXPECT_EQ(p == c.wanted, c.whole) << c.what;
-    EXPECT_EQ(p != c.recorded, c.changed) << c.what;
-    EXPECT_TRUE(holds(p.done, c.recorded.done)) << c.what;
-    EXPECT_TRUE(holds(c.wanted.done, p.done)) << c.what;
-    for (const auto& r : p.released) {
-      auto wanted = std::find_if(c.wanted.released.begin(), c.wanted.released.end(),
-                                 [&](const auto& w) { return w.generation == r.generation; });
-      ASSERT_NE(wanted, c.wanted.released.end()) << c.what;
-      EXPECT_TRUE(holds(wanted->tasks, r.tasks)) << c.what;
+  for (const auto& test_case : cases) {
+    auto fitted = fit_progress(test_case.recorded, test_case.wanted, kMax);
+    EXPECT_EQ(fitted == test_case.wanted, test_case.whole) << test_case.what;
+    EXPECT_EQ(fitted != test_case.recorded, test_case.changed) << test_case.what;
+    EXPECT_TRUE(holds(fitted.done, test_case.recorded.done)) << test_case.what;
+    EXPECT_TRUE(holds(test_case.wanted.done, fitted.done)) << test_case.what;
+    for (const auto& released : fitted.released) {
+      auto wanted = std::find_if(test_case.wanted.released.begin(), test_case.wanted.released.end(),
+                                 [&](const auto& entry) { return entry.generation == released.generation; });
+      ASSERT_NE(wanted, test_case.wanted.released.end()) << test_case.what;
+      EXPECT_TRUE(holds(wanted->tasks, released.tasks)) << test_case.what;
     }
-    if (c.changed) {
-      EXPECT_LE(value_bytes(to_json(p)), kMax) << c.what;
+    if (test_case.changed) {
+      EXPECT_LE(value_bytes(to_json(fitted)), kMax) << test_case.what;
     }
   }
   // Filled up as far as it goes: not much less than the limit.
@@ -60,8 +60,9 @@
 }
 
 TEST(ValueSizes, GrantsAreShortenedNeverThoseRecorded) {
-  auto chunk = [](std::uint64_t g, Ranges r, std::uint64_t attempt = 0) {
-    return Chunk{Generation(g), ShardId(0), Term(1), std::move(r), std::nullopt, false, Attempt(attempt)};
+  auto chunk = [](std::uint64_t grants, Ranges tasks, std::uint64_t attempt = 0) {
+    return Chunk{Generation(grants), ShardId(0), Term(1),         std::move(tasks),
+                 std::nullopt,       false,      Attempt(attempt)};
   };
   struct Case {
     const char* what;
@@ -82,16 +83,16 @@
        0},
       {"a gang isn't shortened", {chunk(2, scattered(2000), 1)}, false, 0},
   };
-  for (const auto& c : cases) {
-    Grants g{c.chunks, c.chunks.back().generation};
-    auto before = g.chunks;
-    EXPECT_EQ(fit_grants(g, Generation(1), 1800), c.fits) << c.what;
-    if (!c.fits) continue;
-    EXPECT_LE(value_bytes(to_json(g)), 1800u) << c.what;
-    EXPECT_EQ(g.chunks.size(), c.left) << c.what;
-    EXPECT_EQ(g.chunks[0], before[0]) << c.what;
-    EXPECT_TRUE(holds(before[1].tasks, g.chunks[1].tasks)) << c.what;
-    EXPECT_FALSE(g.chunks[1].tasks.empty()) << c.what;
+  for (const auto& test_case : cases) {
+    Grants grants{test_case.chunks, test_case.chunks.back().generation};
+    auto before = grants.chunks;
+    EXPECT_EQ(fit_grants(grants, Generation(1), 1800), test_case.fits) << test_case.what;
+    if (!test_case.fits) continue;
+    EXPECT_LE(value_bytes(to_json(grants)), 1800u) << test_case.what;
+    EXPECT_EQ(grants.chunks.size(), test_case.left) << test_case.what;
+    EXPECT_EQ(grants.chunks[0], before[0]) << test_case.what;
+    EXPECT_TRUE(holds(before[1].tasks, grants.chunks[1].tasks)) << test_case.what;
+    EXPECT_FALSE(grants.chunks[1].tasks.empty()) << test_case.what;
   }
 }
 
