--- a/tests/sim_operations_test.cpp
+++ b/tests/sim_operations_test.cpp
@@ -1,4 +1,4 @@
-// What operators reported (docs/operations-faults.md): jobs that fail on every machine, faulty machines,
+// What operators reported (docs/fault-scenarios.md): jobs that fail on every machine, faulty machines,
 // many times as many queries, machines that boot slowly, controllers that are paused for a minute.
 // Scripted, and drawn together with all other faults.
 #include <gtest/gtest.h>
