--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -120,7 +120,7 @@
       {"txn_ops = 16", "txn_ops = 16\nnext = {value_kb = -1}", "cluster.state.next.value_kb"},
       {"lease_s = 10.0", "lease_s = 0.5", "cluster.workers.lease_s: must be more than report_s"},
       {"cpus = 10", "cpus = 30", "cluster.teams[0].cpus: is more than cpus_max"},
-      {"zones = [\"east\", \"west\"]", "zones = [1]", "cluster.zones"},
+      {R"(zones = ["east", "west"])", "zones = [1]", "cluster.zones"},
       {"[external]", "[external", "s.toml: line"},
   };
   for (const auto& test_case : cases) {
--- a/tests/failover_shard_test.cpp
+++ b/tests/failover_shard_test.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 using fixture::at;
-using fixture::kCancelLimit_s;
-using fixture::kGrace_s;
-using fixture::kLease_s;
+using fixture::kCancelLimitSeconds;
+using fixture::kGraceSeconds;
+using fixture::kLeaseSeconds;
 using protocol::Command;
 using protocol::EndCause;
 using protocol::TaskState;
@@ -178,7 +178,7 @@
     EXPECT_EQ(deleted.contains(MachineName("m3")), entry.deleted) << entry.what;
     EXPECT_EQ(deleted.size(), entry.deleted ? 1u : 0u) << entry.what;
     EXPECT_GT(reconciled_at, 0) << entry.what;
-    EXPECT_LT(reconciled_at, kGrace_s + 4) << entry.what;
+    EXPECT_LT(reconciled_at, kGraceSeconds + 4) << entry.what;
     EXPECT_EQ(starts, 1u) << entry.what << ": the task that no machine has";
   }
 }
@@ -188,7 +188,7 @@
 TEST(ShardFailover, AnUnreachableZoneIsNotDeleted) {
   ShardLeader leader;
   leader.register_machines({"m1", "m2", "m3", "m4", "m5"});
-  for (double time_s = 0.5; time_s < kCancelLimit_s - 1; time_s += 0.5) {
+  for (double time_s = 0.5; time_s < kCancelLimitSeconds - 1; time_s += 0.5) {
     for (const char* name : {"m1", "m2", "m3", "m4"}) leader.heartbeat(name, time_s, false);
     leader.heartbeat("m5", time_s);
     EXPECT_TRUE(leader.shard.take_machines_to_delete(at(time_s)).empty()) << time_s;
@@ -289,7 +289,7 @@
     double knowledge_age_s;
     std::size_t starts;
   };
-  for (auto entry : {Case{kCancelLimit_s / 4 - 1, 1}, Case{kCancelLimit_s / 4 + 0.5, 0}}) {
+  for (auto entry : {Case{kCancelLimitSeconds / 4 - 1, 1}, Case{kCancelLimitSeconds / 4 + 0.5, 0}}) {
     ShardLeader leader;
     leader.register_machines({"m1"});
     leader.heartbeat("m1", 20);
@@ -318,7 +318,7 @@
     double read;
     std::size_t starts;
   };
-  const double expiry = 1 + kLease_s * 1.002 + 0.5;
+  const double expiry = 1 + kLeaseSeconds * 1.002 + 0.5;
   const Case cases[] = {
       {"no read since", 1, 0},
       {"read before it expired", expiry - 0.2, 0},
--- a/tests/shard_test_data.h
+++ b/tests/shard_test_data.h
@@ -10,10 +10,10 @@
 
 namespace beaconsill::shard::fixture {
 
-constexpr double kHeartbeat_s = 1;
-constexpr double kLease_s = 10;
-constexpr double kCancelLimit_s = 40;
-constexpr double kGrace_s = 5;
+constexpr double kHeartbeatSeconds = 1;
+constexpr double kLeaseSeconds = 10;
+constexpr double kCancelLimitSeconds = 40;
+constexpr double kGraceSeconds = 5;
 
 inline Instant at(double time_s) {
   return Instant{} + from_seconds(1000 + time_s);
@@ -21,10 +21,10 @@
 
 inline ShardParams params() {
   ShardParams out;
-  out.heartbeat_period = from_seconds(kHeartbeat_s);
-  out.lease = from_seconds(kLease_s);
-  out.cancel_limit = from_seconds(kCancelLimit_s);
-  out.grace = from_seconds(kGrace_s);
+  out.heartbeat_period = from_seconds(kHeartbeatSeconds);
+  out.lease = from_seconds(kLeaseSeconds);
+  out.cancel_limit = from_seconds(kCancelLimitSeconds);
+  out.grace = from_seconds(kGraceSeconds);
   return out;
 }
 
--- a/tests/sim/state_store.cpp
+++ b/tests/sim/state_store.cpp
@@ -64,17 +64,11 @@
     });
   };
   if (auto cut = network_.blocked_path_to_state(controller); cut && cut->deliver_later) {
-<<<<<<< HEAD:tests/sim/state_store.cpp
     apply_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), txn);
     return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
-=======
-    apply_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), t);
-    return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
->>>>>>> h-errors:tests/sim/state_service.cpp
   }
   if (!answers(controller)) return answer(kRefusal, tl::unexpected(state_store::TxnError::kRefused));
   double there = path_delay();
-<<<<<<< HEAD:tests/sim/state_store.cpp
   if (lost_response_window_.hits(queue_)) {
     apply_later(there, txn);
     return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
@@ -87,37 +81,16 @@
     // No answer. It's carried out, never, or long after.
     if (!queue_.chance(0.3)) apply_later(queue_.chance(0.5) ? there : queue_.uniform(1, 60), txn);
     return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
-=======
-  if (at_once_.hits(queue_)) {
-    apply_later(there, t);
-    return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
-  }
-  if (late_.hits(queue_)) {
-    apply_later(queue_.uniform(2, 12), t);
-    return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
-  }
-  if (queue_.random_fault(lost_responses_)) {
-    // No answer. It's carried out, never, or long after.
-    if (!queue_.chance(0.3)) apply_later(queue_.chance(0.5) ? there : queue_.uniform(1, 60), t);
-    return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
->>>>>>> h-errors:tests/sim/state_service.cpp
   }
   double back = path_delay();
   queue_.after(there, [this, txn, answer, there, back] {
     Revision revision;
     bool ok = apply(txn, revision);
     // The answer of a service that took its time comes too late.
-<<<<<<< HEAD:tests/sim/state_store.cpp
     if (there + back > kTimeout)
       return answer(kTimeout - there, tl::unexpected(state_store::TxnError::kUnknown));
     if (!ok) return answer(back, tl::unexpected(state_store::TxnError::kConflict));
     answer(back, revision);
-=======
-    if (there + back > kTimeout)
-      return answer(kTimeout - there, tl::unexpected(state_store::TxnError::kUnknown));
-    if (!ok) return answer(back, tl::unexpected(state_store::TxnError::kConflict));
-    answer(back, r);
->>>>>>> h-errors:tests/sim/state_service.cpp
   });
 }
 
--- a/tests/state_view_ordering_test.cpp
+++ b/tests/state_view_ordering_test.cpp
@@ -1,5 +1,5 @@
 // The view of the state store when responses are lost or come late while others read and write. See
-// docs/concurrent-faults.md.
+// docs/fault-scenarios.md.
 #include <gtest/gtest.h>
 
 #include "state_store/state_view.h"
