--- a/tests/cancellation_barrier_model.cpp
+++ b/tests/cancellation_barrier_model.cpp
@@ -230,7 +230,7 @@
     // The process pauses after it has checked and before the answer goes out.
     controller.frozen_until = now_ + between(500, 2 * kReadLease);
     acknowledged.at = controller.frozen_until;
-    writing_.push_back({index, acknowledged});
+    writing_.emplace_back(index, acknowledged);
     return;
   }
   on_acknowledged(acknowledged);
--- a/tests/fakes/state_store.cpp
+++ b/tests/fakes/state_store.cpp
@@ -4,7 +4,7 @@
 
 namespace beaconsill::fakes {
 
-StateStore::StateStore(asio::io_context& io) : io_(io) {
+StateStore::StateStore(asio::io_context& io) {
   for (std::size_t i = 0; i < doors.size(); ++i) {
     doors[i] = std::make_shared<HttpServer>(
         io, any_port(), net::ServerLimits{}, [](const Request&) { return false; },
--- a/tests/fakes/state_store.h
+++ b/tests/fakes/state_store.h
@@ -52,7 +52,6 @@
   Response txn(const Json& t);
   void drop(const std::string& key);
 
-  asio::io_context& io_;
   std::vector<std::pair<Request, HttpServer::Reply>> late_;
   std::vector<std::pair<Response, HttpServer::Reply>> kept_;
   std::vector<Json> log_;
--- a/tests/shard_manager_test.cpp
+++ b/tests/shard_manager_test.cpp
@@ -31,15 +31,15 @@
 INSTANTIATE_TEST_SUITE_P(Machines, ShardOfSize, testing::Values(1100, 4000, 6000));
 
 TEST_P(ShardOfSize, WhatAnEventCostsDoesNotGrowWithAllMachinesAndTasks) {
-  const int kMachines = GetParam();
-  constexpr int kTasks = 30;
+  const int machine_count = GetParam();
+  constexpr std::uint64_t kTasks = 30;
   ShardFixture fixture;
   auto types = std::make_shared<protocol::Catalogue>(*catalogue());
   types->begin()->second.total = {kTasks + 1, 0, 64};
   fixture.shard.set_catalogue(types);
   std::vector<std::string> names;
-  for (int i = 0; i < kMachines; ++i) names.push_back("host-" + std::to_string(1000 + i));
-  for (int i = 0; i < kMachines; ++i) {
+  for (int i = 0; i < machine_count; ++i) names.push_back("host-" + std::to_string(1000 + i));
+  for (int i = 0; i < machine_count; ++i) {
     auto job = "run-" + std::to_string(i);
     for (std::uint32_t task = 0; task < kTasks; ++task)
       fixture.worker(names[i].c_str())
@@ -59,7 +59,7 @@
     std::function<void()> event;
     std::uint64_t bound;
   };
-  const auto all = static_cast<std::uint64_t>(kMachines);
+  const auto all = static_cast<std::uint64_t>(machine_count);
   const Case cases[] = {
       {"nothing",
        [&] {
