--- a/tests/command_delivery_test.cpp
+++ b/tests/command_delivery_test.cpp
@@ -14,7 +14,7 @@
 struct CommandDeliveryTest : ShardStateFixture {
   std::vector<CommandBatch> take_batches(Machine& machine) {
     state.dispatch_queue.push(machine);
-    return CommandDelivery(state, at(kNow_s)).take_batches();
+    return CommandDelivery(state, at(kNowSeconds)).take_batches();
   }
   // Places the task and takes the batch that starts it.
   CommandBatch send_start(Machine& machine, const std::string& job) {
@@ -120,9 +120,9 @@
     std::size_t batches, commands;
   };
   const Case cases[] = {
-      {"not due", kNow_s + 0.1, false, 0, 0},
-      {"due", kNow_s, false, 1, 0},
-      {"due, but there is a command", kNow_s, true, 1, 1},
+      {"not due", kNowSeconds + 0.1, false, 0, 0},
+      {"due", kNowSeconds, false, 1, 0},
+      {"due, but there is a command", kNowSeconds, true, 1, 1},
   };
   for (const auto& entry : cases) {
     reset();
@@ -160,7 +160,7 @@
     auto& machine = add_machine("m1");
     grant(job_spec("run-1", 1));
     auto batch = send_start(machine, "run-1");
-    CommandDelivery(state, at(kNow_s + 1)).on_result(machine, batch, entry.result);
+    CommandDelivery(state, at(kNowSeconds + 1)).on_result(machine, batch, entry.result);
     EXPECT_EQ(machine.channel, entry.channel) << entry.what;
     EXPECT_EQ(machine.unanswered, entry.result == CommandResult::kNoAnswer ? 1u : 0u) << entry.what;
     EXPECT_EQ(machine.tasks.empty(), !entry.start) << entry.what;
@@ -177,7 +177,7 @@
   auto& task = run(machine, "run-1");
   task.stop_grace = 0;
   auto batch = take_batches(machine).at(0);
-  CommandDelivery(state, at(kNow_s)).on_result(machine, batch, CommandResult::kRejected);
+  CommandDelivery(state, at(kNowSeconds)).on_result(machine, batch, CommandResult::kRejected);
   auto again = take_batches(machine);
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].commands.at(0).op, Op::kStop);
@@ -189,9 +189,9 @@
   grant(job_spec("run-1", 1));
   auto batch = send_start(machine, "run-1");
   machine.incarnation = Incarnation(2);
-  CommandDelivery(state, at(kNow_s)).on_result(machine, batch, CommandResult::kExecuted);
+  CommandDelivery(state, at(kNowSeconds)).on_result(machine, batch, CommandResult::kExecuted);
   EXPECT_EQ(machine.tasks.begin()->second.start, Start::kSent);
-  EXPECT_EQ(machine.last_command_answer_at, at(kNow_s));
+  EXPECT_EQ(machine.last_command_answer_at, at(kNowSeconds));
 }
 
 TEST_F(CommandDeliveryTest, AMachineIsProbedAgainUntilItIsConfirmed) {
@@ -204,9 +204,9 @@
   };
   const Case cases[] = {
       {"confirmed", true, Channel::kIdle, Incarnation(1), std::nullopt},
-      {"fencing", true, Channel::kFencing, Incarnation(1), kNow_s + 1},
-      {"not confirmed", false, Channel::kIdle, Incarnation(1), kNow_s + 1},
-      {"its incarnation was guessed wrong", false, Channel::kIdle, Incarnation(2), kNow_s},
+      {"fencing", true, Channel::kFencing, Incarnation(1), kNowSeconds + 1},
+      {"not confirmed", false, Channel::kIdle, Incarnation(1), kNowSeconds + 1},
+      {"its incarnation was guessed wrong", false, Channel::kIdle, Incarnation(2), kNowSeconds},
   };
   for (const auto& entry : cases) {
     reset();
@@ -215,7 +215,7 @@
     machine.channel = entry.channel;
     machine.incarnation = entry.incarnation;
     CommandBatch probe{machine.name, machine.address, Incarnation(1), machine.token, {}};
-    CommandDelivery(state, at(kNow_s)).schedule_next_probe(machine, probe);
+    CommandDelivery(state, at(kNowSeconds)).schedule_next_probe(machine, probe);
     auto expected = entry.probe_at ? std::optional(at(*entry.probe_at)) : std::nullopt;
     EXPECT_EQ(machine.probe_at, expected) << entry.what;
   }
@@ -245,7 +245,7 @@
     ended.state = TaskState::kEnded;
     machine.channel = entry.channel;
     machine.deleting = entry.deleting;
-    auto response = CommandDelivery(state, at(kNow_s)).heartbeat_response(machine);
+    auto response = CommandDelivery(state, at(kNowSeconds)).heartbeat_response(machine);
     ASSERT_EQ(response.commands.size(), entry.stops) << entry.what;
     for (const auto& command : response.commands) {
       EXPECT_EQ(command.op, Op::kStop) << entry.what;
@@ -253,7 +253,7 @@
       EXPECT_EQ(command.grace_s, 2) << entry.what;
     }
     EXPECT_EQ(response.token, machine.token) << entry.what;
-    EXPECT_EQ(machine.last_answered, at(kNow_s)) << entry.what;
+    EXPECT_EQ(machine.last_answered, at(kNowSeconds)) << entry.what;
   }
 }
 
--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -12,7 +12,7 @@
 struct GangSchedulingTest : ShardStateFixture {
   ShardJob& grant_gang(std::uint32_t tasks) { return grant(job_spec("run-1", tasks, JobKind::kGang)); }
   void place_gang_on(const std::vector<Machine*>& machines) {
-    place_gang(state, JobId("run-1"), state.jobs.at(JobId("run-1")), machines, at(kNow_s));
+    place_gang(state, JobId("run-1"), state.jobs.at(JobId("run-1")), machines, at(kNowSeconds));
   }
   std::size_t placed_tasks() {
     std::size_t count = 0;
@@ -87,7 +87,7 @@
     run(lost_machine, "run-1", 0);
     auto& task = run(machine, "run-1", 1);
     task.state = entry.state;
-    if (entry.lost) state.drop_all_tasks(lost_machine, at(kNow_s));
+    if (entry.lost) state.drop_all_tasks(lost_machine, at(kNowSeconds));
     stop_broken_gangs(state);
     EXPECT_EQ(task.stop_grace.has_value(), entry.stopped) << static_cast<int>(entry.state);
   }
--- a/tests/heartbeat_reconciler_test.cpp
+++ b/tests/heartbeat_reconciler_test.cpp
@@ -22,7 +22,7 @@
       heartbeat.tasks.push_back({key.task, key.attempt, task.state, task.cause, task.saved});
     return heartbeat;
   }
-  HeartbeatResult reconcile(const protocol::WorkerHeartbeat& heartbeat, double now = kNow_s + 1,
+  HeartbeatResult reconcile(const protocol::WorkerHeartbeat& heartbeat, double now = kNowSeconds + 1,
                             HeartbeatOrigin origin = HeartbeatOrigin::kOwnAccord) {
     return HeartbeatReconciler(state, at(now)).reconcile(heartbeat, origin);
   }
@@ -60,7 +60,8 @@
     auto heartbeat = next_heartbeat(machine);
     entry.change(state, heartbeat);
     EXPECT_EQ(reconcile(heartbeat), entry.result) << entry.what;
-    EXPECT_EQ(machine.last_contact, at(entry.result == HeartbeatResult::kApplied ? kNow_s + 1 : kNow_s))
+    EXPECT_EQ(machine.last_contact,
+              at(entry.result == HeartbeatResult::kApplied ? kNowSeconds + 1 : kNowSeconds))
         << entry.what;
     EXPECT_EQ(state.superseded, entry.superseded) << entry.what;
   }
@@ -86,7 +87,7 @@
     const auto& machine = state.machines.at(MachineName("m1"));
     EXPECT_EQ(machine.confirmed, entry.confirmed) << entry.what;
     EXPECT_EQ(machine.token, FencingToken::first_of(kTerm)) << entry.what;
-    EXPECT_EQ(machine.first_seen, at(kNow_s + 1)) << entry.what;
+    EXPECT_EQ(machine.first_seen, at(kNowSeconds + 1)) << entry.what;
   }
 }
 
@@ -94,12 +95,12 @@
   for (auto origin : {HeartbeatOrigin::kOwnAccord, HeartbeatOrigin::kCommandAnswer}) {
     reset();
     auto& machine = add_machine("m1");
-    machine.on_sent(at(kNow_s));
+    machine.on_sent(at(kNowSeconds));
     machine.unanswered = 1;
-    reconcile(next_heartbeat(machine), kNow_s + 1, origin);
+    reconcile(next_heartbeat(machine), kNowSeconds + 1, origin);
     bool own = origin == HeartbeatOrigin::kOwnAccord;
-    EXPECT_EQ(machine.last_contact, at(kNow_s + 1));
-    EXPECT_EQ(machine.last_own_heartbeat, at(own ? kNow_s + 1 : kNow_s));
+    EXPECT_EQ(machine.last_contact, at(kNowSeconds + 1));
+    EXPECT_EQ(machine.last_own_heartbeat, at(own ? kNowSeconds + 1 : kNowSeconds));
     EXPECT_EQ(machine.unanswered, 0u);
     EXPECT_FALSE(machine.unanswered_since);
   }
@@ -129,16 +130,16 @@
     bool fenced;
   };
   const Case cases[] = {
-      {"no pause", kNow_s, 1, HeartbeatOrigin::kOwnAccord, false},
-      {"answered, then a pause", kNow_s, 3.9, HeartbeatOrigin::kOwnAccord, true},
-      {"not answered: it waited with reason", kNow_s - 1, 3.9, HeartbeatOrigin::kOwnAccord, false},
-      {"it answers commands", kNow_s, 3.9, HeartbeatOrigin::kCommandAnswer, false},
+      {"no pause", kNowSeconds, 1, HeartbeatOrigin::kOwnAccord, false},
+      {"answered, then a pause", kNowSeconds, 3.9, HeartbeatOrigin::kOwnAccord, true},
+      {"not answered: it waited with reason", kNowSeconds - 1, 3.9, HeartbeatOrigin::kOwnAccord, false},
+      {"it answers commands", kNowSeconds, 3.9, HeartbeatOrigin::kCommandAnswer, false},
   };
   for (const auto& entry : cases) {
     reset();
     auto& machine = add_machine("m1");
     machine.last_answered = at(entry.answered);
-    reconcile(next_heartbeat(machine), kNow_s + entry.pause, entry.origin);
+    reconcile(next_heartbeat(machine), kNowSeconds + entry.pause, entry.origin);
     EXPECT_EQ(machine.channel == Machine::Channel::kFencing, entry.fenced) << entry.what;
     EXPECT_EQ(machine.token > FencingToken::first_of(kTerm), entry.fenced) << entry.what;
   }
@@ -149,7 +150,7 @@
     reset();
     auto& machine = add_machine("m1");
     auto heartbeat = next_heartbeat(machine);
-    begin_fencing(machine, state.dispatch_queue, at(kNow_s));
+    begin_fencing(machine, state.dispatch_queue, at(kNowSeconds));
     if (shows_token) heartbeat.token = machine.token;
     reconcile(heartbeat);
     EXPECT_EQ(machine.channel == Machine::Channel::kIdle, shows_token);
@@ -251,9 +252,9 @@
   auto& machine = add_machine("m1");
   auto heartbeat = next_heartbeat(machine);
   heartbeat.notice_s = 30;
-  reconcile(heartbeat, kNow_s + 1);
-  EXPECT_EQ(machine.reclaimed_at, at(kNow_s + 31));
-  reconcile(next_heartbeat(machine), kNow_s + 2);
+  reconcile(heartbeat, kNowSeconds + 1);
+  EXPECT_EQ(machine.reclaimed_at, at(kNowSeconds + 31));
+  reconcile(next_heartbeat(machine), kNowSeconds + 2);
   EXPECT_FALSE(machine.reclaimed_at);
 }
 
@@ -261,9 +262,9 @@
   auto& machine = add_machine("m1");
   grant(job_spec("run-1", 1));
   run(machine, "run-1");
-  reconcile(next_heartbeat(machine), kNow_s + 9.9);
+  reconcile(next_heartbeat(machine), kNowSeconds + 9.9);
   EXPECT_FALSE(state.jobs.at(JobId("run-1")).works);
-  reconcile(next_heartbeat(machine), kNow_s + 10);
+  reconcile(next_heartbeat(machine), kNowSeconds + 10);
   EXPECT_TRUE(state.jobs.at(JobId("run-1")).works);
 }
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -247,7 +247,7 @@
   bad.connect(receiver->local());
   asio::write(bad, asio::buffer(std::string("\xff\xff\xff\xff")));
   bool closed = false;
-  char byte;
+  char byte = 0;
   bad.async_read_some(asio::buffer(&byte, 1), [&](std::error_code ec, std::size_t) { closed = bool(ec); });
   run_until(io, [&] { return closed; });
   sender->send("still here");
--- a/tests/placer_test.cpp
+++ b/tests/placer_test.cpp
@@ -9,7 +9,7 @@
 using Status = GrantedTask::Status;
 
 struct PlacerTest : ShardStateFixture {
-  void place_all(double now = kNow_s) { Placer(state, at(now)).place_all(); }
+  void place_all(double now = kNowSeconds) { Placer(state, at(now)).place_all(); }
   bool is_placed(const std::string& job, std::uint32_t index = 0) {
     return granted_task(job, index).status == Status::kPlaced;
   }
@@ -118,7 +118,7 @@
   add_machine("m1");
   grant(job_spec("run-1", 1));
   grant(job_spec("run-2", 1));
-  state.failure_attribution.on_failed(MachineName("m1"), JobId("run-1"), false, at(kNow_s));
+  state.failure_attribution.on_failed(MachineName("m1"), JobId("run-1"), false, at(kNowSeconds));
   place_all();
   EXPECT_FALSE(is_placed("run-1"));
   EXPECT_TRUE(is_placed("run-2"));
@@ -128,12 +128,12 @@
   add_machine("m3");
   grant(job_spec("run-1", 3));
   for (const char* machine : {"m1", "m2"})
-    state.failure_attribution.on_failed(MachineName(machine), JobId("run-1"), false, at(kNow_s));
-  place_all(kNow_s + 0.9);
+    state.failure_attribution.on_failed(MachineName(machine), JobId("run-1"), false, at(kNowSeconds));
+  place_all(kNowSeconds + 0.9);
   EXPECT_EQ(placed_tasks("run-1"), 0u);
-  place_all(kNow_s + 1);
+  place_all(kNowSeconds + 1);
   EXPECT_EQ(placed_tasks("run-1"), 1u);
-  place_all(kNow_s + 1);  // that one is under way
+  place_all(kNowSeconds + 1);  // that one is under way
   EXPECT_EQ(placed_tasks("run-1"), 1u);
 }
 
@@ -152,7 +152,7 @@
   ASSERT_NE(stopped, machine.tasks.end());
   stopped->second.state = protocol::TaskState::kEnded;
   machine.invalidate_load();
-  place_all(kNow_s + 0.5);
+  place_all(kNowSeconds + 0.5);
   EXPECT_EQ(granted_task("run-2").machine, machine.name);
   EXPECT_TRUE(is_placed("run-2"));
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -115,7 +115,7 @@
     const char* value;
   };
   for (const auto& c : {Case{"watch", "-1"}, Case{"tally", "\"8\""}, Case{"helm", "1.5"}, Case{"lamps", "{}"},
-                        Case{"lamps", "[1]"}, Case{"lamps", "[{\"lamp\":\"x\"}]"}, Case{"beacon", "\"\""}}) {
+                        Case{"lamps", "[1]"}, Case{"lamps", R"([{"lamp":"x"}])"}, Case{"beacon", "\"\""}}) {
     auto j = good;
     j[c.field] = Json::parse(c.value);
     EXPECT_THROW(parse_worker_heartbeat(j), ProtocolError) << c.field;
--- a/tests/shard_state_fixture.h
+++ b/tests/shard_state_fixture.h
@@ -16,7 +16,7 @@
 
 // A reconciled shard under term 5. Now is 100 s. Machines have four CPUs, tasks of a job take one each.
 struct ShardStateFixture : testing::Test {
-  static constexpr double kNow_s = 100;
+  static constexpr double kNowSeconds = 100;
   static constexpr Term kTerm{5};
 
   // Forgets everything, for the next case of a table.
@@ -37,7 +37,7 @@
     machine.incarnation = Incarnation(1);
     machine.sequence = Sequence(1);
     machine.token = FencingToken::first_of(kTerm);
-    machine.first_seen = machine.last_contact = machine.last_own_heartbeat = at(kNow_s);
+    machine.first_seen = machine.last_contact = machine.last_own_heartbeat = at(kNowSeconds);
     return machine;
   }
   static protocol::JobSpec job_spec(const std::string& id, std::uint32_t tasks,
@@ -53,7 +53,7 @@
     fixture::record_job(job, spec);
     job.grants.value.chunks = {{Generation(1), ShardId(0), kTerm, Ranges::span(0, spec.tasks),
                                 std::move(zone), preempt, Attempt(1), std::nullopt}};
-    return *state.jobs.apply(spec.id, job, std::nullopt, true, at(kNow_s));
+    return *state.jobs.apply(spec.id, job, std::nullopt, true, at(kNowSeconds));
   }
   GrantedTask& granted_task(const std::string& job, std::uint32_t index = 0) {
     return *state.jobs.find_task({JobId(job), index});
@@ -62,7 +62,7 @@
   MachineTask& place(Machine& machine, const std::string& job, std::uint32_t index = 0) {
     auto& granted = granted_task(job, index);
     TaskId id{JobId(job), index};
-    state.place(machine, id, state.jobs.at(id.job), granted, at(kNow_s));
+    state.place(machine, id, state.jobs.at(id.job), granted, at(kNowSeconds));
     return machine.tasks.at({id, granted.attempt});
   }
   // Places the granted task and has it run.
@@ -70,7 +70,7 @@
     auto& task = place(machine, job, index);
     task.start = MachineTask::Start::kAcknowledged;
     task.state = protocol::TaskState::kRunning;
-    task.running_since = at(kNow_s);
+    task.running_since = at(kNowSeconds);
     machine.invalidate_load();
     return task;
   }
