--- a/src/api/api.cpp
+++ b/src/api/api.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "net/http_status.h"
+
 namespace beaconsill::api {
 namespace {
 
@@ -12,7 +14,7 @@
 constexpr Duration kRespondWithin = std::chrono::milliseconds(750);
 
 net::Response method_not_allowed() {
-  return {405, "{}"};
+  return {net::status::kMethodNotAllowed, "{}"};
 }
 
 }  // namespace
@@ -38,13 +40,13 @@
     if (request.method != "POST") return reply(method_not_allowed());
     return submission_.handle(request, reply);
   }
-  if (!path.starts_with(std::string(kJobsPath) + '/')) return reply({404, "{}"});
+  if (!path.starts_with(std::string(kJobsPath) + '/')) return reply({net::status::kNotFound, "{}"});
   handle_job(request, path.substr(kJobsPath.size() + 1), reply);
 }
 
 void Api::handle_health(const net::Request& request, const net::HttpServer::Reply& reply) const {
   if (request.method != "GET") return reply(method_not_allowed());
-  reply(context_.hooks.is_healthy() ? net::Response{200, "{}"} : retry_later("not ready"));
+  reply(context_.hooks.is_healthy() ? net::Response{net::status::kOk, "{}"} : retry_later("not ready"));
 }
 
 void Api::handle_job(const net::Request& request, std::string_view path,
@@ -52,7 +54,8 @@
   const bool is_cancellation = path.ends_with(kCancelSuffix);
   if (is_cancellation) path.remove_suffix(kCancelSuffix.size());
   // An id in any other form was never accepted.
-  if (!protocol::valid_job_id(path)) return reply({404, protocol::render_error(kNoSuchJob)});
+  if (!protocol::valid_job_id(path))
+    return reply({net::status::kNotFound, protocol::render_error(kNoSuchJob)});
   const JobId id{std::string(path)};
   if (is_cancellation) {
     if (request.method != "POST") return reply(method_not_allowed());
--- a/src/api/cancellation.cpp
+++ b/src/api/cancellation.cpp
@@ -1,5 +1,7 @@
 #include "api/cancellation.h"
 
+#include "net/http_status.h"
+
 namespace beaconsill::api {
 
 void Cancellation::handle(const JobId& id, const net::HttpServer::Reply& reply) const {
@@ -11,7 +13,7 @@
   context_.read_now([this, id, reply](bool fresh) {
     if (!fresh) return reply(retry_later(kUnreachable));
     auto state = status_.state(id);
-    if (!state) return reply({404, protocol::render_error(kNoSuchJob)});
+    if (!state) return reply({net::status::kNotFound, protocol::render_error(kNoSuchJob)});
     if (context_.view().terminal_state(id)) return reply(status_.status_response(id, *state));
     write_terminal_record(id, reply);
   });
--- a/src/api/context.cpp
+++ b/src/api/context.cpp
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "base/log.h"
+#include "net/http_status.h"
 #include "protocol/api.h"
 
 namespace beaconsill::api {
@@ -30,7 +31,7 @@
 
 net::Response retry_later(std::string_view reason, int retry_after_s) {
   spdlog::debug("request_refused reason=\"{}\" seconds={}", reason, retry_after_s);
-  return {503, protocol::render_error(reason), retry_after_s};
+  return {net::status::kServiceUnavailable, protocol::render_error(reason), retry_after_s};
 }
 
 }  // namespace beaconsill::api
--- a/src/api/job_status.cpp
+++ b/src/api/job_status.cpp
@@ -1,5 +1,7 @@
 #include "api/job_status.h"
 
+#include "net/http_status.h"
+
 namespace beaconsill::api {
 namespace {
 
@@ -13,7 +15,7 @@
   auto respond = [this, id, reply](bool fresh) {
     if (!fresh) return reply(retry_later(kUnreachable));
     if (auto current = state(id)) return reply(status_response(id, *current));
-    reply({404, protocol::render_error(kNoSuchJob)});
+    reply({net::status::kNotFound, protocol::render_error(kNoSuchJob)});
   };
   if (!context_.reader->ready()) return reply(retry_later(kStarting));
   // A final state is final; everything else is read anew, since another controller may have shown something
@@ -36,14 +38,14 @@
 
 net::Response JobStatus::accepted_response(const JobId& id, JobState state) const {
   if (acknowledgement_pending(id, state)) return retry_later(kNotAcknowledged);
-  return {200, protocol::render_accepted(id, state)};
+  return {net::status::kOk, protocol::render_accepted(id, state)};
 }
 
 net::Response JobStatus::status_response(const JobId& id, JobState state) const {
   if (acknowledgement_pending(id, state)) return retry_later(kNotAcknowledged);
   const bool terminal = state == JobState::kDone || state == JobState::kCancelled;
   const auto running = terminal ? 0 : context_.hooks.running_tasks(id);
-  return {200, protocol::render_status(id, state, done_tasks(id), running)};
+  return {net::status::kOk, protocol::render_status(id, state, done_tasks(id), running)};
 }
 
 std::uint32_t JobStatus::done_tasks(const JobId& id) const {
--- a/src/api/submission.cpp
+++ b/src/api/submission.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "base/log.h"
+#include "net/http_status.h"
 #include "state_store/txn_draft.h"
 
 namespace beaconsill::api {
@@ -19,7 +20,7 @@
   try {
     spec = protocol::parse_job(protocol::parse_object(request.body));
   } catch (const protocol::ProtocolError& error) {
-    return reply({400, protocol::render_error(error.what())});
+    return reply({net::status::kBadRequest, protocol::render_error(error.what())});
   }
   if (!context_.reader->ready()) return reply(retry_later(kStarting));
   // What was accepted once is never judged again.
@@ -42,7 +43,7 @@
     if (!fresh) return reply(retry_later(kUnreachable));
     if (auto state = status_.state(id)) return reply(status_.accepted_response(id, *state));
     if (refusal.kind == AdmissionResult::Kind::kNever)
-      return reply({422, protocol::render_error(refusal.reason)});
+      return reply({net::status::kUnprocessableContent, protocol::render_error(refusal.reason)});
     reply(retry_later(refusal.reason, kRetryMuchLaterS));
   });
 }
@@ -53,7 +54,8 @@
     if (!fresh) return reply(retry_later(kUnreachable));
     if (auto state = status_.state(spec.id)) return reply(status_.accepted_response(spec.id, *state));
     if (const auto* unknown = first_unknown_dependency(spec))
-      return reply({422, protocol::render_error("awaits " + unknown->value() + ", no such job")});
+      return reply({net::status::kUnprocessableContent,
+                    protocol::render_error("awaits " + unknown->value() + ", no such job")});
     accept(spec, reply);
   });
 }
@@ -76,7 +78,7 @@
     auto state = status_.state(id);
     if (!fresh || !state) return reply(retry_later(kStateUnknown));
     auto response = status_.accepted_response(id, *state);
-    if (response.status == 200) response.status = 201;
+    if (response.status == net::status::kOk) response.status = net::status::kCreated;
     reply(std::move(response));
   };
   const auto read_at = context_.reader->up_to_date_at();
@@ -96,7 +98,8 @@
   const auto max_bytes = std::min(context_.settings.value_bytes(), state_store::kMaxValueBytes);
   auto values = state_store::fit_job(std::move(record), max_bytes);
   if (!values)
-    return reply({422, protocol::render_error("its record is larger than the state service takes")});
+    return reply({net::status::kUnprocessableContent,
+                  protocol::render_error("its record is larger than the state service takes")});
   if (!values->depends_on.empty() &&
       !context_.hooks.all_controllers_support(state_store::kUnboundedKeysSince))
     return reply(retry_later("not all controllers know of so many awaited jobs", kRetryLaterS));
--- /dev/null
+++ b/src/base/parse_number.h
@@ -0,0 +1,21 @@
+// Numbers in names, keys and addresses.
+#pragma once
+
+#include <charconv>
+#include <optional>
+#include <string_view>
+#include <system_error>
+
+namespace beaconsill {
+
+// The whole text as a decimal number. None: it is anything else, or out of the type's range.
+template <class Number>
+std::optional<Number> parse_number(std::string_view text) {
+  Number number = 0;
+  const char* end = text.data() + text.size();
+  const auto [parsed_to, error] = std::from_chars(text.data(), end, number);
+  if (error != std::errc() || parsed_to != end) return std::nullopt;
+  return number;
+}
+
+}  // namespace beaconsill
--- a/src/base/ranges.cpp
+++ b/src/base/ranges.cpp
@@ -1,7 +1,8 @@
 #include "base/ranges.h"
 
 #include <algorithm>
-#include <charconv>
+
+#include "base/parse_number.h"
 
 namespace beaconsill {
 namespace {
@@ -11,20 +12,11 @@
   std::uint32_t end;
 };
 
-// The whole text as a number.
-std::optional<std::uint32_t> parse_number(std::string_view text) {
-  std::uint32_t number = 0;
-  const char* end = text.data() + text.size();
-  auto [parsed_to, error] = std::from_chars(text.data(), end, number);
-  if (error != std::errc() || parsed_to != end) return std::nullopt;
-  return number;
-}
-
 // "5" or "3-5".
 std::optional<Span> parse_span(std::string_view text) {
   auto dash = text.find('-');
-  auto first = parse_number(text.substr(0, dash));
-  auto last = dash == std::string_view::npos ? first : parse_number(text.substr(dash + 1));
+  auto first = parse_number<std::uint32_t>(text.substr(0, dash));
+  auto last = dash == std::string_view::npos ? first : parse_number<std::uint32_t>(text.substr(dash + 1));
   if (!first || !last || *last < *first || *last == UINT32_MAX) return std::nullopt;
   return Span{*first, *last + 1};
 }
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "base/log.h"
+#include "net/http_status.h"
 
 namespace beaconsill::cloud {
 namespace {
@@ -11,13 +12,9 @@
 constexpr std::size_t kConnections = 2;
 constexpr double kBurstSeconds = 1.5;
 constexpr std::size_t kMaxLoggedBody = 200;
-constexpr int kHttpOk = 200;
-constexpr int kHttpBadRequest = 400;
-constexpr int kHttpTooManyRequests = 429;
-constexpr int kHttpUnavailable = 503;
 
 bool says_no_capacity(const net::Response& response) {
-  if (response.status != kHttpUnavailable) return false;
+  if (response.status != net::status::kServiceUnavailable) return false;
   try {
     return protocol::get_string(protocol::parse_object(response.body), "error") == "no capacity";
   } catch (const protocol::ProtocolError&) {
@@ -28,7 +25,7 @@
 // What an answer other than 200, or the lack of one, means.
 CloudError to_error(const net::Result& result) {
   if (!result) return CloudError::kUnanswered;
-  if (result->status == kHttpBadRequest) return CloudError::kRejected;
+  if (result->status == net::status::kBadRequest) return CloudError::kRejected;
   return says_no_capacity(*result) ? CloudError::kNoCapacity : CloudError::kUnanswered;
 }
 
@@ -36,7 +33,7 @@
 template <class Parse>
 auto parse_answer(const net::Result& result, const char* request, Parse parse)
     -> tl::expected<decltype(parse(protocol::Json())), CloudError> {
-  if (!result || result->status != kHttpOk) return tl::unexpected(to_error(result));
+  if (!result || result->status != net::status::kOk) return tl::unexpected(to_error(result));
   try {
     return parse(protocol::parse_object(result->body));
   } catch (const protocol::ProtocolError& error) {
@@ -109,7 +106,7 @@
 
 void CloudClient::send(QueuedRequest request) {
   auto on_answer = [weak = weak_from_this(), done = std::move(request.done)](net::Result result) {
-    if (auto self = weak.lock(); self && result && result->status == kHttpTooManyRequests)
+    if (auto self = weak.lock(); self && result && result->status == net::status::kTooManyRequests)
       self->rate_limiter_.drain(self->clock_.now());
     done(std::move(result));
   };
@@ -149,7 +146,7 @@
 void CloudClient::remove(const std::vector<MachineName>& machines, RemoveCallback done) {
   enqueue(QueuePosition::kFront, "POST", "/machines/delete", protocol::render_delete(machines),
           [done = std::move(done)](const net::Result& result) {
-            if (result && result->status == kHttpOk) {
+            if (result && result->status == net::status::kOk) {
               done({});
               return;
             }
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -4,12 +4,11 @@
 
 #include "base/log.h"
 #include "controller/socket_limits.h"
+#include "net/http_status.h"
 
 namespace beaconsill::controller {
 namespace {
 constexpr Duration kCommandTimeout = std::chrono::seconds(2);
-constexpr int kHttpOk = 200;
-constexpr int kHttpConflict = 409;
 
 using CommandResult = shard::ShardManager::CommandResult;
 
@@ -20,7 +19,7 @@
     spdlog::debug("commands_unanswered machine={}", machine.value());
     return CommandResult::kNoAnswer;
   }
-  if (result->status != kHttpOk && result->status != kHttpConflict) {
+  if (result->status != net::status::kOk && result->status != net::status::kConflict) {
     spdlog::error("commands_refused machine={} reason=status_{}", machine.value(), result->status);
     return CommandResult::kNoAnswer;
   }
@@ -30,7 +29,7 @@
     spdlog::error("command_answer_malformed machine={} reason=\"{}\"", machine.value(), error.what());
     return CommandResult::kNoAnswer;
   }
-  return result->status == kHttpOk ? CommandResult::kExecuted : CommandResult::kRejected;
+  return result->status == net::status::kOk ? CommandResult::kExecuted : CommandResult::kRejected;
 }
 }  // namespace
 
--- a/src/controller/heartbeat_endpoint.cpp
+++ b/src/controller/heartbeat_endpoint.cpp
@@ -3,14 +3,10 @@
 #include <utility>
 
 #include "base/log.h"
+#include "net/http_status.h"
 
 namespace beaconsill::controller {
 namespace {
-constexpr int kHttpOk = 200;
-constexpr int kHttpBadRequest = 400;
-constexpr int kHttpMethodNotAllowed = 405;
-constexpr int kHttpMisdirected = 421;
-constexpr int kHttpUnavailable = 503;
 constexpr int kRetryAfterSeconds = 1;
 
 // Left of the time limit for a cancelled task after the last lease granted before. It has to cover the
@@ -19,7 +15,7 @@
 constexpr double kCancelMarginSeconds = 1;
 
 net::Response unavailable(const char* reason) {
-  return {kHttpUnavailable, protocol::render_error(reason), kRetryAfterSeconds};
+  return {net::status::kServiceUnavailable, protocol::render_error(reason), kRetryAfterSeconds};
 }
 }  // namespace
 
@@ -40,7 +36,7 @@
 
 void HeartbeatEndpoint::on_request(const net::Request& request, const net::HttpServer::Reply& reply) {
   if (request.method != "POST") {
-    reply({kHttpMethodNotAllowed, "{}"});
+    reply({net::status::kMethodNotAllowed, "{}"});
     return;
   }
   protocol::WorkerHeartbeat heartbeat;
@@ -48,7 +44,7 @@
     heartbeat = protocol::parse_worker_heartbeat(protocol::parse_object(request.body));
   } catch (const protocol::ProtocolError& error) {
     spdlog::info("heartbeat_malformed reason=\"{}\"", error.what());
-    reply({kHttpBadRequest, protocol::render_error(error.what())});
+    reply({net::status::kBadRequest, protocol::render_error(error.what())});
     return;
   }
   auto id = ctx_.partitioning.shard_of(heartbeat.zone, heartbeat.machine);
@@ -74,12 +70,12 @@
   manager.on_worker_heartbeat(heartbeat, ctx_.now());
   if (manager.superseded()) {
     ctx_.watch_cache->sync([](bool) {});
-    return {kHttpMisdirected, protocol::render_redirect(relay_.shard_leader(id))};
+    return {net::status::kMisdirectedRequest, protocol::render_redirect(relay_.shard_leader(id))};
   }
   // A stale heartbeat is answered as well: its worker is there, and commands may have overtaken it.
   if (!manager.find_machine(heartbeat.machine)) return unavailable("machine is gone");
   auto response = manager.heartbeat_response(heartbeat.machine, ctx_.now());
-  return {kHttpOk, protocol::render_heartbeat_response(response.token, response.commands)};
+  return {net::status::kOk, protocol::render_heartbeat_response(response.token, response.commands)};
 }
 
 void HeartbeatEndpoint::on_relayed_heartbeat(const ControllerName& from,
@@ -88,7 +84,7 @@
 }
 
 protocol::RelayedReply HeartbeatEndpoint::answer_relayed(const protocol::RelayedHeartbeat& relayed) {
-  protocol::RelayedReply reply{relayed.id, kHttpMisdirected,
+  protocol::RelayedReply reply{relayed.id, net::status::kMisdirectedRequest,
                                protocol::render_redirect(ctx_.settings.controller)};
   try {
     auto heartbeat = protocol::parse_worker_heartbeat(protocol::parse_object(relayed.heartbeat));
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -3,12 +3,12 @@
 #include <utility>
 
 #include "controller/socket_limits.h"
+#include "net/http_status.h"
 #include "protocol/worker.h"
 
 namespace beaconsill::controller {
 namespace {
 constexpr Duration kRelayTimeout = std::chrono::milliseconds(800);
-constexpr int kHttpMisdirected = 421;
 }  // namespace
 
 HeartbeatRelay::HeartbeatRelay(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers)
@@ -29,7 +29,7 @@
 }
 
 void HeartbeatRelay::redirect(ShardId shard, const net::HttpServer::Reply& reply) const {
-  reply({kHttpMisdirected, protocol::render_redirect(shard_leader(shard))});
+  reply({net::status::kMisdirectedRequest, protocol::render_redirect(shard_leader(shard))});
 }
 
 void HeartbeatRelay::relay(ShardId shard, const std::string& heartbeat, const net::HttpServer::Reply& reply) {
--- a/src/controller/round_driver.cpp
+++ b/src/controller/round_driver.cpp
@@ -31,7 +31,7 @@
   if (!request) return;
   messenger_.broadcast(*request);
   shards_.on_estimate_request(*request, [this](const protocol::EstimateResponse& response) {
-    leadership_.scheduler().on_estimate_response(response, ctx_.now());
+    leadership_.scheduler().on_estimate_response(response);
   });
 }
 
--- a/src/controller/scheduler_service.cpp
+++ b/src/controller/scheduler_service.cpp
@@ -36,7 +36,7 @@
   autoscaler_.begin_term(term);
   auto& scheduler = leadership_.scheduler();
   scheduler.on_terms(leadership_.shard_terms());
-  for (const auto& [shard, summary] : summaries_) scheduler.on_summary(summary, ctx_.now());
+  for (const auto& [shard, summary] : summaries_) scheduler.on_summary(summary);
   for (const auto& [id, job] : ctx_.view().jobs()) refresh_job(id);
   autoscaler_.list_machines();
   schedule_run();
@@ -87,13 +87,13 @@
 
 void SchedulerService::on_estimate_response(const protocol::EstimateResponse& response) {
   if (!is_leader()) return;
-  leadership_.scheduler().on_estimate_response(response, ctx_.now());
+  leadership_.scheduler().on_estimate_response(response);
   schedule_run();
 }
 
 void SchedulerService::on_summary(const protocol::Summary& summary) {
   summaries_[summary.shard] = summary;
-  if (is_leader()) leadership_.scheduler().on_summary(summary, ctx_.now());
+  if (is_leader()) leadership_.scheduler().on_summary(summary);
 }
 
 void SchedulerService::on_catalogue() {
--- a/src/controller/shard_service.cpp
+++ b/src/controller/shard_service.cpp
@@ -134,11 +134,11 @@
   heartbeats_.redirect_expired();
   for (auto& [id, shard] : shards_) {
     registry_.read(id, shard);
-    // No shard is led before everything was read once, which also is how cancellations are known.
-    auto read_at = ctx_.watch_cache->up_to_date_at();
+    // Both are known once everything was read, and no shard is led before that.
+    auto up_to_date_at = ctx_.watch_cache->up_to_date_at();
     auto cancellations_known_until = peers_.cancellations().known_until();
-    if (read_at && cancellations_known_until)
-      shard.manager->tick(ctx_.now(), *cancellations_known_until, *read_at);
+    if (up_to_date_at && cancellations_known_until)
+      shard.manager->tick(ctx_.now(), *cancellations_known_until, *up_to_date_at);
     for (auto& batch : shard.manager->take_command_batches(ctx_.now()))
       commands_.send(id, shard, std::move(batch));
   }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -5,15 +5,13 @@
 #include <asio/write.hpp>
 #include <utility>
 
+#include "net/http_status.h"
 #include "net/message_parser.h"
 
 namespace beaconsill::net {
 namespace {
 
 constexpr std::size_t kReadBufferBytes = 4096;
-constexpr int kBadRequest = 400;
-constexpr int kBodyTooLarge = 413;
-constexpr int kHeaderTooLarge = 431;
 
 std::string format(const Response& response, bool keep_alive) {
   std::string text =
@@ -66,7 +64,7 @@
   bool on_header_value(std::string_view text) override { return count_header(text); }
   bool on_body(std::string_view text) override {
     if (request_.body.size() + text.size() > server_->limits_.max_body) {
-      refusal_ = kBodyTooLarge;
+      refusal_ = status::kContentTooLarge;
       return false;
     }
     request_.body.append(text);
@@ -79,7 +77,7 @@
   bool count_header(std::string_view text) {
     header_bytes_ += text.size();
     if (header_bytes_ <= server_->limits_.max_header) return true;
-    refusal_ = kHeaderTooLarge;
+    refusal_ = status::kHeaderFieldsTooLarge;
     return false;
   }
 
@@ -112,7 +110,8 @@
   void parse() {
     const auto progress = parser_.parse(received_);
     if (progress.status == MessageParser::Status::kMalformed)
-      return send({refusal_.value_or(kBadRequest), R"({"error":"malformed request"})", std::nullopt, true});
+      return send(
+          {refusal_.value_or(status::kBadRequest), R"({"error":"malformed request"})", std::nullopt, true});
     received_.erase(0, progress.consumed);
     if (progress.status == MessageParser::Status::kComplete) return handle();
     read();
@@ -126,7 +125,8 @@
     const auto query = target_.find('?');
     request_.path = target_.substr(0, query);
     if (query != std::string::npos) request_.query = target_.substr(query + 1);
-    if (!count_user()) return send({503, R"({"error":"too many connections"})", 1, true});
+    if (!count_user())
+      return send({status::kServiceUnavailable, R"({"error":"too many connections"})", 1, true});
     server_->handler_(std::move(request_),
                       [weak = weak_from_this(), serial = ++request_serial_](const Response& response) {
                         auto self = weak.lock();
--- a/src/protocol/api.cpp
+++ b/src/protocol/api.cpp
@@ -1,10 +1,10 @@
 #include "protocol/api.h"
 
 #include <algorithm>
-#include <charconv>
 #include <set>
 #include <utility>
 
+#include "base/parse_number.h"
 #include "protocol/field_names.h"
 #include "protocol/named_values.h"
 
@@ -174,11 +174,9 @@
 std::optional<TaskId> parse_task_id(std::string_view text) {
   const auto slash = text.find('/');
   if (slash == std::string_view::npos || !valid_job_id(text.substr(0, slash))) return std::nullopt;
-  std::uint32_t index = 0;
-  const char* end = text.data() + text.size();
-  auto [parsed_to, ec] = std::from_chars(text.data() + slash + 1, end, index);
-  if (ec != std::errc() || parsed_to != end) return std::nullopt;
-  return TaskId{JobId(std::string(text.substr(0, slash))), index};
+  const auto index = parse_number<std::uint32_t>(text.substr(slash + 1));
+  if (!index) return std::nullopt;
+  return TaskId{JobId(std::string(text.substr(0, slash))), *index};
 }
 
 std::string task_name(const TaskId& id) {
--- a/src/scheduler/job_entry.cpp
+++ b/src/scheduler/job_entry.cpp
@@ -53,9 +53,7 @@
 
 Ranges JobEntry::update_chunk(const state_store::Chunk& chunk, const state_store::Job& job,
                               const Ranges& recorded, const ProgressByShard* reported) {
-  Ranges held = chunk.tasks;
-  if (auto progress = job.progress.find(chunk.shard); progress != job.progress.end())
-    held.remove(state_store::released_tasks(progress->second.value, chunk.generation));
+  Ranges held = job.unreleased(chunk);
   const Ranges not_released = held;
   held.remove(recorded);
   Ranges released = held;
--- a/src/scheduler/reported_progress.cpp
+++ b/src/scheduler/reported_progress.cpp
@@ -1,23 +1,8 @@
 #include "scheduler/reported_progress.h"
 
-#include <algorithm>
+#include "state_store/job.h"
 
 namespace beaconsill::scheduler {
-namespace {
-
-void add_released(std::vector<state_store::ReleasedTasks>& known,
-                  const state_store::ReleasedTasks& released) {
-  auto same_generation = std::find_if(
-      known.begin(), known.end(), [&](const auto& entry) { return entry.generation == released.generation; });
-  if (same_generation == known.end()) {
-    known.push_back(released);
-  } else {
-    same_generation->tasks.add(released.tasks);
-  }
-}
-
-}  // namespace
-
 void ReportedProgress::on_report(const protocol::ProgressReport& report) {
   bool current = terms_.is_current(report.shard, report.term);
   for (const auto& job : report.jobs) {
@@ -27,7 +12,8 @@
     if (known.term != report.term) known.progress.released.clear();
     known.term = report.term;
     // Copies may arrive late and in any order: a release under a generation stays valid.
-    for (const auto& released : job.released) add_released(known.progress.released, released);
+    for (const auto& released : job.released)
+      state_store::released_under(known.progress.released, released.generation).add(released.tasks);
   }
 }
 
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -105,11 +105,11 @@
   return reported_.on_terms(terms);
 }
 
-void Scheduler::on_summary(const protocol::Summary& summary, Instant) {
+void Scheduler::on_summary(const protocol::Summary& summary) {
   summaries_.update(summary);
 }
 
-void Scheduler::on_estimate_response(const protocol::EstimateResponse& response, Instant) {
+void Scheduler::on_estimate_response(const protocol::EstimateResponse& response) {
   if (round_ && round_->on_response(response)) assumed_.acknowledge(response.shard, response.seen);
 }
 
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -54,8 +54,8 @@
   // The present terms of the shards. Releases reported under another term count no more; returns the jobs
   // concerned, for which on_job must be called.
   std::vector<JobId> on_terms(const ShardTerms& terms);
-  void on_summary(const protocol::Summary& summary, Instant now);
-  void on_estimate_response(const protocol::EstimateResponse& response, Instant now);
+  void on_summary(const protocol::Summary& summary);
+  void on_estimate_response(const protocol::EstimateResponse& response);
 
   // ---- Estimation rounds
   using Grant = JobGrant;
--- a/src/shard/granted_jobs.cpp
+++ b/src/shard/granted_jobs.cpp
@@ -15,13 +15,8 @@
     if (job.generations.contains(released.generation)) progress.released.push_back(released);
   for (const auto& [index, task] : job.granted_tasks) {
     if (task.status == Status::kDone) progress.done.add(index);
-    if (task.status != Status::kReleased) continue;
-    auto it =
-        std::find_if(progress.released.begin(), progress.released.end(),
-                     [&task = task](const auto& released) { return released.generation == task.generation; });
-    if (it == progress.released.end())
-      it = progress.released.insert(progress.released.end(), {task.generation, {}});
-    it->tasks.add(index);
+    if (task.status == Status::kReleased)
+      state_store::released_under(progress.released, task.generation).add(index);
   }
   return progress;
 }
--- a/src/shard/heartbeat_reconciler.cpp
+++ b/src/shard/heartbeat_reconciler.cpp
@@ -16,14 +16,7 @@
 }  // namespace
 
 Machine& HeartbeatReconciler::find_or_add_machine(const protocol::WorkerHeartbeat& heartbeat) {
-  auto [it, inserted] = state_.machines.try_emplace(heartbeat.machine);
-  auto& machine = it->second;
-  if (inserted) {
-    machine.name = heartbeat.machine;
-    machine.first_seen = machine.last_own_heartbeat = machine.idle_since = now_;
-    machine.token = FencingToken::first_of(state_.term);
-    state_.failure_detector.set_timeouts(machine);
-  }
+  auto& machine = state_.find_or_add_machine(heartbeat.machine, now_).machine;
   if (machine.type != heartbeat.type || !machine.type_known) {
     machine.type = heartbeat.type;
     state_.apply_catalogue(machine);
--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -51,17 +51,12 @@
   for (const auto& record : records) {
     registered.insert(record.name);
     if (state_.terminated.contains(record.name)) continue;
-    auto [it, inserted] = state_.machines.try_emplace(record.name);
-    if (!inserted) continue;
-    auto& machine = it->second;
-    machine.name = record.name;
+    auto [machine, added] = state_.find_or_add_machine(record.name, now);
+    if (!added) continue;
     machine.type = record.type;
     machine.zone = record.zone;
     machine.spot = record.spot;
-    machine.first_seen = machine.last_contact = machine.last_own_heartbeat = now;
-    machine.idle_since = now;
-    machine.token = FencingToken::first_of(state_.term);
-    state_.failure_detector.set_timeouts(machine);
+    machine.last_contact = now;
     machine.address = record.address;
     machine.quarantined = record.quarantined;
     machine.probe_at = now;
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -18,6 +18,18 @@
   return it == machines.end() ? nullptr : &it->second;
 }
 
+ShardState::FoundMachine ShardState::find_or_add_machine(const MachineName& name, Instant now) {
+  auto [it, added] = machines.try_emplace(name);
+  auto& machine = it->second;
+  if (added) {
+    machine.name = name;
+    machine.first_seen = machine.last_own_heartbeat = machine.idle_since = now;
+    machine.token = FencingToken::first_of(term);
+    failure_detector.set_timeouts(machine);
+  }
+  return {machine, added};
+}
+
 void ShardState::apply_catalogue(Machine& machine) const {
   if (!catalogue) return;
   auto it = catalogue->find(machine.type);
--- a/src/shard/shard_state.h
+++ b/src/shard/shard_state.h
@@ -22,6 +22,12 @@
   ShardState(ShardId shard, Term shard_term, const ShardParams& shard_params, Instant now);
 
   Machine* find_machine(const MachineName& name);
+  struct FoundMachine {
+    Machine& machine;
+    bool added;  // it wasn't known before
+  };
+  // A machine that is added has its name, its first fencing token, and the times of one just seen.
+  FoundMachine find_or_add_machine(const MachineName& name, Instant now);
   // Sets what the catalogue says of the machine's type.
   void apply_catalogue(Machine& machine) const;
 
--- a/src/state_store/client.cpp
+++ b/src/state_store/client.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "base/log.h"
+#include "net/http_status.h"
 #include "state_store/records.h"
 #include "state_store/txn_draft.h"
 
@@ -18,28 +19,19 @@
 // Of the body of a refusal, as much as is logged.
 constexpr std::size_t kLoggedBodyBytes = 200;
 
-constexpr int kStatusOk = 200;
-constexpr int kStatusBadRequest = 400;
-constexpr int kStatusNotFound = 404;
-constexpr int kStatusConflict = 409;
-constexpr int kStatusCompacted = 410;
-constexpr int kStatusTooLarge = 413;
-constexpr int kStatusTooMany = 429;
-constexpr int kStatusUnavailable = 503;
-
 // The service refuses a transaction for its size: 400 by the protocol, 413 for the whole body.
 bool refused_for_size(int status) {
-  return status == kStatusBadRequest || status == kStatusTooLarge;
+  return status == net::status::kBadRequest || status == net::status::kContentTooLarge;
 }
 
 bool refused_for_load(int status) {
-  return status == kStatusUnavailable || status == kStatusTooMany;
+  return status == net::status::kServiceUnavailable || status == net::status::kTooManyRequests;
 }
 
 ReadError read_error(int status) {
   if (refused_for_load(status)) return ReadError::kRefused;
-  if (status == kStatusNotFound) return ReadError::kNotFound;
-  if (status == kStatusCompacted) return ReadError::kCompacted;
+  if (status == net::status::kNotFound) return ReadError::kNotFound;
+  if (status == net::status::kGone) return ReadError::kCompacted;
   return ReadError::kRejected;
 }
 
@@ -48,7 +40,7 @@
     const bool sent = response.error() == net::RequestError::kNoResponse;
     return tl::unexpected(sent ? ReadError::kUnknown : ReadError::kRefused);
   }
-  if (response->status != kStatusOk) return tl::unexpected(read_error(response->status));
+  if (response->status != net::status::kOk) return tl::unexpected(read_error(response->status));
   try {
     return ReadResponse{protocol::parse_object(response->body)};
   } catch (const protocol::ProtocolError& error) {
@@ -58,7 +50,7 @@
 }
 
 TxnError txn_error(const net::Response& response) {
-  if (response.status == kStatusConflict) return TxnError::kConflict;
+  if (response.status == net::status::kConflict) return TxnError::kConflict;
   if (refused_for_load(response.status)) return TxnError::kRefused;
   spdlog::error("state_store_txn_rejected status={} reason=\"{}\"", response.status,
                 response.body.substr(0, kLoggedBodyBytes));
@@ -70,7 +62,7 @@
     const bool sent = response.error() == net::RequestError::kNoResponse;
     return tl::unexpected(sent ? TxnError::kUnknown : TxnError::kRefused);
   }
-  if (response->status != kStatusOk) return tl::unexpected(txn_error(*response));
+  if (response->status != net::status::kOk) return tl::unexpected(txn_error(*response));
   try {
     return protocol::parse_revision(protocol::parse_object(response->body));
   } catch (const protocol::ProtocolError& error) {
@@ -155,8 +147,7 @@
   StoreRequest request;
   request.method = "GET";
   request.target = std::move(target);
-  request.done = [done = std::move(done)](const net::Result& response) { done(to_read_result(response)); };
-  enqueue(std::move(request), urgency);
+  enqueue_read(std::move(request), urgency, std::move(done));
 }
 
 void StoreClient::grant_lease(std::uint32_t ttl_ms, std::function<void(ReadResult)> done) {
@@ -164,8 +155,7 @@
   request.method = "POST";
   request.target = protocol::leases_target();
   request.body = protocol::render_lease(ttl_ms);
-  request.done = [done = std::move(done)](const net::Result& response) { done(to_read_result(response)); };
-  enqueue(std::move(request), Urgency::kElection);
+  enqueue_read(std::move(request), Urgency::kElection, std::move(done));
 }
 
 void StoreClient::renew(LeaseId id, std::function<void(ReadResult)> done) {
@@ -173,8 +163,12 @@
   request.method = "POST";
   request.target = protocol::lease_target(id) + "/renew";
   request.body = "{}";
+  enqueue_read(std::move(request), Urgency::kElection, std::move(done));
+}
+
+void StoreClient::enqueue_read(StoreRequest request, Urgency urgency, std::function<void(ReadResult)> done) {
   request.done = [done = std::move(done)](const net::Result& response) { done(to_read_result(response)); };
-  enqueue(std::move(request), Urgency::kElection);
+  enqueue(std::move(request), urgency);
 }
 
 void StoreClient::enqueue(StoreRequest request, Urgency urgency) {
@@ -213,11 +207,11 @@
     if (is_read && !newer_response) set_available(false);
     return;
   }
-  if (response->status == kStatusUnavailable) return set_available(false);
+  if (response->status == net::status::kServiceUnavailable) return set_available(false);
   const auto now = clock_.now();
   last_response_ = now;
   set_available(true);
-  if (response->status == kStatusTooMany) return on_too_many(now);
+  if (response->status == net::status::kTooManyRequests) return on_too_many(now);
   if (rate_limits_.on_time(now)) update_rates(now);
   size_limits_.on_time(now);
   response_delay_.add_sample(now - sent);
--- a/src/state_store/client.h
+++ b/src/state_store/client.h
@@ -81,6 +81,8 @@
   void stop();
 
  private:
+  // A request with a ReadResult: a read, or one about a lease.
+  void enqueue_read(StoreRequest request, Urgency urgency, std::function<void(ReadResult)> done);
   void enqueue(StoreRequest request, Urgency urgency);
   void send_queued();
   void send(StoreRequest request);
--- a/src/state_store/job.cpp
+++ b/src/state_store/job.cpp
@@ -1,5 +1,7 @@
 #include "state_store/job.h"
 
+#include <algorithm>
+
 namespace beaconsill::state_store {
 
 Ranges released_tasks(const Progress& progress, Generation generation) {
@@ -8,6 +10,13 @@
   return {};
 }
 
+Ranges& released_under(std::vector<ReleasedTasks>& released, Generation generation) {
+  auto it = std::find_if(released.begin(), released.end(),
+                         [&](const ReleasedTasks& entry) { return entry.generation == generation; });
+  if (it == released.end()) it = released.insert(it, {generation, {}});
+  return it->tasks;
+}
+
 Ranges Job::done() const {
   Ranges tasks;
   for (const auto& [shard, recorded] : progress) tasks.add(recorded.value.done);
--- a/src/state_store/job.h
+++ b/src/state_store/job.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <map>
+#include <vector>
 
 #include "base/ranges.h"
 #include "state_store/records.h"
@@ -22,12 +23,13 @@
   Ranges outstanding(ShardId shard) const;
   // The same for all shards.
   Ranges outstanding() const;
-
- private:
+  // Those of a chunk that its shard hasn't recorded as released.
   Ranges unreleased(const Chunk& chunk) const;
 };
 
 // The tasks of a chunk that the shard has released.
 Ranges released_tasks(const Progress& progress, Generation generation);
+// The same in a list, to be added to. An empty entry is appended if there is none.
+Ranges& released_under(std::vector<ReleasedTasks>& released, Generation generation);
 
 }  // namespace beaconsill::state_store
--- a/src/state_store/record_keys.cpp
+++ b/src/state_store/record_keys.cpp
@@ -2,7 +2,8 @@
 
 #include <algorithm>
 #include <array>
-#include <charconv>
+
+#include "base/parse_number.h"
 
 namespace beaconsill::state_store {
 namespace {
@@ -32,13 +33,6 @@
   return std::string(name) + '/' + std::to_string(number);
 }
 
-std::optional<std::uint32_t> parse_number(std::string_view text) {
-  std::uint32_t number = 0;
-  auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), number);
-  if (ec != std::errc() || end != text.data() + text.size()) return std::nullopt;
-  return number;
-}
-
 // A path "a/b/c" split at the first slash.
 struct SplitPath {
   std::string_view head;
@@ -53,22 +47,22 @@
 
 std::optional<RecordKey> parse_dependency_key(std::string_view path) {
   const auto [job, segment] = split(path);
-  const auto number = parse_number(segment);
+  const auto number = parse_number<std::uint32_t>(segment);
   if (!number) return std::nullopt;
   return RecordKey{RecordKind::kDependencies, std::string(job), {}, *number};
 }
 
 std::optional<RecordKey> parse_progress_key(std::string_view path) {
   const auto [shard, job] = split(path);
-  const auto number = parse_number(shard);
+  const auto number = parse_number<std::uint32_t>(shard);
   if (!number) return std::nullopt;
   return RecordKey{RecordKind::kProgress, std::string(job), ShardId(*number)};
 }
 
 std::optional<RecordKey> parse_machines_key(std::string_view path) {
   const auto [shard, registry_key] = split(path);
-  const auto shard_number = parse_number(shard);
-  const auto number = parse_number(registry_key);
+  const auto shard_number = parse_number<std::uint32_t>(shard);
+  const auto number = parse_number<std::uint32_t>(registry_key);
   if (!shard_number || !number) return std::nullopt;
   return RecordKey{RecordKind::kMachines, {}, ShardId(*shard_number), *number};
 }
@@ -76,7 +70,7 @@
 std::optional<RecordKey> parse_role_key(std::string_view path) {
   const auto [role, name] = split(path);
   if (role == kLeader) return RecordKey{RecordKind::kLeaderRole};
-  const auto shard = parse_number(name);
+  const auto shard = parse_number<std::uint32_t>(name);
   if (role != kShard || !shard) return std::nullopt;
   return RecordKey{RecordKind::kShardRole, {}, ShardId(*shard)};
 }
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -17,21 +17,15 @@
 
 Ranges parse_ranges(const Json& json, const char* field) {
   const Json& text = protocol::need(json, field);
-  if (!text.is_string()) throw ProtocolError(std::string(field) + " is not a string");
+  if (!text.is_string()) throw protocol::field_error(field, "is not a string");
   auto ranges = Ranges::parse(text.get_ref<const std::string&>());
-  if (!ranges) throw ProtocolError(std::string(field) + " is not a set of ranges");
+  if (!ranges) throw protocol::field_error(field, "is not a set of ranges");
   return *ranges;
 }
 
-const Json& need_list(const Json& json, const char* field) {
-  const Json& list = protocol::need(json, field);
-  if (!list.is_array()) throw ProtocolError(std::string(field) + " is not a list");
-  return list;
-}
-
 WallMs parse_wall_time(const Json& json, const char* field) {
   const Json& number = protocol::need(json, field);
-  if (!number.is_number_integer()) throw ProtocolError(std::string(field) + " is not an integer");
+  if (!number.is_number_integer()) throw protocol::field_error(field, "is not an integer");
   return WallMs(number.get<std::int64_t>());
 }
 
@@ -123,7 +117,7 @@
   Grants grants;
   grants.last = Generation(protocol::get_count(json, "last"));
   grants.revoke = protocol::get_bool_or(json, "recall", false);
-  for (const Json& chunk : need_list(json, "chunks")) grants.chunks.push_back(parse_chunk(chunk));
+  for (const Json& chunk : protocol::get_list(json, "chunks")) grants.chunks.push_back(parse_chunk(chunk));
   return grants;
 }
 
@@ -137,7 +131,7 @@
 Progress parse_progress(const Json& json) {
   Progress progress;
   progress.done = parse_ranges(json, "done");
-  for (const Json& released : need_list(json, "returned"))
+  for (const Json& released : protocol::get_list(json, "returned"))
     progress.released.push_back(
         {Generation(protocol::get_count(released, "g")), parse_ranges(released, "r")});
   return progress;
@@ -197,7 +191,7 @@
 
 std::vector<MachineRecord> parse_machines(const Json& json) {
   std::vector<MachineRecord> machines;
-  for (const Json& machine : need_list(json, "machines"))
+  for (const Json& machine : protocol::get_list(json, "machines"))
     machines.push_back({MachineName(protocol::get_string(machine, "n")),
                         MachineType(protocol::get_string(machine, "t")),
                         Zone(protocol::get_string(machine, "z")), protocol::get_bool(machine, "s"),
--- a/src/state_store/value_sizes.cpp
+++ b/src/state_store/value_sizes.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "state_store/job.h"
+
 namespace beaconsill::state_store {
 namespace {
 
@@ -15,10 +17,7 @@
 
 void add(Progress& progress, const Span& span) {
   if (!span.released) return progress.done.add_span(span.first, span.end);
-  auto it = std::find_if(progress.released.begin(), progress.released.end(),
-                         [&](const ReleasedTasks& tasks) { return tasks.generation == *span.released; });
-  if (it == progress.released.end()) it = progress.released.insert(it, {*span.released, {}});
-  it->tasks.add_span(span.first, span.end);
+  released_under(progress.released, *span.released).add_span(span.first, span.end);
 }
 
 std::vector<Span> spans_of(const Progress& progress) {
--- a/tests/concurrent_faults_scheduler_test.cpp
+++ b/tests/concurrent_faults_scheduler_test.cpp
@@ -61,10 +61,9 @@
     auto estimate_request = scheduler.begin_round(at(time), WallMs(0), {ShardId(0), ShardId(1)});
     if (!estimate_request) return {};
     for (auto& [shard, capacity] : capacities)
-      scheduler.on_estimate_response(
-          {estimate_request->round, ShardId(shard), terms.at(ShardId(shard)), Revision(revision),
-           std::vector(estimate_request->resource_requests.size(), capacity)},
-          at(time));
+      scheduler.on_estimate_response({estimate_request->round, ShardId(shard), terms.at(ShardId(shard)),
+                                      Revision(revision),
+                                      std::vector(estimate_request->resource_requests.size(), capacity)});
     return scheduler.decide(at(time + 3), terms).value_or(std::vector<Scheduler::Grant>{});
   }
   void commit(const std::vector<Scheduler::Grant>& grants) {
--- a/tests/failover_scheduler_test.cpp
+++ b/tests/failover_scheduler_test.cpp
@@ -51,8 +51,7 @@
     if (!estimate_request) return {};
     protocol::CapacityByZone capacity{{Zone("a"), 100, 0, 0, 0}};
     scheduler.on_estimate_response({estimate_request->round, ShardId(0), Term(1), Revision(9),
-                                    std::vector(estimate_request->resource_requests.size(), capacity)},
-                                   at(time));
+                                    std::vector(estimate_request->resource_requests.size(), capacity)});
     return scheduler.decide(at(time), terms(1)).value_or(std::vector<Scheduler::Grant>{});
   }
 
--- a/tests/grant_writer_test.cpp
+++ b/tests/grant_writer_test.cpp
@@ -32,8 +32,7 @@
     protocol::ZoneCapacity capacity{Zone("a"), kTasks};
     scheduler.on_estimate_response(
         {request->round, kShard, kShardTerm, Revision(1000),
-         std::vector(request->resource_requests.size(), protocol::CapacityByZone{capacity})},
-        clock.now());
+         std::vector(request->resource_requests.size(), protocol::CapacityByZone{capacity})});
     return scheduler.decide(clock.now(), leadership.shard_terms()).value_or(GrantWriter::Grants{});
   }
   void write(GrantWriter::Grants grants) {
--- a/tests/inherited_requirements_test.cpp
+++ b/tests/inherited_requirements_test.cpp
@@ -53,8 +53,7 @@
     if (!estimate_request) return {};
     protocol::CapacityByZone capacity{{Zone("a"), 1000, 0, 0, 0}};
     scheduler.on_estimate_response({estimate_request->round, ShardId(0), Term(1), Revision(1),
-                                    std::vector(estimate_request->resource_requests.size(), capacity)},
-                                   at(time));
+                                    std::vector(estimate_request->resource_requests.size(), capacity)});
     auto grants =
         scheduler.decide(at(time), {{ShardId(0), Term(1)}}).value_or(std::vector<Scheduler::Grant>{});
     scheduler.on_granted(grants, std::nullopt, at(time));
@@ -135,7 +134,7 @@
   EXPECT_EQ(estimate_request->resource_requests[1].priority, Priority::kNormal);
   protocol::CapacityByZone capacity{{Zone("a"), 1000, 0, 0, 0}};
   fixture.scheduler.on_estimate_response(
-      {estimate_request->round, ShardId(0), Term(1), Revision(1), {capacity, capacity}}, at(1));
+      {estimate_request->round, ShardId(0), Term(1), Revision(1), {capacity, capacity}});
   auto grants = fixture.scheduler.decide(at(1), {{ShardId(0), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 2);
   EXPECT_EQ((*grants)[0].grants.chunks.at(0).priority, Priority::kHigh);
@@ -162,7 +161,7 @@
   auto estimate_request = scheduler.begin_round(at(1), WallMs(0), {ShardId(0)});
   ASSERT_TRUE(estimate_request);
   scheduler.on_estimate_response(
-      {estimate_request->round, ShardId(0), Term(1), Revision(1), {{{Zone("a"), 48000, 0, 0, 0}}}}, at(1));
+      {estimate_request->round, ShardId(0), Term(1), Revision(1), {{{Zone("a"), 48000, 0, 0, 0}}}});
   auto grants = scheduler.decide(at(1), {{ShardId(0), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 1);
   EXPECT_EQ((*grants)[0].grants.chunks.at(0).tasks.count(), 48000u);
@@ -259,7 +258,7 @@
   ASSERT_TRUE(estimate_request);
   protocol::CapacityByZone capacity{{Zone("a"), 1000, 0, 0, 0}};
   fixture.scheduler.on_estimate_response(
-      {estimate_request->round, ShardId(0), Term(1), Revision(9), {capacity}}, at(1));
+      {estimate_request->round, ShardId(0), Term(1), Revision(9), {capacity}});
   auto grants = fixture.scheduler.decide(at(1), {{ShardId(0), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 1);
   const auto& chunks = grants->at(0).grants.chunks;
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -59,8 +59,7 @@
     if (!estimate_request) return {};
     for (auto& [shard, capacity] : capacities)
       scheduler.on_estimate_response({estimate_request->round, ShardId(shard), Term(1), Revision(revision),
-                                      std::vector(estimate_request->resource_requests.size(), capacity)},
-                                     at(time));
+                                      std::vector(estimate_request->resource_requests.size(), capacity)});
     auto grants =
         scheduler.decide(at(wait ? time + 2.1 : time), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}});
     return grants.value_or(std::vector<Scheduler::Grant>{});
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -32,8 +32,7 @@
                                 Term(1),
                                 Revision(1),
                                 {{MachineName("m"), MachineType("t"), Zone("a"), false, {4, 0, 8}, 0, true}},
-                                {}},
-                               at(0));
+                                {}});
   EXPECT_TRUE(fixture.run_round(1, {{0, capacity(4)}}).empty());
   auto grants = fixture.scheduler.decide(at(3.1), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 1);
--- a/tests/sim/controller_peers.cpp
+++ b/tests/sim/controller_peers.cpp
@@ -68,7 +68,7 @@
 
 void Controller::on_summary(const protocol::Summary& summary) {
   process_.summaries[summary.shard] = summary;
-  if (process_.scheduler) process_.scheduler->on_summary(summary, instant());
+  if (process_.scheduler) process_.scheduler->on_summary(summary);
 }
 
 // The shard leader of the highest term that the state store or another controller has announced, if it's
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -21,7 +21,7 @@
   process_.leader_term = term;
   process_.records_read = false;
   process_.scheduler->on_terms(terms());
-  for (const auto& [shard, summary] : process_.summaries) process_.scheduler->on_summary(summary, instant());
+  for (const auto& [shard, summary] : process_.summaries) process_.scheduler->on_summary(summary);
   std::set<JobId> all;
   for (const auto& [id, job] : view().jobs()) all.insert(id);
   publish_to_scheduler(all);
@@ -167,7 +167,7 @@
 }
 
 void Controller::on_estimate_response(const protocol::EstimateResponse& response) {
-  if (process_.scheduler) process_.scheduler->on_estimate_response(response, instant());
+  if (process_.scheduler) process_.scheduler->on_estimate_response(response);
 }
 
 }  // namespace beaconsill::sim
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -53,7 +53,7 @@
       capacities.push_back(request.zone == Zone("full") ? protocol::CapacityByZone{}
                                                         : protocol::CapacityByZone{{Zone("a"), 4, 0, 0, 0}});
     scheduler.on_estimate_response(
-        {estimate_request->round, ShardId(0), Term(1), Revision(revision), capacities}, at(time));
+        {estimate_request->round, ShardId(0), Term(1), Revision(revision), capacities});
     auto grants = scheduler.decide(at(time), {{ShardId(0), Term(1)}});
     if (!grants || grants->empty()) return;
     scheduler.on_granted(*grants, Revision(++revision), at(time));
