--- a/src/api/api.cpp
+++ b/src/api/api.cpp
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-Api::Api(asio::io_context& io, const Clock& clock, const config::Settings& settings,
+Api::Api(asio::io_context& io_context, const Clock& clock, const config::Settings& settings,
          std::shared_ptr<state_store::TxnExecutor> store,
          std::shared_ptr<state_store::StateReader> watch_cache, Hooks hooks)
     : context_{clock, settings, std::move(store), std::move(watch_cache), std::move(hooks)},
       status_(context_),
       submission_(context_, status_),
       cancellation_(context_, status_),
-      deadline_(io, kRespondWithin, retry_later("the state service takes too long")) {}
+      deadline_(io_context, kRespondWithin, retry_later("the state service takes too long")) {}
 
 bool Api::is_user_path(const std::string& path) {
   return path.starts_with(kJobsPath);
--- a/src/api/api.h
+++ b/src/api/api.h
@@ -21,7 +21,7 @@
  public:
   using Hooks = api::Hooks;
   // The settings, the clock and the event loop have to outlive it.
-  Api(asio::io_context& io, const Clock& clock, const config::Settings& settings,
+  Api(asio::io_context& io_context, const Clock& clock, const config::Settings& settings,
       std::shared_ptr<state_store::TxnExecutor> store, std::shared_ptr<state_store::StateReader> watch_cache,
       Hooks hooks);
   Api(const Api&) = delete;
--- a/src/api/reply_deadline.cpp
+++ b/src/api/reply_deadline.cpp
@@ -2,8 +2,8 @@
 
 namespace beaconsill::api {
 
-ReplyDeadline::ReplyDeadline(asio::io_context& io, Duration limit, net::Response late)
-    : state_(std::make_shared<State>(io, limit, std::move(late))) {}
+ReplyDeadline::ReplyDeadline(asio::io_context& io_context, Duration limit, net::Response late)
+    : state_(std::make_shared<State>(io_context, limit, std::move(late))) {}
 
 // NOLINTNEXTLINE(bugprone-exception-escape): a timer that is set can always be cancelled.
 ReplyDeadline::~ReplyDeadline() {
@@ -30,9 +30,9 @@
   if (state->armed || state->pending.empty()) return;
   state->armed = true;
   state->timer.expires_at(state->pending.front()->deadline);
-  state->timer.async_wait([state](std::error_code ec) {
+  state->timer.async_wait([state](std::error_code error) {
     state->armed = false;
-    if (!ec) expire(state);
+    if (!error) expire(state);
   });
 }
 
--- a/src/api/reply_deadline.h
+++ b/src/api/reply_deadline.h
@@ -16,7 +16,7 @@
 class ReplyDeadline {
  public:
   // `late`: the response at the deadline.
-  ReplyDeadline(asio::io_context& io, Duration limit, net::Response late);
+  ReplyDeadline(asio::io_context& io_context, Duration limit, net::Response late);
   ~ReplyDeadline();  // NOLINT(bugprone-exception-escape): see its definition
   ReplyDeadline(const ReplyDeadline&) = delete;
   ReplyDeadline& operator=(const ReplyDeadline&) = delete;
@@ -31,8 +31,8 @@
     void respond(net::Response response);
   };
   struct State {
-    State(asio::io_context& io, Duration within, net::Response refusal)
-        : timer(io), limit(within), late(std::move(refusal)) {}
+    State(asio::io_context& io_context, Duration within, net::Response refusal)
+        : timer(io_context), limit(within), late(std::move(refusal)) {}
     asio::steady_timer timer;
     Duration limit;
     net::Response late;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -22,15 +22,15 @@
 int run_controller(const std::string& settings_path, const std::string& policy_path) {
   auto settings = config::load_settings(settings_path);
   auto policy = config::load_policy(policy_path, settings);
-  asio::io_context io(1);
+  asio::io_context io_context(1);
   SystemClock clock;
-  controller::Controller controller(io, clock, std::move(settings), policy);
-  asio::signal_set signals(io, SIGINT, SIGTERM);
-  signals.async_wait([&](std::error_code ec, int) {
-    if (!ec) controller.stop();
+  controller::Controller controller(io_context, clock, std::move(settings), policy);
+  asio::signal_set signals(io_context, SIGINT, SIGTERM);
+  signals.async_wait([&](std::error_code error, int) {
+    if (!error) controller.stop();
   });
   controller.start();
-  io.run();
+  io_context.run();
   return kSuccess;
 }
 
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -43,12 +43,12 @@
 }
 }  // namespace
 
-CloudClient::CloudClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& endpoint,
+CloudClient::CloudClient(asio::io_context& io_context, const Clock& clock, const net::Tcp::endpoint& endpoint,
                          double rps)
     : clock_(clock),
-      http_(std::make_shared<net::HttpClient>(io, endpoint, kConnections)),
+      http_(std::make_shared<net::HttpClient>(io_context, endpoint, kConnections)),
       rate_limiter_(rps, kBurstSeconds, clock.now()),
-      timer_(io) {}
+      timer_(io_context) {}
 
 void CloudClient::set_rate(double rps) {
   rate_limiter_.set_rate(rps, clock_.now());
@@ -99,8 +99,8 @@
 
 void CloudClient::wait_for_rate_limit(Instant now) {
   timer_.expires_at(rate_limiter_.ready_at(1, false, now));
-  timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-    if (auto self = weak.lock(); self && !ec) self->send_queued();
+  timer_.async_wait([weak = weak_from_this()](std::error_code error) {
+    if (auto self = weak.lock(); self && !error) self->send_queued();
   });
 }
 
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -38,7 +38,8 @@
   using RemoveCallback = std::function<void(RemoveResult)>;
   using RentCallback = std::function<void(RentResult)>;
 
-  CloudClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& endpoint, double rps);
+  CloudClient(asio::io_context& io_context, const Clock& clock, const net::Tcp::endpoint& endpoint,
+              double rps);
 
   void catalogue(CatalogueCallback done);
   // All pages of the list of machines.
--- a/src/controller/autoscaler_service.cpp
+++ b/src/controller/autoscaler_service.cpp
@@ -15,8 +15,8 @@
       messenger_(messenger),
       shards_(shards),
       leadership_(leadership),
-      run_timer_(ctx.io, [this] { run(); }),
-      list_timer_(ctx.io, [this] { list_machines(); }) {}
+      run_timer_(ctx.io_context, [this] { run(); }),
+      list_timer_(ctx.io_context, [this] { list_machines(); }) {}
 
 void AutoscalerService::start() {
   run_timer_.start(kPeriod);
--- a/src/controller/catalogue_refresher.cpp
+++ b/src/controller/catalogue_refresher.cpp
@@ -9,7 +9,7 @@
 }  // namespace
 
 CatalogueRefresher::CatalogueRefresher(ControllerContext& ctx, std::function<void()> on_catalogue)
-    : ctx_(ctx), on_catalogue_(std::move(on_catalogue)), timer_(ctx.io, [this] { run(); }) {}
+    : ctx_(ctx), on_catalogue_(std::move(on_catalogue)), timer_(ctx.io_context, [this] { run(); }) {}
 
 void CatalogueRefresher::start() {
   timer_.start(kCheckPeriod);
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -37,7 +37,7 @@
     : ctx_(ctx),
       shards_(shards),
       on_answer_(std::move(on_answer)),
-      connections_(ctx.io, plan_socket_limits(ctx.settings).commands) {}
+      connections_(ctx.io_context, plan_socket_limits(ctx.settings).commands) {}
 
 void CommandSender::stop() {
   stopped_ = true;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -28,9 +28,9 @@
 
 }  // namespace
 
-Controller::Controller(asio::io_context& io, const Clock& clock, config::Settings settings,
+Controller::Controller(asio::io_context& io_context, const Clock& clock, config::Settings settings,
                        config::Policy policy)
-    : ctx_(io, clock, std::move(settings), policy) {
+    : ctx_(io_context, clock, std::move(settings), policy) {
   make_clients();
   make_services();
   make_election();
@@ -49,15 +49,15 @@
   // Until the view shows which controllers are alive, each takes an equal share.
   const auto controllers = static_cast<double>(settings.controllers());
   ctx_.store = std::make_shared<state_store::StoreClient>(
-      ctx_.io, ctx_.clock, state,
+      ctx_.io_context, ctx_.clock, state,
       state_store::StoreLimits{settings.state_rps, settings.state_write_rps, settings.txn_ops,
                                settings.value_bytes()},
       state_store::StoreLimits{settings.next_state_rps, settings.next_state_write_rps}, 1.0 / controllers);
   ctx_.watch_cache = std::make_shared<state_store::WatchCache>(
-      ctx_.io, ctx_.clock, ctx_.store, kSyncPeriod,
+      ctx_.io_context, ctx_.clock, ctx_.store, kSyncPeriod,
       [this](const state_store::StateView::ChangeSet& changes) { on_view(changes); });
-  ctx_.cloud =
-      std::make_shared<cloud::CloudClient>(ctx_.io, ctx_.clock, cloud, settings.cloud_rps / controllers);
+  ctx_.cloud = std::make_shared<cloud::CloudClient>(ctx_.io_context, ctx_.clock, cloud,
+                                                    settings.cloud_rps / controllers);
 }
 
 void Controller::make_services() {
@@ -99,13 +99,13 @@
   hooks.all_controllers_support = [this](std::uint32_t version) {
     return ctx_.view().all_support(version, ctx_.partitioning.controllers());
   };
-  api_ = std::make_unique<api::Api>(ctx_.io, ctx_.clock, ctx_.settings, ctx_.store, ctx_.watch_cache,
+  api_ = std::make_unique<api::Api>(ctx_.io_context, ctx_.clock, ctx_.settings, ctx_.store, ctx_.watch_cache,
                                     std::move(hooks));
 }
 
 void Controller::make_server() {
   server_ = std::make_shared<net::HttpServer>(
-      ctx_.io, parse_address(ctx_.settings.listen, "bind"), server_limits(ctx_.settings),
+      ctx_.io_context, parse_address(ctx_.settings.listen, "bind"), server_limits(ctx_.settings),
       [](const net::Request& request) { return api::Api::is_user_path(request.path); },
       [this](const net::Request& request, net::HttpServer::Reply reply) {
         on_request(request, std::move(reply));
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -22,7 +22,8 @@
 // of the settings can't be parsed.
 class Controller {
  public:
-  Controller(asio::io_context& io, const Clock& clock, config::Settings settings, config::Policy policy);
+  Controller(asio::io_context& io_context, const Clock& clock, config::Settings settings,
+             config::Policy policy);
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
   ~Controller();
--- a/src/controller/controller_context.h
+++ b/src/controller/controller_context.h
@@ -20,13 +20,13 @@
 struct ControllerContext {
   ControllerContext(asio::io_context& event_loop, const Clock& controller_clock,
                     config::Settings controller_settings, const config::Policy& controller_policy)
-      : io(event_loop),
+      : io_context(event_loop),
         clock(controller_clock),
         settings(std::move(controller_settings)),
         policy(controller_policy),
         partitioning(settings) {}
 
-  asio::io_context& io;
+  asio::io_context& io_context;
   const Clock& clock;
   config::Settings settings;
   config::Policy policy;
--- a/src/controller/garbage_collector.cpp
+++ b/src/controller/garbage_collector.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 GarbageCollector::GarbageCollector(ControllerContext& ctx, Leadership& leadership)
-    : ctx_(ctx), leadership_(leadership), timer_(ctx.io, [this] { run(); }) {}
+    : ctx_(ctx), leadership_(leadership), timer_(ctx.io_context, [this] { run(); }) {}
 
 void GarbageCollector::start() {
   timer_.start(kPeriod);
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -16,7 +16,10 @@
 }  // namespace
 
 LeaderElection::LeaderElection(ControllerContext& ctx, Hooks hooks)
-    : ctx_(ctx), hooks_(std::move(hooks)), liveness_(ctx), check_timer_(ctx.io, [this] { on_view(); }) {
+    : ctx_(ctx),
+      hooks_(std::move(hooks)),
+      liveness_(ctx),
+      check_timer_(ctx.io_context, [this] { on_view(); }) {
   for (std::uint32_t number = 0; number < ctx.partitioning.shard_count(); ++number) {
     ShardId shard(number);
     shards_[shard].key = state_store::shard_role_key(shard);
--- a/src/controller/liveness_lease.cpp
+++ b/src/controller/liveness_lease.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kKeepAlivePeriod = std::chrono::milliseconds(500);
 }  // namespace
 
-LivenessLease::LivenessLease(ControllerContext& ctx) : ctx_(ctx), timer_(ctx.io, [this] { run(); }) {}
+LivenessLease::LivenessLease(ControllerContext& ctx) : ctx_(ctx), timer_(ctx.io_context, [this] { run(); }) {}
 
 void LivenessLease::start() {
   timer_.start(kKeepAlivePeriod);
--- a/src/controller/peer_heartbeats.cpp
+++ b/src/controller/peer_heartbeats.cpp
@@ -23,8 +23,8 @@
       connections_(connections),
       cancellations_(cancellations),
       led_terms_(std::move(led_terms)),
-      heartbeat_timer_(ctx.io, [this] { send_heartbeats(); }),
-      due_heartbeats_timer_(ctx.io, [this] { send_due_heartbeats(); }),
+      heartbeat_timer_(ctx.io_context, [this] { send_heartbeats(); }),
+      due_heartbeats_timer_(ctx.io_context, [this] { send_due_heartbeats(); }),
       // Numbers of an earlier process of this controller must not be taken for this one's.
       sequence_(static_cast<std::uint64_t>(ctx.clock.wall().value()) << kSequenceBits) {
   for (const auto& peer : ctx.settings.peers) peers_[peer.controller] = {};
--- a/src/controller/peer_links.cpp
+++ b/src/controller/peer_links.cpp
@@ -26,15 +26,15 @@
 PeerLinks::PeerLinks(ControllerContext& ctx, MessageHandler on_message)
     : ctx_(ctx), on_message_(std::move(on_message)) {
   for (const auto& peer : ctx.settings.peers)
-    links_[peer.controller] = std::make_shared<net::PeerSender>(ctx.io, *net::parse_endpoint(peer.address),
-                                                                max_queued_bytes(ctx.settings));
+    links_[peer.controller] = std::make_shared<net::PeerSender>(
+        ctx.io_context, *net::parse_endpoint(peer.address), max_queued_bytes(ctx.settings));
 }
 
 void PeerLinks::start() {
   auto max_connections = kMaxConnectionsPerPeer * links_.size() + kSpareConnections;
-  receiver_ = std::make_shared<net::PeerReceiver>(ctx_.io, *net::parse_endpoint(ctx_.settings.peer_listen),
-                                                  max_connections,
-                                                  [this](std::string_view bytes) { on_bytes(bytes); });
+  receiver_ = std::make_shared<net::PeerReceiver>(
+      ctx_.io_context, *net::parse_endpoint(ctx_.settings.peer_listen), max_connections,
+      [this](std::string_view bytes) { on_bytes(bytes); });
   receiver_->start();
   for (auto& [name, link] : links_) link->start();
 }
@@ -44,8 +44,8 @@
   for (auto& [name, link] : links_) link->stop();
 }
 
-void PeerLinks::send(const ControllerName& to, protocol::PeerPayload payload) {
-  auto it = links_.find(to);
+void PeerLinks::send(const ControllerName& receiver, protocol::PeerPayload payload) {
+  auto it = links_.find(receiver);
   if (it == links_.end()) return;
   it->second->send(protocol::encode_peer({ctx_.settings.controller, std::move(payload)}));
 }
--- a/src/controller/peer_links.h
+++ b/src/controller/peer_links.h
@@ -24,7 +24,7 @@
   void start();
   void stop();
 
-  void send(const ControllerName& to, protocol::PeerPayload payload) override;
+  void send(const ControllerName& receiver, protocol::PeerPayload payload) override;
   void broadcast(const protocol::PeerPayload& payload) override;
   bool connected(const ControllerName& peer) const override { return links_.at(peer)->connected(); }
   void reset(const ControllerName& peer) override { links_.at(peer)->reset(); }
--- a/src/controller/peer_messenger.h
+++ b/src/controller/peer_messenger.h
@@ -10,7 +10,7 @@
  public:
   virtual ~PeerMessenger() = default;
   // Does nothing if `to` isn't a peer of this controller.
-  virtual void send(const ControllerName& to, protocol::PeerPayload payload) = 0;
+  virtual void send(const ControllerName& receiver, protocol::PeerPayload payload) = 0;
   // Sends the message to all peers.
   virtual void broadcast(const protocol::PeerPayload& payload) = 0;
 };
--- a/src/controller/rate_limit_apportioner.cpp
+++ b/src/controller/rate_limit_apportioner.cpp
@@ -8,7 +8,7 @@
 }  // namespace
 
 RateLimitApportioner::RateLimitApportioner(ControllerContext& ctx, const SchedulerService& scheduler)
-    : ctx_(ctx), scheduler_(scheduler), timer_(ctx.io, [this] { update(); }) {}
+    : ctx_(ctx), scheduler_(scheduler), timer_(ctx.io_context, [this] { update(); }) {}
 
 void RateLimitApportioner::start() {
   timer_.start(kPeriod);
--- a/src/controller/scheduler_service.cpp
+++ b/src/controller/scheduler_service.cpp
@@ -14,8 +14,8 @@
       versions_(ctx, leadership_),
       autoscaler_(ctx, peers.messenger(), shards, leadership_),
       garbage_collector_(ctx, leadership_),
-      run_timer_(ctx.io, [this] { run(); }),
-      early_run_timer_(ctx.io, [this] { run(); }) {}
+      run_timer_(ctx.io_context, [this] { run(); }),
+      early_run_timer_(ctx.io_context, [this] { run(); }) {}
 
 void SchedulerService::start() {
   run_timer_.start(kPeriod);
--- a/src/controller/shard_service.cpp
+++ b/src/controller/shard_service.cpp
@@ -21,8 +21,8 @@
       commands_(ctx, shards_, [this] { schedule_run(); }),
       heartbeats_(ctx, peers.messenger(), peers.status(), peers.cancellations(), shards_,
                   [this] { schedule_run(); }),
-      run_timer_(ctx.io, [this] { run_periodic(); }),
-      early_run_timer_(ctx.io, [this] { run(); }) {}
+      run_timer_(ctx.io_context, [this] { run_periodic(); }),
+      early_run_timer_(ctx.io_context, [this] { run(); }) {}
 
 void ShardService::start() {
   run_timer_.start(kPeriod);
--- a/src/controller/summary_exchange.cpp
+++ b/src/controller/summary_exchange.cpp
@@ -6,9 +6,11 @@
 
 SummaryExchange::SummaryExchange(ControllerContext& ctx, PeerMessenger& messenger, ShardService& shards,
                                  SchedulerService& scheduler)
-    : ctx_(ctx), messenger_(messenger), shards_(shards), scheduler_(scheduler), timer_(ctx.io, [this] {
-        send();
-      }) {}
+    : ctx_(ctx),
+      messenger_(messenger),
+      shards_(shards),
+      scheduler_(scheduler),
+      timer_(ctx.io_context, [this] { send(); }) {}
 
 void SummaryExchange::start() {
   timer_.start(ctx_.policy.summary_period);
--- a/src/controller/timers.h
+++ b/src/controller/timers.h
@@ -34,8 +34,8 @@
 // Runs its work once for each time that is set. Throws nothing; the work must not either.
 class OneShotTimer {
  public:
-  OneShotTimer(asio::io_context& io, std::function<void()> work)
-      : state_(std::make_shared<State>(asio::steady_timer(io), std::move(work))) {}
+  OneShotTimer(asio::io_context& io_context, std::function<void()> work)
+      : state_(std::make_shared<State>(asio::steady_timer(io_context), std::move(work))) {}
   OneShotTimer(const OneShotTimer&) = delete;
   OneShotTimer& operator=(const OneShotTimer&) = delete;
   ~OneShotTimer() { stop(); }
@@ -45,8 +45,8 @@
     if (state_->stopped) return;
     state_->pending = true;
     state_->timer.expires_after(delay);
-    state_->timer.async_wait([state = state_, set_number = ++state_->times_set](std::error_code ec) {
-      if (ec || state->stopped || set_number != state->times_set) return;
+    state_->timer.async_wait([state = state_, set_number = ++state_->times_set](std::error_code error) {
+      if (error || state->stopped || set_number != state->times_set) return;
       state->pending = false;
       state->work();
     });
@@ -79,8 +79,8 @@
 // Runs its work again and again until it is stopped. The period counts from the end of the work.
 class PeriodicTimer {
  public:
-  PeriodicTimer(asio::io_context& io, std::function<void()> work)
-      : work_(std::move(work)), timer_(io, [this] { run(); }) {}
+  PeriodicTimer(asio::io_context& io_context, std::function<void()> work)
+      : work_(std::move(work)), timer_(io_context, [this] { run(); }) {}
   // Runs the work within this call and then every `period`.
   void start(Duration period) {
     period_ = period;
--- a/src/controller/worker_connection_pool.h
+++ b/src/controller/worker_connection_pool.h
@@ -24,8 +24,8 @@
     Instant last_used;
   };
 
-  WorkerConnectionPool(asio::io_context& io, std::size_t max_connections)
-      : io_(io), max_connections_(max_connections) {}
+  WorkerConnectionPool(asio::io_context& io_context, std::size_t max_connections)
+      : io_(io_context), max_connections_(max_connections) {}
 
   // The connection to a machine, counted as in use until release(). The reference holds until the next call.
   Connection& acquire(const MachineName& machine, const std::string& address,
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -43,8 +43,8 @@
     sent_ = false;
     parser_.reset();
     deadline_timer_.expires_at(request_.deadline);
-    deadline_timer_.async_wait([self = shared_from_this()](std::error_code ec) {
-      if (!ec && self->busy_ && self->deadline_timer_.expiry() <= std::chrono::steady_clock::now())
+    deadline_timer_.async_wait([self = shared_from_this()](std::error_code error) {
+      if (!error && self->busy_ && self->deadline_timer_.expiry() <= std::chrono::steady_clock::now())
         self->fail();
     });
     if (connected_) return send();
@@ -87,9 +87,9 @@
 
  private:
   void connect() {
-    socket_.async_connect(client_->to_, [self = shared_from_this()](std::error_code ec) {
+    socket_.async_connect(client_->to_, [self = shared_from_this()](std::error_code error) {
       if (self->closed_) return;
-      if (ec) return self->fail();
+      if (error) return self->fail();
       self->connected_ = true;
       std::error_code ignored;
       self->socket_.set_option(Tcp::no_delay(true), ignored);
@@ -100,8 +100,8 @@
   void send() {
     sent_ = true;
     asio::async_write(socket_, asio::buffer(request_.text),
-                      [self = shared_from_this()](std::error_code ec, std::size_t) {
-                        if (ec && !self->closed_) self->fail();
+                      [self = shared_from_this()](std::error_code error, std::size_t) {
+                        if (error && !self->closed_) self->fail();
                       });
     if (!reading_) read();
   }
@@ -109,10 +109,10 @@
   void read() {
     reading_ = true;
     socket_.async_read_some(asio::buffer(buffer_),
-                            [self = shared_from_this()](std::error_code ec, std::size_t size) {
+                            [self = shared_from_this()](std::error_code error, std::size_t size) {
                               self->reading_ = false;
                               if (self->closed_) return;
-                              if (ec) return self->fail();
+                              if (error) return self->fail();
                               self->on_bytes({self->buffer_.data(), size});
                             });
   }
@@ -149,8 +149,8 @@
   void close() {
     closed_ = true;
     busy_ = false;
-    std::error_code ec;
-    socket_.close(ec);
+    std::error_code error;
+    socket_.close(error);
     deadline_timer_.cancel();
   }
 
@@ -170,8 +170,8 @@
   bool closed_ = false;
 };
 
-HttpClient::HttpClient(asio::io_context& io, Tcp::endpoint remote, std::size_t max_connections)
-    : io_(io), to_(std::move(remote)), max_connections_(max_connections), expiry_timer_(io) {}
+HttpClient::HttpClient(asio::io_context& io_context, Tcp::endpoint remote, std::size_t max_connections)
+    : io_(io_context), to_(std::move(remote)), max_connections_(max_connections), expiry_timer_(io_context) {}
 
 HttpClient::~HttpClient() = default;
 
@@ -221,8 +221,8 @@
       queue_.begin(), queue_.end(),
       [](const auto& first, const auto& second) { return first.deadline < second.deadline; });
   expiry_timer_.expires_at(soonest->deadline);
-  expiry_timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-    if (auto self = weak.lock(); self && !ec) self->expire();
+  expiry_timer_.async_wait([weak = weak_from_this()](std::error_code error) {
+    if (auto self = weak.lock(); self && !error) self->expire();
   });
 }
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -27,7 +27,7 @@
 class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
   using Callback = std::function<void(Result)>;
-  HttpClient(asio::io_context& io, Tcp::endpoint remote, std::size_t max_connections);
+  HttpClient(asio::io_context& io_context, Tcp::endpoint remote, std::size_t max_connections);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -38,8 +38,8 @@
 
   void start(Connections::iterator place) {
     place_ = place;
-    std::error_code ec;
-    socket_.set_option(Tcp::no_delay(true), ec);
+    std::error_code error;
+    socket_.set_option(Tcp::no_delay(true), error);
     arm(server_->limits_.idle);
     read();
   }
@@ -47,8 +47,8 @@
   void close() {
     if (closed_) return;
     closed_ = true;
-    std::error_code ec;
-    socket_.close(ec);
+    std::error_code error;
+    socket_.close(error);
     phase_timer_.cancel();
     if (is_user_) --server_->user_connections_;
     server_->connections_.erase(place_);
@@ -84,16 +84,16 @@
   // Closes the connection unless the phase ends within this time.
   void arm(Duration limit) {
     phase_timer_.expires_after(limit);
-    phase_timer_.async_wait([self = shared_from_this()](std::error_code ec) {
-      if (!ec && self->phase_timer_.expiry() <= std::chrono::steady_clock::now()) self->close();
+    phase_timer_.async_wait([self = shared_from_this()](std::error_code error) {
+      if (!error && self->phase_timer_.expiry() <= std::chrono::steady_clock::now()) self->close();
     });
   }
 
   void read() {
     socket_.async_read_some(asio::buffer(buffer_),
-                            [self = shared_from_this()](std::error_code ec, std::size_t size) {
+                            [self = shared_from_this()](std::error_code error, std::size_t size) {
                               if (self->closed_) return;
-                              if (ec) return self->close();
+                              if (error) return self->close();
                               self->on_bytes({self->buffer_.data(), size});
                             });
   }
@@ -153,9 +153,9 @@
     out_ = format(response, keep_alive_);
     arm(server_->limits_.send);
     asio::async_write(socket_, asio::buffer(out_),
-                      [self = shared_from_this()](std::error_code ec, std::size_t) {
+                      [self = shared_from_this()](std::error_code error, std::size_t) {
                         if (self->closed_) return;
-                        if (ec || !self->keep_alive_) return self->close();
+                        if (error || !self->keep_alive_) return self->close();
                         self->next();
                       });
   }
@@ -197,10 +197,10 @@
   bool closed_ = false;
 };
 
-HttpServer::HttpServer(asio::io_context& io, const Tcp::endpoint& at, ServerLimits limits, IsUser is_user,
-                       Handler handler)
-    : io_(io),
-      listener_(io, at),
+HttpServer::HttpServer(asio::io_context& io_context, const Tcp::endpoint& local, ServerLimits limits,
+                       IsUser is_user, Handler handler)
+    : io_(io_context),
+      listener_(io_context, local),
       limits_(limits),
       is_user_(std::move(is_user)),
       handler_(std::move(handler)) {}
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -33,7 +33,7 @@
   using IsUser = std::function<bool(const Request&)>;
 
   // Throws std::system_error if the address can't be bound.
-  HttpServer(asio::io_context& io, const Tcp::endpoint& at, ServerLimits limits, IsUser is_user,
+  HttpServer(asio::io_context& io_context, const Tcp::endpoint& local, ServerLimits limits, IsUser is_user,
              Handler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -12,10 +12,11 @@
 
 }  // namespace
 
-Listener::Listener(asio::io_context& io, const Tcp::endpoint& at) : acceptor_(io), pause_timer_(io) {
-  acceptor_.open(at.protocol());
+Listener::Listener(asio::io_context& io_context, const Tcp::endpoint& local)
+    : acceptor_(io_context), pause_timer_(io_context) {
+  acceptor_.open(local.protocol());
   acceptor_.set_option(Tcp::acceptor::reuse_address(true));
-  acceptor_.bind(at);
+  acceptor_.bind(local);
   acceptor_.listen();
 }
 
@@ -25,16 +26,16 @@
 
 void Listener::stop() {
   stopped_ = true;
-  std::error_code ec;
-  acceptor_.close(ec);
+  std::error_code error;
+  acceptor_.close(error);
   pause_timer_.cancel();
 }
 
 void Listener::accept(const std::shared_ptr<const OnAccept>& on_accept) {
-  acceptor_.async_accept([this, on_accept](std::error_code ec, Tcp::socket socket) {
+  acceptor_.async_accept([this, on_accept](std::error_code error, Tcp::socket socket) {
     if (stopped_) return;
-    if (ec) {
-      spdlog::debug("accept_failed reason=\"{}\"", ec.message());
+    if (error) {
+      spdlog::debug("accept_failed reason=\"{}\"", error.message());
       return pause(on_accept);
     }
     (*on_accept)(std::move(socket));
@@ -44,8 +45,8 @@
 
 void Listener::pause(const std::shared_ptr<const OnAccept>& on_accept) {
   pause_timer_.expires_after(kPauseAfterFailure);
-  pause_timer_.async_wait([this, on_accept](std::error_code ec) {
-    if (!ec) accept(on_accept);
+  pause_timer_.async_wait([this, on_accept](std::error_code error) {
+    if (!error) accept(on_accept);
   });
 }
 
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -16,7 +16,7 @@
   using OnAccept = std::function<void(Tcp::socket)>;
 
   // Throws std::system_error if the address can't be bound.
-  Listener(asio::io_context& io, const Tcp::endpoint& at);
+  Listener(asio::io_context& io_context, const Tcp::endpoint& local);
 
   // `on_accept` is called with each connection. It must own the object that holds this listener: it's kept by
   // the pending operation, which ends when the listener is stopped or the io_context is destroyed.
--- a/src/net/message_parser.cpp
+++ b/src/net/message_parser.cpp
@@ -46,8 +46,8 @@
     http_parser_pause(&parser_, 0);
     return {Status::kComplete, consumed};
   }
-  const bool ok = HTTP_PARSER_ERRNO(&parser_) == HPE_OK && !parser_.upgrade;
-  return {ok ? Status::kIncomplete : Status::kMalformed, consumed};
+  const bool well_formed = HTTP_PARSER_ERRNO(&parser_) == HPE_OK && !parser_.upgrade;
+  return {well_formed ? Status::kIncomplete : Status::kMalformed, consumed};
 }
 
 }  // namespace beaconsill::net
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -37,11 +37,11 @@
 
 }  // namespace
 
-PeerSender::PeerSender(asio::io_context& io, Tcp::endpoint remote, std::size_t max_queued)
-    : io_(io),
+PeerSender::PeerSender(asio::io_context& io_context, Tcp::endpoint remote, std::size_t max_queued)
+    : io_(io_context),
       to_(std::move(remote)),
-      socket_(io),
-      timer_(io),
+      socket_(io_context),
+      timer_(io_context),
       max_queued_(std::max(max_queued, kLeastQueued)),
       backoff_(kFirstBackoff) {}
 
@@ -53,8 +53,8 @@
   stopped_ = true;
   connected_ = false;
   ++epoch_;
-  std::error_code ec;
-  socket_.close(ec);
+  std::error_code error;
+  socket_.close(error);
   timer_.cancel();
 }
 
@@ -67,12 +67,12 @@
   const auto epoch = ++epoch_;
   socket_ = Tcp::socket(io_);
   timer_.expires_after(kConnectTimeout);
-  timer_.async_wait([self = shared_from_this(), epoch](std::error_code ec) {
-    if (!ec && epoch == self->epoch_ && !self->connected_) self->reconnect();
+  timer_.async_wait([self = shared_from_this(), epoch](std::error_code error) {
+    if (!error && epoch == self->epoch_ && !self->connected_) self->reconnect();
   });
-  socket_.async_connect(to_, [self = shared_from_this(), epoch](std::error_code ec) {
+  socket_.async_connect(to_, [self = shared_from_this(), epoch](std::error_code error) {
     if (epoch != self->epoch_ || self->stopped_) return;
-    if (ec) return self->reconnect();
+    if (error) return self->reconnect();
     self->on_connected();
   });
 }
@@ -101,8 +101,8 @@
   queued_bytes_ = 0;
   timer_.expires_after(backoff_);
   backoff_ = std::min(backoff_ * 2, kMaxBackoff);
-  timer_.async_wait([self = shared_from_this(), epoch](std::error_code ec) {
-    if (!ec && epoch == self->epoch_) self->connect();
+  timer_.async_wait([self = shared_from_this(), epoch](std::error_code error) {
+    if (!error && epoch == self->epoch_) self->connect();
   });
 }
 
@@ -117,13 +117,13 @@
   if (queue_.empty() || !connected_) return;
   const auto epoch = epoch_;
   timer_.expires_after(kStallTimeout);
-  timer_.async_wait([self = shared_from_this(), epoch](std::error_code ec) {
-    if (!ec && epoch == self->epoch_) self->reconnect();
+  timer_.async_wait([self = shared_from_this(), epoch](std::error_code error) {
+    if (!error && epoch == self->epoch_) self->reconnect();
   });
   asio::async_write(socket_, asio::buffer(queue_.front()),
-                    [self = shared_from_this(), epoch](std::error_code ec, std::size_t) {
+                    [self = shared_from_this(), epoch](std::error_code error, std::size_t) {
                       if (epoch != self->epoch_) return;
-                      if (ec) return self->reconnect();
+                      if (error) return self->reconnect();
                       self->timer_.cancel();
                       self->queued_bytes_ -= self->queue_.front().size();
                       self->queue_.pop_front();
@@ -138,8 +138,8 @@
 
   void read_header() {
     asio::async_read(socket_, asio::buffer(header_),
-                     [self = shared_from_this()](std::error_code ec, std::size_t) {
-                       if (ec) return self->close();
+                     [self = shared_from_this()](std::error_code error, std::size_t) {
+                       if (error) return self->close();
                        self->read_message(message_size(self->header_));
                      });
   }
@@ -147,8 +147,8 @@
   void close() {
     if (closed_) return;
     closed_ = true;
-    std::error_code ec;
-    socket_.close(ec);
+    std::error_code error;
+    socket_.close(error);
     std::erase_if(receiver_->connections_, [this](const auto& other) { return other.get() == this; });
   }
 
@@ -160,8 +160,8 @@
     }
     message_.resize(size);
     asio::async_read(socket_, asio::buffer(message_),
-                     [self = shared_from_this()](std::error_code ec, std::size_t) {
-                       if (ec) return self->close();
+                     [self = shared_from_this()](std::error_code error, std::size_t) {
+                       if (error) return self->close();
                        if (!self->closed_) self->receiver_->handler_(self->message_);
                        if (!self->closed_) self->read_header();
                      });
@@ -174,9 +174,9 @@
   bool closed_ = false;
 };
 
-PeerReceiver::PeerReceiver(asio::io_context& io, const Tcp::endpoint& at, std::size_t max_connections,
-                           Handler handler)
-    : listener_(io, at), max_connections_(max_connections), handler_(std::move(handler)) {}
+PeerReceiver::PeerReceiver(asio::io_context& io_context, const Tcp::endpoint& local,
+                           std::size_t max_connections, Handler handler)
+    : listener_(io_context, local), max_connections_(max_connections), handler_(std::move(handler)) {}
 
 void PeerReceiver::start() {
   listener_.start([self = shared_from_this()](Tcp::socket socket) { self->on_accept(std::move(socket)); });
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -28,7 +28,7 @@
 class PeerSender : public std::enable_shared_from_this<PeerSender> {
  public:
   // `max_queued`: bytes that may wait to be sent; what comes beyond is dropped.
-  PeerSender(asio::io_context& io, Tcp::endpoint remote, std::size_t max_queued = kLeastQueued);
+  PeerSender(asio::io_context& io_context, Tcp::endpoint remote, std::size_t max_queued = kLeastQueued);
   // Connects, and again after each failure.
   void start();
   void send(const std::string& message);
@@ -63,7 +63,8 @@
  public:
   using Handler = std::function<void(std::string_view)>;
   // Throws std::system_error if the address can't be bound.
-  PeerReceiver(asio::io_context& io, const Tcp::endpoint& at, std::size_t max_connections, Handler handler);
+  PeerReceiver(asio::io_context& io_context, const Tcp::endpoint& local, std::size_t max_connections,
+               Handler handler);
   void start();
   // Closes all connections.
   void stop();
--- a/src/shard/preemption.cpp
+++ b/src/shard/preemption.cpp
@@ -13,8 +13,8 @@
 }
 
 // Gangs are spared: one task less stops them all.
-bool is_preemptible(const MachineTask& task, Priority by) {
-  return is_live(task) && task.spec && task.spec->priority < by && task.spec->kind != JobKind::kGang;
+bool is_preemptible(const MachineTask& task, Priority preemptor) {
+  return is_live(task) && task.spec && task.spec->priority < preemptor && task.spec->kind != JobKind::kGang;
 }
 
 }  // namespace
--- a/src/state_store/client.cpp
+++ b/src/state_store/client.cpp
@@ -92,17 +92,17 @@
 
 }  // namespace
 
-StoreClient::StoreClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& at,
+StoreClient::StoreClient(asio::io_context& io_context, const Clock& clock, const net::Tcp::endpoint& remote,
                          StoreLimits limits, StoreLimits next, double share)
     : clock_(clock),
-      http_(std::make_shared<net::HttpClient>(io, at, kConnections)),
+      http_(std::make_shared<net::HttpClient>(io_context, remote, kConnections)),
       rate_limits_(limits, next),
       size_limits_(smaller_limit(limits.txn_ops, next.txn_ops),
                    std::min(smaller_limit(limits.value_bytes, next.value_bytes), kMaxValueBytes)),
       request_share_(share),
       write_share_(share),
       queue_(limits.rps * share, limits.write_rps * share, clock.now()),
-      dispatch_timer_(io) {}
+      dispatch_timer_(io_context) {}
 
 void StoreClient::set_shares(double requests, double writes) {
   if (requests == request_share_ && writes == write_share_) return;
@@ -183,8 +183,8 @@
   for (auto& request : dispatched.ready) send(std::move(request));
   if (dispatched.next) {
     dispatch_timer_.expires_at(*dispatched.next);
-    dispatch_timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-      if (auto self = weak.lock(); self && !ec) self->send_queued();
+    dispatch_timer_.async_wait([weak = weak_from_this()](std::error_code error) {
+      if (auto self = weak.lock(); self && !error) self->send_queued();
     });
   }
   for (auto& request : dispatched.expired) request.done(tl::unexpected(net::RequestError::kNotSent));
--- a/src/state_store/client.h
+++ b/src/state_store/client.h
@@ -42,8 +42,8 @@
  public:
   // `limits`: those of the service; `next`: the limits that may come into force later; `share`: this
   // controller's share of the rates, from 0 to 1, until set_shares() is called.
-  StoreClient(asio::io_context& io, const Clock& clock, const net::Tcp::endpoint& at, StoreLimits limits,
-              StoreLimits next, double share);
+  StoreClient(asio::io_context& io_context, const Clock& clock, const net::Tcp::endpoint& remote,
+              StoreLimits limits, StoreLimits next, double share);
 
   struct TxnOptions {
     // A transaction that can't be sent within this time is refused.
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -67,12 +67,12 @@
 TerminalRecord parse_terminal_record(const Json& json) {
   const auto state = protocol::get_string(json, "end");
   const auto done = static_cast<std::uint32_t>(protocol::get_count(json, "done"));
-  std::optional<WallMs> at;
+  std::optional<WallMs> completed_at;
   if (const Json* field = protocol::find(json, "at"); field && field->is_number_integer())
-    at = WallMs(field->get<std::int64_t>());
-  if (at <= WallMs()) at.reset();
-  if (state == "done") return {TerminalState::kDone, done, at};
-  if (state == "cancelled") return {TerminalState::kCancelled, done, at};
+    completed_at = WallMs(field->get<std::int64_t>());
+  if (completed_at <= WallMs()) completed_at.reset();
+  if (state == "done") return {TerminalState::kDone, done, completed_at};
+  if (state == "cancelled") return {TerminalState::kCancelled, done, completed_at};
   throw ProtocolError("end is unknown");
 }
 
--- a/src/state_store/watch_cache.cpp
+++ b/src/state_store/watch_cache.cpp
@@ -16,14 +16,14 @@
 
 }  // namespace
 
-WatchCache::WatchCache(asio::io_context& io, const Clock& clock, std::shared_ptr<StoreClient> client,
+WatchCache::WatchCache(asio::io_context& io_context, const Clock& clock, std::shared_ptr<StoreClient> client,
                        Duration period, std::function<void(const StateView::ChangeSet&)> on_change)
     : clock_(clock),
       client_(std::move(client)),
       period_(period),
       on_change_(std::move(on_change)),
-      read_timer_(io),
-      late_response_timer_(io) {}
+      read_timer_(io_context),
+      late_response_timer_(io_context) {}
 
 void WatchCache::start() {
   reading_ = true;
@@ -46,8 +46,8 @@
     return read();
   }
   read_timer_.expires_after(delay);
-  read_timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-    if (auto self = weak.lock(); self && !ec) self->on_timer();
+  read_timer_.async_wait([weak = weak_from_this()](std::error_code error) {
+    if (auto self = weak.lock(); self && !error) self->on_timer();
   });
 }
 
@@ -113,13 +113,13 @@
 }
 
 void WatchCache::on_read(const ReadResult& result, Instant started) {
-  const bool ok = apply_result(result, started);
-  failed_reads_ = ok ? 0 : failed_reads_ + 1;
-  if (ok) publish_changes();
+  const bool succeeded = apply_result(result, started);
+  failed_reads_ = succeeded ? 0 : failed_reads_ + 1;
+  if (succeeded) publish_changes();
   reading_ = false;
-  finish_syncs(ok);
+  finish_syncs(succeeded);
   // A callback may have started the next read.
-  if (!stopped_ && !reading_) schedule_next_read(ok);
+  if (!stopped_ && !reading_) schedule_next_read(succeeded);
 }
 
 bool WatchCache::apply_result(const ReadResult& result, Instant started) {
@@ -142,9 +142,9 @@
   }
 }
 
-void WatchCache::schedule_next_read(bool ok) {
+void WatchCache::schedule_next_read(bool succeeded) {
   // A single read may fail by chance: those who wait needn't wait for a whole period.
-  if (loaded_ && (!waiting_syncs_.empty() || (ok && announced_revision_ > revision_))) {
+  if (loaded_ && (!waiting_syncs_.empty() || (succeeded && announced_revision_ > revision_))) {
     read_soon();
   } else {
     schedule(period_);
@@ -166,8 +166,8 @@
   if (changes.any()) on_change_(changes);
 }
 
-void WatchCache::finish_syncs(bool ok) {
-  for (auto& done : std::exchange(active_syncs_, {})) done(ok);
+void WatchCache::finish_syncs(bool succeeded) {
+  for (auto& done : std::exchange(active_syncs_, {})) done(succeeded);
 }
 
 void WatchCache::sync(std::function<void(bool)> done) {
@@ -209,8 +209,8 @@
   const auto now = clock_.now();
   const auto timeout = client_->response_timeout();
   late_response_timer_.expires_at(*oldest + timeout > now ? *oldest + timeout : now + timeout);
-  late_response_timer_.async_wait([weak = weak_from_this()](std::error_code ec) {
-    if (auto self = weak.lock(); self && !ec) self->on_late_response_timer();
+  late_response_timer_.async_wait([weak = weak_from_this()](std::error_code error) {
+    if (auto self = weak.lock(); self && !error) self->on_late_response_timer();
   });
 }
 
--- a/src/state_store/watch_cache.h
+++ b/src/state_store/watch_cache.h
@@ -22,8 +22,8 @@
  public:
   // `period`: between two reads if nobody asks for one. `on_change` is called after changes were applied,
   // with what they touched.
-  WatchCache(asio::io_context& io, const Clock& clock, std::shared_ptr<StoreClient> client, Duration period,
-             std::function<void(const StateView::ChangeSet&)> on_change);
+  WatchCache(asio::io_context& io_context, const Clock& clock, std::shared_ptr<StoreClient> client,
+             Duration period, std::function<void(const StateView::ChangeSet&)> on_change);
   // Begins to load all keys.
   void start();
   // Calls back all that waits, with false.
@@ -61,7 +61,7 @@
   // Applies the changes that were read. False: the response can't be used.
   bool apply_result(const ReadResult& result, Instant started);
   void apply_changes(protocol::Changes changes, Instant started);
-  void schedule_next_read(bool ok);
+  void schedule_next_read(bool succeeded);
   // Starts a read, or the load, after a delay.
   void schedule(Duration delay);
   void on_timer();
@@ -71,7 +71,7 @@
   bool deleted_later(const protocol::Change& change) const;
   void check_late_responses();
   void on_late_response_timer();
-  void finish_syncs(bool ok);
+  void finish_syncs(bool succeeded);
   void publish_changes();
 
   const Clock& clock_;
