--- a/tests/cloud_client_test.cpp
+++ b/tests/cloud_client_test.cpp
@@ -30,10 +30,7 @@
     io.poll();
   }
   void run_until(const std::function<bool()>& done) {
-    const auto started = clock.now();
-    while (!done() && clock.now() - started < std::chrono::seconds(10))
-      io.run_one_for(std::chrono::milliseconds(5));
-    ASSERT_TRUE(done());
+    ASSERT_TRUE(fakes::run_until(io, done, std::chrono::seconds(10)));
   }
 
   asio::io_context io;
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -71,9 +71,7 @@
   }
   // Whether `done` has come true within the limit.
   bool run_until(const std::function<bool()>& done, std::chrono::seconds limit = std::chrono::seconds(30)) {
-    auto end = std::chrono::steady_clock::now() + limit;
-    while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(20));
-    return done();
+    return fakes::run_until(io, done, limit);
   }
   void run_for(std::chrono::milliseconds duration) {
     auto end = std::chrono::steady_clock::now() + duration;
--- a/tests/fakes/loopback.h
+++ b/tests/fakes/loopback.h
@@ -1,6 +1,7 @@
 // What all fakes need to listen on loopback.
 #pragma once
 
+#include <functional>
 #include <map>
 #include <string>
 
@@ -31,6 +32,9 @@
   Tcp::endpoint endpoint_;
 };
 
+// Runs the loop until `done` holds, for at most `limit`. Returns whether it holds.
+bool run_until(asio::io_context& io, const std::function<bool()>& done, Duration limit);
+
 // As "address:port".
 std::string text(const Tcp::endpoint& endpoint);
 // The parameters of a URL's query.
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -17,9 +17,7 @@
 
 // Runs the loop until `done` or for ten seconds.
 void run_until(asio::io_context& io, const std::function<bool()>& done) {
-  auto end = std::chrono::steady_clock::now() + std::chrono::seconds(10);
-  while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(100));
-  ASSERT_TRUE(done());
+  ASSERT_TRUE(fakes::run_until(io, done, std::chrono::seconds(10)));
 }
 
 struct Echo {
--- a/tests/state_store_fixture.h
+++ b/tests/state_store_fixture.h
@@ -28,9 +28,7 @@
   // Runs handlers until `done`, for 20 s at most. Returns the time that it took.
   Duration run_until(const std::function<bool()>& done) {
     const auto started = clock.now();
-    while (!done() && clock.now() - started < std::chrono::seconds(20))
-      io.run_one_for(std::chrono::milliseconds(5));
-    EXPECT_TRUE(done());
+    EXPECT_TRUE(fakes::run_until(io, done, std::chrono::seconds(20)));
     return clock.now() - started;
   }
 
