--- a/src/scheduler/apportionment.cpp
+++ b/src/scheduler/apportionment.cpp
@@ -11,8 +11,8 @@
   std::uint64_t remainder;
 };
 
-// Indexes by descending remainder. Ties go to the larger capacity, then to the earlier shard, so that the
-// outcome is the same everywhere.
+// Returns the indexes of `quotients` by descending remainder. Ties are resolved in favour of the larger
+// capacity, then of the earlier shard, so that the result is deterministic.
 std::vector<std::size_t> by_remainder(const std::vector<Quotient>& quotients,
                                       const std::vector<ShardCapacity>& capacities) {
   std::vector<std::size_t> order(quotients.size());
@@ -54,7 +54,7 @@
   return allocations;
 }
 
-std::uint32_t zone_limit(const protocol::JobSpec& spec) {
+std::uint32_t max_tasks_per_zone(const protocol::JobSpec& spec) {
   return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks;
 }
 
--- a/src/scheduler/apportionment.h
+++ b/src/scheduler/apportionment.h
@@ -1,4 +1,4 @@
-// Divides a job's tasks among the shards in proportion to the capacity that they estimate.
+// Divides a job's tasks among the shards in proportion to their estimated capacities.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 // How many tasks of a job a shard has capacity for.
 struct ShardCapacity {
   ShardId shard;
-  std::optional<Zone> zone;  // set where the zone matters to the job
+  std::optional<Zone> zone;  // set only if the job's placement depends on zones
   std::uint32_t tasks = 0;
 };
 struct ShardAllocation {
@@ -23,11 +23,13 @@
   bool operator==(const ShardAllocation&) const = default;
 };
 
-// `tasks` divided in proportion to the capacities (largest remainders first), never more than each holds.
-// Tasks beyond the sum of the capacities are left out. Allocations of no task are left out as well.
+// Divides `tasks` among the shards in proportion to `capacities` by the largest remainder method. No shard is
+// allocated more than its capacity, and tasks that exceed the sum of the capacities are not allocated. Shards
+// that are allocated no task are left out of the result.
 std::vector<ShardAllocation> apportion(std::uint32_t tasks, const std::vector<ShardCapacity>& capacities);
 
-// The most tasks of the job that may be in one zone.
-std::uint32_t zone_limit(const protocol::JobSpec& spec);
+// Returns the maximum number of the job's tasks in one zone: half of them, rounded up, if the job is to be
+// spread over zones.
+std::uint32_t max_tasks_per_zone(const protocol::JobSpec& spec);
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/counts.h
+++ b/src/scheduler/counts.h
@@ -1,4 +1,4 @@
-// Counts from quotients of floating-point amounts.
+// Conversion of floating-point amounts to integer counts.
 #pragma once
 
 #include <cmath>
@@ -6,10 +6,12 @@
 
 namespace beaconsill::scheduler {
 
-// Amounts are sums of floating-point numbers: a quotient this little above an integer counts as that integer.
+// Amounts are sums of floating-point numbers, so that a quotient may exceed an integer by a rounding error. A
+// quotient that exceeds an integer by at most this much counts as that integer.
 constexpr double kRoundingSlack = 1e-6;
 
-// The least count that is not below `quotient`; 0 for negative ones.
+// Returns the smallest count that isn't less than `quotient`, up to kRoundingSlack; 0 if `quotient` is
+// negative.
 inline std::uint32_t ceil_count(double quotient) {
   return quotient <= 0 ? 0 : static_cast<std::uint32_t>(std::ceil(quotient - kRoundingSlack));
 }
--- a/src/scheduler/crash_loop_backoff.cpp
+++ b/src/scheduler/crash_loop_backoff.cpp
@@ -7,8 +7,8 @@
 namespace beaconsill::scheduler {
 namespace {
 
-constexpr Duration kFirstDelay = std::chrono::seconds(2);
-constexpr Duration kLongestDelay = std::chrono::seconds(30);
+constexpr Duration kInitialDelay = std::chrono::seconds(2);
+constexpr Duration kMaxDelay = std::chrono::seconds(30);
 
 }  // namespace
 
@@ -19,14 +19,14 @@
   auto [it, is_new] = jobs_.try_emplace(id);
   auto& backoff = it->second;
   if (is_new) spdlog::info("crash_loop_backoff_started job={} reason=fails_on_several_machines", id.value());
-  if (!is_new && last_granted <= backoff.failed) return;
-  backoff.failed = now;
-  backoff.delay = std::clamp(2 * backoff.delay, kFirstDelay, kLongestDelay);
+  if (!is_new && last_granted <= backoff.last_failure) return;
+  backoff.last_failure = now;
+  backoff.delay = std::clamp(2 * backoff.delay, kInitialDelay, kMaxDelay);
 }
 
-bool CrashLoopBackoff::due(const JobId& id, Instant now) const {
+bool CrashLoopBackoff::retry_due(const JobId& id, Instant now) const {
   auto job = jobs_.find(id);
-  return job == jobs_.end() || now - job->second.failed >= job->second.delay;
+  return job == jobs_.end() || now - job->second.last_failure >= job->second.delay;
 }
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/crash_loop_backoff.h
+++ b/src/scheduler/crash_loop_backoff.h
@@ -1,6 +1,6 @@
-// Back-off for jobs whose tasks fail on every machine: most likely submitted with a mistake and not yet
-// cancelled. They are tried again by one task at a time, ever more seldom, so that they don't take machines,
-// rounds and writes from others.
+// Back-off for jobs whose tasks fail on several machines, most likely because of a mistake in the job that
+// the user has not noticed yet. Such a job is retried with increasing delays, one task at a time (a gang as a
+// whole), so that it doesn't take machines, estimation rounds and writes from other jobs.
 #pragma once
 
 #include <optional>
@@ -11,23 +11,24 @@
 
 namespace beaconsill::scheduler {
 
-// Rests on the shard leaders' messages alone: after a failover such a job is granted once more as a whole.
+// The state is derived from the shard leaders' messages only and isn't persisted. After a failover of the
+// scheduler, such a job is therefore granted in full once more.
 class CrashLoopBackoff {
  public:
-  // What a shard leader found out about the job. `last_granted`: when it was last granted tasks, if ever. All
-  // failures of one grant count once.
+  // Processes the health of a job as reported by a shard leader. `last_granted` is when the job was last
+  // granted tasks, if ever. Several failures of the same grant lengthen the delay only once.
   void on_job_health(const JobId& job, protocol::JobHealth health, std::optional<Instant> last_granted,
                      Instant now);
-  // The job works, or is over.
+  // Ends the back-off of a job that works or has reached a terminal state.
   void erase(const JobId& job) { jobs_.erase(job); }
-  // Whether the job is in back-off.
   bool contains(const JobId& job) const { return jobs_.contains(job); }
-  // Whether one of its tasks may be granted, if none is outstanding. True for jobs that aren't in back-off.
-  bool due(const JobId& job, Instant now) const;
+  // Returns true if the delay since the job's last failure has passed, or if the job isn't in back-off. The
+  // caller must check that none of the job's tasks is outstanding.
+  bool retry_due(const JobId& job, Instant now) const;
 
  private:
   struct Backoff {
-    Instant failed{};
+    Instant last_failure{};
     Duration delay{};
   };
   std::unordered_map<JobId, Backoff> jobs_;
--- a/src/scheduler/deadline_planner.h
+++ b/src/scheduler/deadline_planner.h
@@ -1,4 +1,5 @@
-// Due times of jobs by their deadlines and the service-level objectives, and how long jobs starve.
+// Computes due times and planned start times of jobs from their deadlines and the service-level objectives,
+// and how long jobs have waited.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +16,21 @@
 
 class DeadlinePlanner {
  public:
-  // `longest_wait`: after which a job of which nothing has begun is starving; zero or less: never.
+  // A job without any outstanding or done task is starving after it has waited for `longest_wait`. If that is
+  // zero or negative, jobs never count as starving.
   DeadlinePlanner(std::vector<config::Objective> objectives, Duration longest_wait);
 
-  // Wall times in milliseconds, ascending, that the objectives and the job itself set. Deadlines count from
-  // its submission, the others from `counts_from`; without that they aren't known yet and left out.
+  // Returns the job's due times according to the objectives and its own deadline: wall times in milliseconds,
+  // in ascending order. Deadlines are relative to the submission, all other due times to `eligible_since`;
+  // without that, the others aren't known yet and are left out.
   std::vector<std::int64_t> due_times(const state_store::JobRecord& record,
-                                      std::optional<WallMs> counts_from) const;
-  // Seconds from now by which arrays and gangs with pending tasks have to start. Jobs in crash-loop back-off
-  // are left out.
+                                      std::optional<WallMs> eligible_since) const;
+  // Returns in how many seconds arrays and gangs with pending tasks have to start at the latest. Jobs that
+  // are in crash-loop back-off or can't meet any due time are left out.
   StartTimes plan_start_times(const JobTable& jobs, const CrashLoopBackoff& crash_loops, WallMs wall) const;
-  // How long a job that has got nothing has been waiting, in multiples of the longest wait; 0 for others.
-  double waits_in_limits(const JobEntry& entry, WallMs wall) const;
+  // Returns how long a job without any outstanding or done task has been waiting, as a multiple of the
+  // longest acceptable wait; 0 for other jobs.
+  double wait_ratio(const JobEntry& entry, WallMs wall) const;
 
  private:
   std::vector<config::Objective> objectives_;
--- a/src/scheduler/estimation_round.cpp
+++ b/src/scheduler/estimation_round.cpp
@@ -34,7 +34,7 @@
 const protocol::CapacityByZone* EstimationRound::capacity(ShardId shard,
                                                           const RoundCandidate& candidate) const {
   auto response = responses_.find(shard);
-  return response == responses_.end() ? nullptr : &response->second[candidate.request];
+  return response == responses_.end() ? nullptr : &response->second[candidate.request_index];
 }
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/estimation_round.h
+++ b/src/scheduler/estimation_round.h
@@ -27,7 +27,7 @@
 
   const std::vector<RoundCandidate>& candidates() const { return selection_.candidates; }
   const protocol::ResourceRequest& resource_request(const RoundCandidate& candidate) const {
-    return selection_.resource_requests[candidate.request];
+    return selection_.resource_requests[candidate.request_index];
   }
   // Null if the shard hasn't responded.
   const protocol::CapacityByZone* capacity(ShardId shard, const RoundCandidate& candidate) const;
--- a/src/scheduler/grant_builder.cpp
+++ b/src/scheduler/grant_builder.cpp
@@ -85,7 +85,7 @@
     }
   }
   if (spec.one_zone) offered.restrict_to_one_zone(placed_tasks(entry));
-  if (spec.spread) offered.spread_over_zones(zone_limit(spec), placed_tasks(entry));
+  if (spec.spread) offered.spread_over_zones(max_tasks_per_zone(spec), placed_tasks(entry));
   return offered;
 }
 
--- a/src/scheduler/inherited_requirements.h
+++ b/src/scheduler/inherited_requirements.h
@@ -1,5 +1,5 @@
-// Pipelines: what a job inherits from the jobs that depend on it. Users set a deadline and the priority that
-// they care about on the last job only; both flow back from there.
+// Propagates priorities and due times in pipelines of dependent jobs. Users set a deadline and a priority on
+// the last job of a pipeline only; the jobs that it depends on inherit both.
 #pragma once
 
 #include <cstdint>
@@ -10,43 +10,47 @@
 
 namespace beaconsill::scheduler {
 
-// By when a job should be complete, and how important that is.
+// When a job should be complete, and its priority.
 struct Requirement {
   Priority priority = Priority::kLow;
-  std::vector<std::int64_t> due_ms;  // wall times, ascending: the first is the one to meet if possible
+  std::vector<std::int64_t> due_ms;  // wall times, ascending; the first is preferred
   bool operator==(const Requirement&) const = default;
 };
 
-// What meets both: the higher priority, and of the first due times the earlier, of the second ones, and so
-// on.
-Requirement stricter_of(const Requirement& first, const Requirement& second);
+// Returns a requirement that satisfies both: the higher priority, the earlier of the first due times, the
+// earlier of the second due times, and so on.
+Requirement combined_requirement(const Requirement& left, const Requirement& right);
 
 class InheritedRequirements {
  public:
-  // A job that waits for its dependencies. `own`: what it needs itself; `takes`: how long before its due
-  // times it has to start. Ignored if the job waits already.
-  void on_waiting(const JobId& job, const std::vector<JobId>& depends_on, const Requirement& own,
-                  Duration takes);
-  // The job waits no longer, or is over: its own due times are its own matter from here.
-  void on_released(const JobId& job) { waiting_.erase(job); }
-  // The job is over: nothing depends on it any more.
-  void on_over(const JobId& job);
-  // What the jobs that wait for this one need of it, through the longest path behind it. It gets stricter
-  // only: cancelling some of them doesn't relax it.
-  const Requirement& of(const JobId& job) const;
+  // Registers a job that waits for its dependencies, and propagates its requirement to them. `own` is the
+  // job's requirement without inherited ones. `lead_time` is how long before its due times the job has to
+  // start. The call is ignored if the job is already registered.
+  void on_wait_started(const JobId& job, const std::vector<JobId>& depends_on, const Requirement& own,
+                       Duration lead_time);
+  // Must be called when the job no longer waits for dependencies or reaches a terminal state. From then on it
+  // no longer passes requirements on to its dependencies.
+  void on_wait_ended(const JobId& job) { waiting_.erase(job); }
+  // Must be called when the job reaches a terminal state, after which no job waits for it.
+  void on_terminated(const JobId& job);
+  // Returns the requirement that the waiting jobs which depend on this one, directly or indirectly, impose on
+  // it. The earliest due time over all dependency paths applies. A requirement is never relaxed, even if some
+  // dependent jobs are cancelled.
+  const Requirement& inherited_by(const JobId& job) const;
   bool waiting(const JobId& job) const { return waiting_.contains(job); }
-  // Whether no job waits.
+  // Returns true if no job waits for dependencies.
   bool empty() const { return waiting_.empty(); }
-  // Jobs whose inherited requirement got stricter since the last call; a job may be listed several times.
+  // Returns the jobs whose inherited requirement has become stricter since the last call. A job may be listed
+  // several times.
   std::vector<JobId> take_changed();
-  // Dependencies looked at so far: the cost of this class, for tests.
+  // Returns the number of dependencies examined so far. Tests use it to bound the cost of this class.
   std::uint64_t visited_count() const { return visited_count_; }
 
  private:
   struct WaitingJob {
     std::vector<JobId> depends_on;
     Requirement own;
-    Duration takes{};
+    Duration lead_time{};
   };
   std::unordered_map<JobId, WaitingJob> waiting_;
   std::unordered_map<JobId, Requirement> inherited_;
--- a/src/scheduler/job_entry.cpp
+++ b/src/scheduler/job_entry.cpp
@@ -5,19 +5,20 @@
 namespace beaconsill::scheduler {
 namespace {
 
-// A chunk is written with the tasks it has to hold (`needed`), or with the tasks that its shard has recorded
-// as done as well, whichever takes fewer ranges; nobody starts recorded tasks. Otherwise an array whose tasks
-// end in no order would outgrow its value.
-Ranges shorter_chunk(const Ranges& needed, const Ranges& not_released, const state_store::Job& job,
-                     ShardId shard) {
+// Returns the tasks with which a chunk is written back to the state store: either only those that it must
+// contain (`needed`), or additionally those that its shard has recorded as done, whichever takes fewer
+// ranges. Including recorded tasks is safe because they are never started again. Without this, the grants of
+// an array whose tasks end in arbitrary order would become too large for one value.
+Ranges select_shorter_ranges(const Ranges& needed, const Ranges& not_released, const state_store::Job& job,
+                             ShardId shard) {
   auto progress = job.progress.find(shard);
   if (progress == job.progress.end() || needed.spans().size() <= not_released.spans().size()) return needed;
-  Ranges whole = progress->second.value.done;
-  Ranges others = whole;
-  others.remove(not_released);
-  whole.remove(others);
-  whole.add(needed);
-  return whole.spans().size() < needed.spans().size() ? whole : needed;
+  Ranges with_recorded = progress->second.value.done;
+  Ranges outside_chunk = with_recorded;
+  outside_chunk.remove(not_released);
+  with_recorded.remove(outside_chunk);
+  with_recorded.add(needed);
+  return with_recorded.spans().size() < needed.spans().size() ? with_recorded : needed;
 }
 
 }  // namespace
@@ -28,11 +29,11 @@
   terminal_state = terminal;
   grants = job.grants.value;
   grants_revision = job.grants.revision;
-  // The key of the grants may exist without any grant: see IndeterminateGrants.
+  // The grants' key may exist although no task was ever granted, see IndeterminateGrants.
   granted_before = grants.last.value() > 0;
   const Ranges recorded = job.done();
   done = recorded;
-  // That a task is done stays true whoever leads the shard.
+  // A completed task stays completed when the shard's leader changes.
   if (reported)
     for (const auto& [shard, shard_progress] : *reported) done.add(shard_progress.progress.done);
   retained_chunks.clear();
@@ -40,9 +41,10 @@
   outstanding_tasks = released_by_message_tasks = 0;
   Ranges outstanding;
   for (const auto& chunk : grants.chunks) outstanding.add(update_chunk(chunk, job, recorded, reported));
-  // Tasks released by message only stay charged: the shard's next leader doesn't know of the release and may
-  // start them. Not so for a job that is over, see QuotaLedger::required_terms. Done tasks aren't charged,
-  // recorded or not: if one is started again, it ends as soon as it has its image.
+  // Tasks whose release was reported but not recorded stay charged, because the shard's next leader doesn't
+  // know of the release and may start them. Jobs in a terminal state are an exception, see
+  // QuotaLedger::required_terms. Done tasks aren't charged, whether recorded or only reported: if such a task
+  // is started again, it ends as soon as its image has been fetched.
   charged_tasks = outstanding_tasks + (terminal_state ? 0 : released_by_message_tasks);
   pending = Ranges();
   if (terminal_state) return;
@@ -53,25 +55,25 @@
 
 Ranges JobEntry::update_chunk(const state_store::Chunk& chunk, const state_store::Job& job,
                               const Ranges& recorded, const ProgressByShard* reported) {
-  Ranges held = job.unreleased(chunk);
-  const Ranges not_released = held;
-  held.remove(recorded);
-  Ranges released = held;
+  Ranges needed = job.unreleased(chunk);
+  const Ranges not_released = needed;
+  needed.remove(recorded);
+  Ranges released = needed;
   if (reported)
     if (auto shard_progress = reported->find(chunk.shard); shard_progress != reported->end())
-      held.remove(state_store::released_tasks(shard_progress->second.progress, chunk.generation));
-  released.remove(held);
+      needed.remove(state_store::released_tasks(shard_progress->second.progress, chunk.generation));
+  released.remove(needed);
   if (!released.empty()) released_by_message.insert(chunk.shard);
-  // A new shard leader may release tasks that the one before it reported as done.
+  // A new shard leader may release tasks that the previous leader reported as done.
   released.remove(done);
   released_by_message_tasks += released.count();
-  if (held.empty()) return held;
+  if (needed.empty()) return needed;
   auto retained = chunk;
-  retained.tasks = shorter_chunk(held, not_released, job, chunk.shard);
-  retained_chunks.push_back({held.count(), std::move(retained)});
-  held.remove(done);
-  outstanding_tasks += held.count();
-  return held;
+  retained.tasks = select_shorter_ranges(needed, not_released, job, chunk.shard);
+  retained_chunks.push_back({needed.count(), std::move(retained)});
+  needed.remove(done);
+  outstanding_tasks += needed.count();
+  return needed;
 }
 
 std::size_t JobEntry::grants_size() const {
--- a/src/scheduler/job_table.h
+++ b/src/scheduler/job_table.h
@@ -1,4 +1,4 @@
-// All jobs that don't wait for dependencies, with indexes by what is to be done about them.
+// Stores all jobs that don't wait for dependencies, with indexes by scheduling state.
 #pragma once
 
 #include <cstddef>
@@ -10,8 +10,8 @@
 
 namespace beaconsill::scheduler {
 
-// Estimation rounds, periodic runs and queries must not go through all jobs there are: they use the indexes.
-// Owns the entries; pointers and references to them are valid until the entry is erased.
+// The indexes allow estimation rounds, periodic work and queries to avoid iterating over all jobs. The table
+// owns the entries; pointers and references to an entry are valid until the entry is erased.
 class JobTable {
  public:
   JobEntry* find(const JobId& id);
@@ -22,19 +22,20 @@
   JobEntry& find_or_insert(const JobId& id) { return jobs_[id]; }
   void erase(const JobId& id) { jobs_.erase(id); }
 
-  // Puts the job into the indexes by its present state; `unindex` has to be called before that changes.
+  // Adds the job to the indexes that match its current state. `unindex` must be called before that state
+  // changes.
   void index(const JobId& id, const JobEntry& entry);
   void unindex(const JobId& id);
 
-  // Not over, with a pending task.
+  // Jobs with pending tasks that are not in a terminal state.
   const std::set<JobId>& waiting() const { return waiting_; }
-  // Arrays and gangs that aren't over.
+  // Arrays and gangs that are not in a terminal state.
   const std::set<JobId>& batch() const { return batch_; }
-  // Not over.
+  // Jobs that are not in a terminal state.
   const std::set<JobId>& open() const { return open_; }
-  // All tasks done, not yet recorded as over.
+  // Arrays and gangs all of whose tasks are done but whose terminal state is not yet recorded.
   const std::set<JobId>& completed() const { return completed_; }
-  // Over, with no task left on any machine.
+  // Jobs in a terminal state that have no outstanding tasks, so that their keys can be deleted.
   const std::set<JobId>& collectable() const { return collectable_; }
 
  private:
--- a/src/scheduler/quota_ledger.h
+++ b/src/scheduler/quota_ledger.h
@@ -1,4 +1,4 @@
-// Keeps every team within its quota: what is charged to each team, and how much more it may be granted.
+// Enforces the teams' quotas: tracks what is charged to each team and how much more it may be granted.
 #pragma once
 
 #include <map>
@@ -12,26 +12,27 @@
 
 namespace beaconsill::scheduler {
 
-// Rules, all of them in this class and in JobEntry::charged_tasks:
-// - A granted task is charged until it's recorded or reported as done, or recorded as released.
-// - A task released by message only stays charged while its job isn't over, but may be granted anew by a
-// write
-//   that is conditional on the reporting shard leader's term.
-// - Of a job that is over, such a task isn't charged; every grant to the team is then conditional on that
-// term.
-// - A team without limits may be granted anything.
+// All rules are implemented in this class and in JobEntry::charged_tasks:
+// - A granted task is charged until it is recorded or reported as done, or recorded as released.
+// - A task whose release is only reported by message stays charged unless its job is in a terminal state.
+// - Such a task may nevertheless be granted again, by a write that is conditional on the reporting shard
+//   leader's term.
+// - If the job is in a terminal state, such a task isn't charged. In that case every grant to the team is
+//   conditional on the reporting shard leader's term.
+// - Teams without limits may be granted any amount.
 class QuotaLedger {
  public:
   explicit QuotaLedger(std::vector<config::TeamSettings> teams);
 
-  // Adds a job's charged tasks. Each call must be undone by `release` with the same entry, before it changes.
+  // Charges the job's charged_tasks to its team. Each call must be undone by `release` before the entry
+  // changes.
   void charge(const JobEntry& entry) { apply(entry, +1); }
   void release(const JobEntry& entry) { apply(entry, -1); }
 
-  // How many tasks of the job may be granted while the teams have `usage`, including those released by
-  // message only, which are charged already.
+  // Returns how many tasks of the job may be granted, given the teams' `usage`. The number includes tasks
+  // whose release is only reported by message, which are charged already.
   std::uint32_t allowed_tasks(const JobEntry& entry, const TeamUsage& usage) const;
-  // Shards whose present terms a grant to this job has to be conditional on.
+  // Returns the shards on whose current terms a grant to this job must be conditional.
   std::set<ShardId> required_terms(const JobEntry& entry) const;
 
   const TeamUsage& usage() const { return usage_; }
@@ -42,8 +43,9 @@
 
   std::vector<config::TeamSettings> teams_;
   TeamUsage usage_;
-  // Number of jobs of the team that are over and of which the shard has tasks released by message only.
-  std::map<Team, std::map<ShardId, int>> uncharged_by_message_;
+  // The number of jobs in a terminal state, by team and shard, for which the shard's leader has reported
+  // releases that are not recorded yet.
+  std::map<Team, std::map<ShardId, int>> unrecorded_release_jobs_;
 };
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/reported_progress.cpp
+++ b/src/scheduler/reported_progress.cpp
@@ -6,14 +6,15 @@
 void ReportedProgress::on_report(const protocol::ProgressReport& report) {
   bool current = terms_.is_current(report.shard, report.term);
   for (const auto& job : report.jobs) {
-    auto& known = by_job_[job.job][report.shard];
-    known.progress.done.add(job.done);
+    auto& reported = by_job_[job.job][report.shard];
+    reported.progress.done.add(job.done);
     if (!current) continue;
-    if (known.term != report.term) known.progress.released.clear();
-    known.term = report.term;
-    // Copies may arrive late and in any order: a release under a generation stays valid.
+    if (reported.term != report.term) reported.progress.released.clear();
+    reported.term = report.term;
+    // Within a term releases are only added: a release of a generation remains valid, and copies of a report
+    // may arrive late and in any order.
     for (const auto& released : job.released)
-      state_store::released_under(known.progress.released, released.generation).add(released.tasks);
+      state_store::released_under(reported.progress.released, released.generation).add(released.tasks);
   }
 }
 
--- a/src/scheduler/reported_progress.h
+++ b/src/scheduler/reported_progress.h
@@ -1,4 +1,4 @@
-// Task progress that shard leaders reported by message, ahead of their records in the state store.
+// Stores the task progress that shard leaders report by message before they record it in the state store.
 #pragma once
 
 #include <map>
@@ -11,25 +11,26 @@
 
 namespace beaconsill::scheduler {
 
-// What one shard leader reported about one job.
+// What the leaders of one shard have reported about one job.
 struct ShardProgress {
-  Term term;  // of the shard leader that reported the releases
+  Term term;  // term of the shard leader that reported the releases
   state_store::Progress progress;
 };
-// What all leaders of the shards that were granted tasks of the job reported about it.
+// The reports about one job, by shard.
 using ProgressByShard = std::map<ShardId, ShardProgress>;
 
-// Keeps reports until the job is removed. That a task is done stays true under every term; that it was
-// released counts only under the term in which it was reported, since a later shard leader may start the
+// Reports are stored until the job is erased. A reported completion remains valid in every term. A reported
+// release is valid only in the term in which it was reported, because a later shard leader may start the
 // task.
 class ReportedProgress {
  public:
-  // Reports may be repeated and come in any order. Releases are ignored unless the report's term is current.
+  // Reports may arrive repeatedly and in any order. Releases are ignored unless the report's term is current.
   void on_report(const protocol::ProgressReport& report);
-  // Replaces the current terms. Returns the jobs of which some reported release counts no longer; a job is
-  // listed once for each shard concerned.
+  // Replaces the current terms and discards releases that were reported under other terms. Returns the jobs
+  // concerned; a job is listed once for each shard of which releases were discarded.
   std::vector<JobId> on_terms(const ShardTerms& terms);
-  // Null if nothing was reported about the job. Valid until the next call of a non-const function.
+  // Returns nullptr if nothing was reported about the job. The pointer is valid until the next call of a
+  // non-const function.
   const ProgressByShard* find(const JobId& job) const;
   void erase(const JobId& job) { by_job_.erase(job); }
 
--- a/src/scheduler/reserved_cpus.h
+++ b/src/scheduler/reserved_cpus.h
@@ -1,4 +1,5 @@
-// CPUs of the shards that are spoken for, although estimates show them as free.
+// Tracks CPUs on each shard that are already granted although the shard's capacity estimate still counts them
+// as free.
 #pragma once
 
 #include <initializer_list>
@@ -9,14 +10,14 @@
 
 namespace beaconsill::scheduler {
 
-// A value type: a round works on a copy and adds to it what it grants.
+// A value type, so that an estimation round can work on a copy and add what it grants.
 class ReservedCpus {
  public:
   ReservedCpus() = default;
   ReservedCpus(std::initializer_list<std::pair<const ShardId, double>> cpus) : by_shard_(cpus) {}
 
   void add(ShardId shard, double cpus) { by_shard_[shard] += cpus; }
-  // Zero for a shard on which none were reserved.
+  // Returns 0 for a shard on which no CPUs are reserved.
   double on(ShardId shard) const {
     auto reserved = by_shard_.find(shard);
     return reserved == by_shard_.end() ? 0 : reserved->second;
--- a/src/scheduler/round_selection.h
+++ b/src/scheduler/round_selection.h
@@ -1,4 +1,5 @@
-// Which waiting jobs an estimation round is about, and what the shards are asked for them.
+// Selects the waiting jobs that take part in an estimation round, and the resource requests for which the
+// shards estimate their capacity.
 #pragma once
 
 #include <cstddef>
@@ -14,19 +15,21 @@
 
 struct RoundCandidate {
   JobId job;
-  std::size_t request = 0;  // index of its resource request
-  // A starving gang: if it finds no capacity, arrays yield to it.
+  std::size_t request_index = 0;  // index into RoundSelection::resource_requests
+  // Whether arrays yield to this job if it is a gang that finds no capacity, see GrantBuilder. True for
+  // starving jobs up to a limit on their wait ratio.
   bool arrays_yield = false;
 };
 
 struct RoundSelection {
-  std::vector<RoundCandidate> candidates;                    // in the order in which they are served
-  std::vector<protocol::ResourceRequest> resource_requests;  // different from each other
+  std::vector<RoundCandidate> candidates;                    // in scheduling order
+  std::vector<protocol::ResourceRequest> resource_requests;  // without duplicates
 };
 
-// `queue`: what waits, in the order in which it's served. Most places go to the head of the queue, the others
-// to the jobs that were not in a round for longest: the head may wait for capacity that others don't need.
-// Marks the selected jobs as considered.
+// Selects jobs from `queue`, which is in scheduling order. Most of the round's places go to the head of the
+// queue. The others go to the jobs that have not taken part in a round for the longest time, because jobs at
+// the head may be waiting for capacity that other jobs don't need. Updates last_considered of the selected
+// jobs.
 RoundSelection select_for_round(const std::vector<QueuedJob>& queue, JobTable& jobs,
                                 const WaitingJobs& waiting, Instant now, WallMs wall);
 
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -24,7 +24,7 @@
   if (const auto* entry = jobs_.find(id)) quota_.release(*entry);
   jobs_.unindex(id);
   if (terminal_state || !job) {
-    inherited_.on_over(id);
+    inherited_.on_terminated(id);
     crash_loops_.erase(id);
   }
   if (!job || !job->record.spec) return remove_job(id);
@@ -32,7 +32,7 @@
     jobs_.erase(id);
     return await_dependencies(id, job->record);
   }
-  inherited_.on_released(id);
+  inherited_.on_wait_ended(id);
   update_job(id, *job, terminal_state, now, ready_since);
 }
 
@@ -46,7 +46,7 @@
   // To be complete in time it has to start a run time earlier, and its first grant follows a few heartbeats
   // after the last completion of its dependencies.
   auto takes = from_seconds(spec.estimate_s) + kPeriodsBetweenSteps * params_.heartbeat_period;
-  inherited_.on_waiting(id, spec.depends_on, {spec.priority, deadlines_.due_times(record, std::nullopt)},
+  inherited_.on_wait_started(id, spec.depends_on, {spec.priority, deadlines_.due_times(record, std::nullopt)},
                         takes);
   refresh_requirements();
 }
@@ -60,14 +60,14 @@
   entry.update(job, terminal_state, reported_.find(id));
   if (!entry.done.empty()) crash_loops_.erase(id);
   if (entry.spec().depends_on.empty()) {
-    entry.counts_from = entry.record.submitted;
+    entry.eligible_since = entry.record.submitted;
   } else if (is_new && ready_since) {
-    entry.counts_from = *ready_since;
+    entry.eligible_since = *ready_since;
   }
   entry.requirement = requirement_of(id, entry);
-  if (entry.oversized_at &&
-      static_cast<double>(entry.grants_size()) < static_cast<double>(*entry.oversized_at) * kRetrySizeShare)
-    entry.oversized_at.reset();
+  if (entry.oversized_grants_size &&
+      static_cast<double>(entry.grants_size()) < static_cast<double>(*entry.oversized_grants_size) * kRetrySizeShare)
+    entry.oversized_grants_size.reset();
   if (is_new || (pending_before == 0 && !entry.pending.empty())) entry.waiting_since = now;
   // A new job, or a replica that lost its machine, shouldn't wait for the next period.
   bool lost_replica = entry.is_service() && entry.pending.count() > pending_before;
@@ -77,8 +77,8 @@
 }
 
 Requirement Scheduler::requirement_of(const JobId& id, const JobEntry& entry) const {
-  return stricter_of({entry.spec().priority, deadlines_.due_times(entry.record, entry.counts_from)},
-                     inherited_.of(id));
+  return combined_requirement({entry.spec().priority, deadlines_.due_times(entry.record, entry.eligible_since)},
+                     inherited_.inherited_by(id));
 }
 
 void Scheduler::refresh_requirements() {
@@ -87,7 +87,7 @@
 }
 
 void Scheduler::on_oversized(const JobId& id) {
-  if (auto* entry = jobs_.find(id)) entry->oversized_at = std::max<std::size_t>(1, entry->grants_size());
+  if (auto* entry = jobs_.find(id)) entry->oversized_grants_size = std::max<std::size_t>(1, entry->grants_size());
 }
 
 void Scheduler::on_progress_report(const protocol::ProgressReport& report, Instant now) {
--- a/src/scheduler/scheduler_rounds.cpp
+++ b/src/scheduler/scheduler_rounds.cpp
@@ -23,9 +23,9 @@
   // capacity would delay the arrays without end, as others come.
   auto waiting = waiting_jobs();
   bool services_only =
-      urgent_ && now - last_full_round_ < params_.heartbeat_period && waiting.any_service(now);
+      urgent_ && now - last_full_round_ < params_.heartbeat_period && waiting.has_grantable_service(now);
   if (!services_only) last_full_round_ = now;
-  auto queue = waiting.in_serving_order(now, wall, services_only);
+  auto queue = waiting.build_queue(now, wall, services_only);
   auto selection = select_for_round(queue, jobs_, waiting, now, wall);
   urgent_ = false;
   if (selection.candidates.empty()) return std::nullopt;
--- a/src/scheduler/scheduling_queue.h
+++ b/src/scheduler/scheduling_queue.h
@@ -1,4 +1,5 @@
-// Which job is served next: a queue for each team, served in turn by fair share.
+// Determines the order in which waiting jobs are scheduled: by priority, starvation and fair sharing between
+// teams.
 #pragma once
 
 #include <cstdint>
@@ -10,27 +11,35 @@
 
 namespace beaconsill::scheduler {
 
-// How far a job of which nothing has begun is moved forward in the queue.
-enum class Starvation {
+// How far a job is moved forward in the queue because it has waited too long. Only jobs without any
+// outstanding or done task are moved.
+enum class StarvationBoost {
   kNone,
-  kBeforeEquals,  // waiting for so long that it goes before others of its priority
-  kBeforeAll      // still longer: it goes before higher priorities as well
+  kAheadOfEqualPriority,  // The job precedes other jobs of its priority.
+  kAheadOfAllPriorities   // The job has waited even longer and also precedes jobs of higher priority.
 };
 
 struct QueuedJob {
   JobId id;
   Team team;
   Priority priority = Priority::kNormal;
-  std::int64_t due_ms = 0;        // wall time by which it has to start, see plan_starts
-  std::int64_t submitted_ms = 0;  // wall time
-  Resources wanted;               // of all its tasks that may be granted
-  Starvation starvation = Starvation::kNone;
+  std::int64_t start_by_ms = 0;  // wall time by which the job has to start, see plan_starts
+  // Wall time of the submission or, for a job with dependencies, of the completion of the last one.
+  std::int64_t eligible_since_ms = 0;
+  Resources grantable_resources;  // total of all its tasks that may be granted now
+  StarvationBoost starvation_boost = StarvationBoost::kNone;
 };
 
-// The jobs in the order in which to serve them. `usage`: what each team has been granted. Higher priority
-// goes first; among equals a starving job, the oldest first; then a team within its guarantee before one that
-// borrows, then the team that has the least of its share; inside a team the job that is due first.
-std::vector<QueuedJob> serve_order(std::vector<QueuedJob> jobs,
-                                   const std::vector<config::TeamSettings>& teams, TeamUsage usage);
+// Returns the jobs in the order in which they are to be scheduled. `usage` is what each team has been
+// granted. The criteria, in descending precedence:
+// - Jobs with StarvationBoost::kAheadOfAllPriorities go first, the oldest of them first.
+// - Jobs of higher priority go first.
+// - Among jobs of equal priority, starving jobs go first, the oldest of them first.
+// - Teams that are within their guarantee go before teams that borrow beyond it.
+// - The team that uses the smallest fraction of its guarantee goes first.
+// - Within a team, the job that has to start first goes first.
+// Each job in the order is charged to its team before the next one is chosen.
+std::vector<QueuedJob> order_by_fair_share(std::vector<QueuedJob> jobs,
+                                           const std::vector<config::TeamSettings>& teams, TeamUsage usage);
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/start_plan.cpp
+++ b/src/scheduler/start_plan.cpp
@@ -9,77 +9,83 @@
 namespace beaconsill::scheduler {
 namespace {
 
-// The start that meets the first of the job's due times which it can meet by starting after `after`. Its work
-// counts in full, and at any time what runs is half done: so the last of it ends half a run time after its
-// share of the work is done.
-std::optional<double> next_start(const TimedJob& job, double after) {
-  for (double due : job.due)
-    if (due >= job.least_s && due - job.least_s / 2 > after) return due - job.least_s / 2;
+// Returns the latest start, in seconds from now, that meets the first due time which the job can still meet
+// by starting later than `after_s`; std::nullopt if there is no such due time. The plan counts the job's work
+// in full, while running tasks are half done on average at any time. The last tasks therefore end half a run
+// time after the job's share of the work is done, which is why half a run time is subtracted from the due
+// time.
+std::optional<double> next_start(const DeadlineJob& job, double after_s) {
+  for (double due_s : job.due_s)
+    if (due_s >= job.task_run_time_s && due_s - job.task_run_time_s / 2 > after_s)
+      return due_s - job.task_run_time_s / 2;
   return std::nullopt;
 }
 
 class StartPlanner {
  public:
-  StartPlanner(const std::vector<TimedJob>& jobs, double cpus, double begun)
-      : cpus_(std::max(cpus, 1.0)), begun_(begun), work_(begun) {
+  StartPlanner(const std::vector<DeadlineJob>& jobs, double cpus, double running_cpu_s)
+      : cpus_(std::max(cpus, 1.0)), running_cpu_s_(running_cpu_s), planned_cpu_s_(running_cpu_s) {
     for (const auto& job : jobs)
-      if (auto start = next_start(job, 0)) ahead_.insert({*start, &job});
+      if (auto first_start_s = next_start(job, 0)) unplanned_.insert({*first_start_s, &job});
   }
 
   StartTimes plan() {
-    while (!ahead_.empty()) {
-      auto first = ahead_.extract(ahead_.begin());
-      double now = first.value().start;
-      work_ += first.value().job->work;
+    while (!unplanned_.empty()) {
+      auto first = unplanned_.extract(unplanned_.begin());
+      double start_s = first.value().start_s;
+      planned_cpu_s_ += first.value().job->remaining_cpu_s;
       on_time_.insert(std::move(first));
-      while (work_ / cpus_ > now && !on_time_.empty()) postpone_one(now);
+      while (planned_cpu_s_ / cpus_ > start_s && !on_time_.empty()) postpone_or_drop_one(start_s);
     }
     StartTimes starts;
-    for (const auto& planned : on_time_) starts[planned.job->id] = planned.start;
+    for (const auto& planned : on_time_) starts[planned.job->id] = planned.start_s;
     return starts;
   }
 
  private:
   struct PlannedStart {
-    double start;
-    const TimedJob* job;
+    double start_s;
+    const DeadlineJob* job;
     bool operator<(const PlannedStart& other) const {
-      return std::tie(start, job->id) < std::tie(other.start, other.job->id);
+      return std::tie(start_s, job->id) < std::tie(other.start_s, other.job->id);
     }
   };
   using PlannedStarts = std::set<PlannedStart>;
 
-  // Of the jobs planned so far, moves the largest to its next due time, or drops it if it has none.
-  void postpone_one(double now) {
+  // Postpones the largest of the jobs planned so far that have a later due time. If there is none, or if the
+  // jobs without a later due time exceed the capacity by themselves, drops the largest of the latter from the
+  // plan.
+  void postpone_or_drop_one(double start_s) {
     auto largest = on_time_.end(), largest_at_last_due = on_time_.end();
-    double not_postponable = begun_;
+    double not_postponable_cpu_s = running_cpu_s_;
     for (auto it = on_time_.begin(); it != on_time_.end(); ++it) {
-      bool at_last_due = !next_start(*it->job, now);
-      if (at_last_due) not_postponable += it->job->work;
+      bool at_last_due = !next_start(*it->job, start_s);
+      if (at_last_due) not_postponable_cpu_s += it->job->remaining_cpu_s;
       auto& largest_of_kind = at_last_due ? largest_at_last_due : largest;
-      if (largest_of_kind == on_time_.end() || it->job->work > largest_of_kind->job->work)
+      if (largest_of_kind == on_time_.end() ||
+          it->job->remaining_cpu_s > largest_of_kind->job->remaining_cpu_s)
         largest_of_kind = it;
     }
-    bool misses_last =
-        largest == on_time_.end() || (largest_at_last_due != on_time_.end() && not_postponable / cpus_ > now);
-    auto victim = misses_last ? largest_at_last_due : largest;
-    const auto& job = *victim->job;
-    work_ -= job.work;
-    if (!misses_last) ahead_.insert({*next_start(job, now), &job});
-    on_time_.erase(victim);
+    bool drop_job = largest == on_time_.end() ||
+                    (largest_at_last_due != on_time_.end() && not_postponable_cpu_s / cpus_ > start_s);
+    auto selected = drop_job ? largest_at_last_due : largest;
+    const auto& job = *selected->job;
+    planned_cpu_s_ -= job.remaining_cpu_s;
+    if (!drop_job) unplanned_.insert({*next_start(job, start_s), &job});
+    on_time_.erase(selected);
   }
 
   double cpus_;
-  double begun_;
-  double work_;  // CPU seconds of `begun` and of all jobs planned to be on time
-  PlannedStarts ahead_;
+  double running_cpu_s_;
+  double planned_cpu_s_;  // running_cpu_s_ and the remaining work of all jobs in on_time_
+  PlannedStarts unplanned_;
   PlannedStarts on_time_;
 };
 
 }  // namespace
 
-StartTimes plan_starts(const std::vector<TimedJob>& jobs, double cpus, double begun) {
-  return StartPlanner(jobs, cpus, begun).plan();
+StartTimes plan_starts(const std::vector<DeadlineJob>& jobs, double cpus, double running_cpu_s) {
+  return StartPlanner(jobs, cpus, running_cpu_s).plan();
 }
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/start_plan.h
+++ b/src/scheduler/start_plan.h
@@ -1,4 +1,4 @@
-// By when jobs with due times have to start, given the CPUs there are.
+// Plans by when jobs with due times have to start, given the available CPUs.
 #pragma once
 
 #include <map>
@@ -8,22 +8,25 @@
 
 namespace beaconsill::scheduler {
 
-// A job that should be complete at one of several times, the earlier the better.
-struct TimedJob {
+// A job that should be complete by one of several due times, preferably by the earliest.
+struct DeadlineJob {
   JobId id;
-  double work = 0;          // CPU seconds left, by its submitter's estimate
-  double least_s = 0;       // its tasks' run time: it can't be complete sooner than this
-  std::vector<double> due;  // seconds from now, ascending; may have passed
+  double remaining_cpu_s = 0;  // remaining work in CPU seconds, according to the submitter's estimate
+  double task_run_time_s = 0;  // estimated run time of one task, and so the minimum time until completion
+  std::vector<double> due_s;   // due times in seconds from now, ascending; negative if they have passed
 };
 
-// Seconds from now by which each job has to start; jobs that can meet none of their due times are left out.
+// The latest start of each job, in seconds from now. Jobs that can't meet any of their due times are left
+// out.
 using StartTimes = std::map<JobId, double>;
 
-// By when each job has to start to meet the due time planned for it. Served in the order of their first due
-// times, one job too many would make all that follow it late. Instead the largest of those before that time
-// is postponed to its next due time until the rest is on time (Moore and Hodgson's rule, with `cpus` as the
-// machine and `begun` as the CPU seconds that it has yet to do). A job's last due time is the one to miss
-// least: a job misses it only if the jobs that have no later due time are too much by themselves.
-StartTimes plan_starts(const std::vector<TimedJob>& jobs, double cpus, double begun);
+// Chooses a due time for each job and returns the latest starts that meet these due times. If jobs were
+// served strictly in the order of their first due times, a single job too many would make all later jobs
+// late. Instead, whenever the work planned up to a due time exceeds the capacity, the largest of those jobs
+// is postponed to its next due time until the others are on time. This is the Moore-Hodgson algorithm with
+// `cpus` as the machine, which first has to complete `running_cpu_s` CPU seconds of work that has already
+// begun. Missing a job's last due time is the worst outcome: a job misses it only if the work of jobs without
+// a later due time exceeds the capacity by itself.
+StartTimes plan_starts(const std::vector<DeadlineJob>& jobs, double cpus, double running_cpu_s);
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/tasks_by_zone.h
+++ b/src/scheduler/tasks_by_zone.h
@@ -1,4 +1,4 @@
-// How many tasks of a job are in each zone.
+// Counts the tasks of a job in each zone.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,14 @@
   TasksByZone() = default;
   TasksByZone(std::initializer_list<std::pair<const Zone, std::uint32_t>> tasks) : by_zone_(tasks) {}
 
-  // Adding no task makes the zone one of the job's all the same.
+  // Adds the zone even if `tasks` is 0.
   void add(const Zone& zone, std::uint32_t tasks) { by_zone_[zone] += tasks; }
-  // Zero for a zone that was never added.
+  // Returns 0 for a zone that was never added.
   std::uint32_t in(const Zone& zone) const {
     auto tasks = by_zone_.find(zone);
     return tasks == by_zone_.end() ? 0 : tasks->second;
   }
-  // The first by name of the zones that were added, if any.
+  // Returns the alphabetically first of the zones that were added, or std::nullopt if there are none.
   std::optional<Zone> first_zone() const {
     return by_zone_.empty() ? std::nullopt : std::optional(by_zone_.begin()->first);
   }
--- a/src/scheduler/team_usage.h
+++ b/src/scheduler/team_usage.h
@@ -1,4 +1,4 @@
-// What each team has been granted, in CPUs, GPUs and gigabytes of memory.
+// Tracks how many CPUs, GPUs and gigabytes of memory each team has been granted.
 #pragma once
 
 #include <initializer_list>
@@ -9,7 +9,7 @@
 
 namespace beaconsill::scheduler {
 
-// A value type: planning steps work on a copy and charge it with what they intend to grant.
+// A value type, so that planning steps can work on a copy and charge it with what they intend to grant.
 class TeamUsage {
  public:
   TeamUsage() = default;
@@ -17,7 +17,7 @@
 
   void charge(const Team& team, const Resources& amount) { by_team_[team] += amount; }
   void release(const Team& team, const Resources& amount) { by_team_[team] -= amount; }
-  // Zero for a team that was never charged.
+  // Returns zero amounts for a team that was never charged.
   Resources of(const Team& team) const {
     auto it = by_team_.find(team);
     return it == by_team_.end() ? Resources{} : it->second;
--- a/src/scheduler/waiting_jobs.h
+++ b/src/scheduler/waiting_jobs.h
@@ -1,4 +1,4 @@
-// The jobs with pending tasks that may be granted now, in the order in which they are served.
+// Determines which waiting jobs may be granted tasks now, how many, and in which order.
 #pragma once
 
 #include <vector>
@@ -13,35 +13,37 @@
 
 namespace beaconsill::scheduler {
 
-// Pending tasks of one job, for the autoscaler.
+// The resources that one job's pending tasks need, as input for the autoscaler.
 struct Demand {
-  protocol::ResourceRequest resource_request;  // `wanted`: pending tasks within the team's limit
+  protocol::ResourceRequest resource_request;  // `wanted` is the number of grantable tasks
   Duration waited{};
 };
 
-// A view on the scheduler's state, cheap to make; valid as long as what it refers to.
+// A read-only view of the scheduler's state. It is cheap to create and must not outlive the objects that it
+// refers to.
 class WaitingJobs {
  public:
   WaitingJobs(const JobTable& jobs, const QuotaLedger& quota, const CrashLoopBackoff& crash_loops,
               const DeadlinePlanner& deadlines)
       : jobs_(jobs), quota_(quota), crash_loops_(crash_loops), deadlines_(deadlines) {}
 
-  // Pending tasks of the job that may be granted now: within its team's limit if the teams have `usage`, and
-  // by its crash-loop back-off.
+  // Returns how many of the job's pending tasks may be granted now. The number is limited by the team's
+  // quota, given the teams' `usage`, and by the job's crash-loop back-off.
   std::uint32_t grantable_tasks(const JobId& id, const JobEntry& entry, const TeamUsage& usage,
                                 Instant now) const;
-  // Jobs with grantable tasks in the order in which they are served. `services_only`: without arrays and
-  // gangs.
-  std::vector<QueuedJob> in_serving_order(Instant now, WallMs wall, bool services_only) const;
-  bool any_service(Instant now) const;
-  // How long a job that has got nothing has been waiting, in multiples of the longest wait; 0 in crash-loop
-  // back-off.
-  double waits_in_limits(const JobId& id, const JobEntry& entry, WallMs wall) const;
+  // Returns the jobs with grantable tasks in scheduling order. With `services_only`, arrays and gangs are
+  // left out.
+  std::vector<QueuedJob> build_queue(Instant now, WallMs wall, bool services_only) const;
+  bool has_grantable_service(Instant now) const;
+  // Returns how long a job without any outstanding or done task has been waiting, as a multiple of the
+  // longest acceptable wait. Returns 0 for other jobs and for jobs in crash-loop back-off.
+  double wait_ratio(const JobId& id, const JobEntry& entry, WallMs wall) const;
+  // Returns the demand of all waiting jobs. Jobs of the same team share its quota.
   std::vector<Demand> demand(Instant now) const;
 
  private:
-  QueuedJob queued(const JobId& id, const JobEntry& entry, std::uint32_t tasks, const StartTimes& starts,
-                   WallMs wall) const;
+  QueuedJob make_queued_job(const JobId& id, const JobEntry& entry, std::uint32_t tasks,
+                            const StartTimes& starts, WallMs wall) const;
 
   const JobTable& jobs_;
   const QuotaLedger& quota_;
--- a/tests/crash_loop_backoff_test.cpp
+++ b/tests/crash_loop_backoff_test.cpp
@@ -1,4 +1,4 @@
-// When a job whose tasks fail everywhere is tried again.
+// Tests when a job whose tasks fail on several machines is in back-off and when it is retried.
 #include "scheduler/crash_loop_backoff.h"
 
 #include <gtest/gtest.h>
@@ -16,64 +16,67 @@
   return Instant{} + from_seconds(1000 + seconds);
 }
 
-TEST(CrashLoopBackoff, ContainsJobsFromTheirFirstFailureUntilTheyWork) {
+TEST(CrashLoopBackoff, ContainsJobFromFirstFailureUntilItWorks) {
   struct Case {
-    const char* what;
+    const char* description;
     std::vector<JobHealth> reports;
     bool in_backoff;
   };
   const Case cases[] = {
-      {"nothing reported", {}, false},
-      {"nothing new", {JobHealth::kNone}, false},
-      {"it fails", {JobHealth::kFails}, true},
-      {"nothing new since it failed", {JobHealth::kFails, JobHealth::kNone}, true},
-      {"it works after all", {JobHealth::kFails, JobHealth::kWorks}, false},
-      {"it fails again", {JobHealth::kFails, JobHealth::kWorks, JobHealth::kFails}, true},
+      {"no report", {}, false},
+      {"a report without news", {JobHealth::kNone}, false},
+      {"a failure", {JobHealth::kFails}, true},
+      {"a report without news after a failure", {JobHealth::kFails, JobHealth::kNone}, true},
+      {"the job works after a failure", {JobHealth::kFails, JobHealth::kWorks}, false},
+      {"the job fails again after it worked",
+       {JobHealth::kFails, JobHealth::kWorks, JobHealth::kFails},
+       true},
   };
   for (const auto& test_case : cases) {
     CrashLoopBackoff crash_loops;
     for (auto health : test_case.reports) crash_loops.on_job_health(kJob, health, at(0), at(1));
-    EXPECT_EQ(crash_loops.contains(kJob), test_case.in_backoff) << test_case.what;
-    EXPECT_FALSE(crash_loops.contains(JobId("run-2"))) << test_case.what;
+    EXPECT_EQ(crash_loops.contains(kJob), test_case.in_backoff) << test_case.description;
+    EXPECT_FALSE(crash_loops.contains(JobId("run-2"))) << test_case.description;
   }
 }
 
-TEST(CrashLoopBackoff, DelayDoublesWithEachFailedGrantUpToTheLongest) {
+TEST(CrashLoopBackoff, DelayDoublesWithEachFailedGrantUpToTheMaximum) {
   CrashLoopBackoff crash_loops;
   double now = 0;
   for (double delay : {2, 4, 8, 16, 30, 30}) {
-    // It's granted a task, which fails a second later.
+    // The job is granted a task, which fails one second later.
     crash_loops.on_job_health(kJob, JobHealth::kFails, at(now), at(now + 1));
-    EXPECT_FALSE(crash_loops.due(kJob, at(now + 1 + delay - 0.1))) << delay;
-    EXPECT_TRUE(crash_loops.due(kJob, at(now + 1 + delay))) << delay;
+    EXPECT_FALSE(crash_loops.retry_due(kJob, at(now + 1 + delay - 0.1))) << delay;
+    EXPECT_TRUE(crash_loops.retry_due(kJob, at(now + 1 + delay))) << delay;
     now += 1 + delay;
   }
 }
 
-TEST(CrashLoopBackoff, ReportsOfOneGrantCountOnce) {
+TEST(CrashLoopBackoff, ReportsForTheSameGrantLengthenDelayOnce) {
   CrashLoopBackoff crash_loops;
   crash_loops.on_job_health(kJob, JobHealth::kFails, at(0), at(1));
   crash_loops.on_job_health(kJob, JobHealth::kFails, at(0), at(2));
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(1), at(2.5));  // granted when the failure was known
-  EXPECT_TRUE(crash_loops.due(kJob, at(3)));
+  // The last grant was made at the time of the first failure report.
+  crash_loops.on_job_health(kJob, JobHealth::kFails, at(1), at(2.5));
+  EXPECT_TRUE(crash_loops.retry_due(kJob, at(3)));
 }
 
-TEST(CrashLoopBackoff, AJobThatWasNeverGrantedFailsOnce) {
+TEST(CrashLoopBackoff, ReportsForAJobThatWasNeverGrantedLengthenDelayOnce) {
   CrashLoopBackoff crash_loops;
   crash_loops.on_job_health(kJob, JobHealth::kFails, std::nullopt, at(1));
   crash_loops.on_job_health(kJob, JobHealth::kFails, std::nullopt, at(2));
-  EXPECT_TRUE(crash_loops.due(kJob, at(3)));
+  EXPECT_TRUE(crash_loops.retry_due(kJob, at(3)));
 }
 
-TEST(CrashLoopBackoff, AnErasedJobBeginsAnewWithTheShortestDelay) {
+TEST(CrashLoopBackoff, ErasedJobStartsAgainWithInitialDelay) {
   CrashLoopBackoff crash_loops;
   crash_loops.on_job_health(kJob, JobHealth::kFails, at(0), at(1));
   crash_loops.on_job_health(kJob, JobHealth::kFails, at(5), at(6));
   crash_loops.erase(kJob);
   EXPECT_FALSE(crash_loops.contains(kJob));
-  EXPECT_TRUE(crash_loops.due(kJob, at(6)));
+  EXPECT_TRUE(crash_loops.retry_due(kJob, at(6)));
   crash_loops.on_job_health(kJob, JobHealth::kFails, at(7), at(8));
-  EXPECT_TRUE(crash_loops.due(kJob, at(10)));
+  EXPECT_TRUE(crash_loops.retry_due(kJob, at(10)));
 }
 
 }  // namespace
--- a/tests/deadline_planner_test.cpp
+++ b/tests/deadline_planner_test.cpp
@@ -1,4 +1,4 @@
-// Due times by deadlines and objectives, and how long a job of which nothing has begun waits.
+// Tests the due times derived from deadlines and objectives, the wait ratio and the planned start times.
 #include "scheduler/deadline_planner.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace beaconsill::scheduler {
 namespace {
 
-using Times = std::vector<std::int64_t>;
+using WallTimesMs = std::vector<std::int64_t>;
 
 state_store::JobRecord record(const char* job_class, std::optional<double> deadline_s) {
   protocol::JobSpec spec;
@@ -27,47 +27,60 @@
                          std::chrono::seconds(100));
 }
 
-TEST(DeadlinePlanner, DueTimesByObjectiveAndDeadline) {
+TEST(DeadlinePlanner, DerivesDueTimesFromObjectivesAndDeadline) {
   struct Case {
-    const char* what;
+    const char* description;
     const char* job_class;
     std::optional<double> deadline_s;
-    std::optional<WallMs> counts_from;
-    Times due_ms;
+    std::optional<WallMs> eligible_since;
+    WallTimesMs expected_due_ms;
   };
   const Case cases[] = {
-      {"deadlines count from the submission", "day", 100, WallMs(5000), {101000, 151000}},
-      {"also before its dependencies are done", "day", 100, std::nullopt, {101000, 151000}},
-      {"no deadline", "day", std::nullopt, WallMs(5000), {}},
-      {"finished, from when it could begin", "night", std::nullopt, WallMs(5000), {65000}},
-      {"not known yet", "night", std::nullopt, std::nullopt, {}},
-      {"started, and a run time later complete", "step", std::nullopt, WallMs(5000), {55000}},
-      {"a deadline without an objective", "other", 100, WallMs(5000), {101000}},
+      {"deadlines are relative to the submission", "day", 100, WallMs(5000), {101000, 151000}},
+      {"deadlines are known before the dependencies are done", "day", 100, std::nullopt, {101000, 151000}},
+      {"deadline objectives don't apply without a deadline", "day", std::nullopt, WallMs(5000), {}},
+      {"an objective of kind finished is relative to eligible_since",
+       "night",
+       std::nullopt,
+       WallMs(5000),
+       {65000}},
+      {"an objective of kind finished is unknown before the dependencies are done",
+       "night",
+       std::nullopt,
+       std::nullopt,
+       {}},
+      {"an objective of kind wait allows for one run time after the start",
+       "step",
+       std::nullopt,
+       WallMs(5000),
+       {55000}},
+      {"the deadline applies if there is no objective", "other", 100, WallMs(5000), {101000}},
       {"the objective replaces the deadline", "night", 100, WallMs(5000), {65000}},
   };
   for (const auto& test_case : cases)
-    EXPECT_EQ(planner().due_times(record(test_case.job_class, test_case.deadline_s), test_case.counts_from),
-              test_case.due_ms)
-        << test_case.what;
+    EXPECT_EQ(
+        planner().due_times(record(test_case.job_class, test_case.deadline_s), test_case.eligible_since),
+        test_case.expected_due_ms)
+        << test_case.description;
 }
 
-TEST(DeadlinePlanner, OnlyJobsThatGotNothingStarve) {
+TEST(DeadlinePlanner, WaitRatioIsZeroForJobsWithOutstandingOrDoneTasks) {
   JobEntry entry;
   entry.record = record("night", std::nullopt);
-  entry.counts_from = WallMs(1000);
-  EXPECT_DOUBLE_EQ(planner().waits_in_limits(entry, WallMs(51000)), 0.5);
-  EXPECT_DOUBLE_EQ(planner().waits_in_limits(entry, WallMs(151000)), 1.5);
-  EXPECT_EQ(DeadlinePlanner({}, Duration(0)).waits_in_limits(entry, WallMs(151000)), 0);
+  entry.eligible_since = WallMs(1000);
+  EXPECT_DOUBLE_EQ(planner().wait_ratio(entry, WallMs(51000)), 0.5);
+  EXPECT_DOUBLE_EQ(planner().wait_ratio(entry, WallMs(151000)), 1.5);
+  EXPECT_EQ(DeadlinePlanner({}, Duration(0)).wait_ratio(entry, WallMs(151000)), 0);
   entry.outstanding_tasks = 1;
-  EXPECT_EQ(planner().waits_in_limits(entry, WallMs(151000)), 0);
+  EXPECT_EQ(planner().wait_ratio(entry, WallMs(151000)), 0);
   entry.outstanding_tasks = 0;
   entry.done = Ranges::span(0, 1);
-  EXPECT_EQ(planner().waits_in_limits(entry, WallMs(151000)), 0);
+  EXPECT_EQ(planner().wait_ratio(entry, WallMs(151000)), 0);
 }
 
-TEST(DeadlinePlanner, StartTimesLeaveOutCrashLoopsAndWhatCanMeetNoDueTime) {
+TEST(DeadlinePlanner, StartTimesOmitCrashLoopingJobsAndJobsThatCannotMeetAnyDueTime) {
   JobTable jobs;
-  for (const auto* id : {"fits", "late", "failing"}) {
+  for (const auto* id : {"on_time", "late", "failing"}) {
     auto& entry = jobs.find_or_insert(JobId(id));
     entry.record = record("night", std::nullopt);
     entry.pending = Ranges::span(0, 4);
@@ -77,8 +90,8 @@
   CrashLoopBackoff crash_loops;
   crash_loops.on_job_health(JobId("failing"), protocol::JobHealth::kFails, std::nullopt, Instant{});
   auto starts = planner().plan_start_times(jobs, crash_loops, WallMs(1000));
-  // Due in 200 s, less half its run time of 10 s.
-  EXPECT_EQ(starts, (StartTimes{{JobId("fits"), 195}}));
+  // The job is due in 200 s; half its run time of 10 s is subtracted.
+  EXPECT_EQ(starts, (StartTimes{{JobId("on_time"), 195}}));
 }
 
 }  // namespace
--- a/tests/job_table_fixture.h
+++ b/tests/job_table_fixture.h
@@ -1,5 +1,5 @@
-// A job table with all that the classes around it read, for tests of one of these classes without a
-// Scheduler. Times are seconds from an arbitrary start.
+// Provides a job table together with the objects that WaitingJobs reads, for tests that don't need a
+// Scheduler. Times are in seconds from an arbitrary start.
 #pragma once
 
 #include <functional>
@@ -15,8 +15,8 @@
 
   explicit JobTableFixture(std::vector<config::TeamSettings> teams = {}) : quota(std::move(teams)) {}
 
-  // Adds a job of team "blue" whose tasks, of one CPU each, are all pending. Both changes are applied before
-  // the table indexes it.
+  // Adds a job of team "blue" whose tasks, of one CPU each, are all pending. `change_spec` and
+  // `change_entry` are applied before the table indexes the job.
   JobEntry& add(const char* id, std::uint32_t tasks,
                 const std::function<void(protocol::JobSpec&)>& change_spec = {},
                 const std::function<void(JobEntry&)>& change_entry = {}) {
@@ -36,7 +36,7 @@
     return entry;
   }
   // Puts the job into crash-loop back-off.
-  void fail(const char* id, Instant now) {
+  void report_failure(const char* id, Instant now) {
     crash_loops.on_job_health(JobId(id), protocol::JobHealth::kFails, std::nullopt, now);
   }
   WaitingJobs waiting() const { return {jobs, quota, crash_loops, deadlines}; }
@@ -47,7 +47,7 @@
   DeadlinePlanner deadlines{{}, std::chrono::seconds(100)};
 };
 
-// Changes of a job for JobTableFixture::add.
+// Functions that can be passed to JobTableFixture::add as `change_spec`.
 inline void make_gang(protocol::JobSpec& spec) {
   spec.kind = JobKind::kGang;
 }
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -1,15 +1,15 @@
-// Keeping each team within its quota: the ledger by itself, then the scheduler with reports and indeterminate
-// transactions.
+// Tests the enforcement of team quotas: first QuotaLedger alone, then the scheduler with progress reports and
+// indeterminate transactions.
 #include "scheduler/quota_ledger.h"
 #include "scheduler_fixture.h"
 
 namespace beaconsill::scheduler {
 namespace {
 
-// ---- QuotaLedger by itself
+// ---- QuotaLedger alone
 
-// A job of team "blue" with tasks of one CPU and `gpus` GPUs.
-JobEntry entry_of(std::uint32_t tasks, double gpus = 0) {
+// Returns a job of team "blue" with tasks of one CPU and `gpus` GPUs.
+JobEntry make_entry(std::uint32_t tasks, double gpus = 0) {
   protocol::JobSpec spec;
   spec.id = JobId("run-1");
   spec.team = Team("blue");
@@ -20,43 +20,61 @@
   return entry;
 }
 
-TEST(QuotaLedger, AllowsTasksUpToTheScarcestLimit) {
+TEST(QuotaLedger, AllowsTasksUpToTheMostRestrictiveLimit) {
   struct Case {
-    const char* what;
+    const char* description;
     config::TeamSettings settings;
     double gpus_each;
     TeamUsage usage;
-    std::uint32_t charged;              // of the job
-    std::uint32_t released_by_message;  // of the job
-    std::uint32_t allowed;              // of its 10 tasks
+    std::uint32_t charged;              // charged tasks of the job
+    std::uint32_t released_by_message;  // tasks of the job whose release is only reported by message
+    std::uint32_t allowed;              // expected number of allowed tasks, of 10 tasks
   };
   const Team blue("blue");
   const Case cases[] = {
       {"no limit", {blue, 0, 0, 0, 0}, 0, {{blue, {500, 0, 0}}}, 0, 0, 10},
-      {"no limit, some of it charged", {blue, 0, 0, 0, 0}, 0, {}, 4, 0, 6},
-      {"CPUs", {blue, 0, 8, 0, 0}, 0, {{blue, {5, 0, 0}}}, 0, 0, 3},
+      {"no limit, some tasks of the job are charged", {blue, 0, 0, 0, 0}, 0, {}, 4, 0, 6},
+      {"CPUs are limited", {blue, 0, 8, 0, 0}, 0, {{blue, {5, 0, 0}}}, 0, 0, 3},
       {"all of the CPUs are in use", {blue, 0, 8, 0, 0}, 0, {{blue, {8, 0, 0}}}, 0, 0, 0},
       {"more than the limit is in use", {blue, 0, 8, 0, 0}, 0, {{blue, {9, 0, 0}}}, 0, 0, 0},
-      {"GPUs are scarcer", {blue, 0, 8, 0, 4}, 2, {{blue, {1, 2, 0}}}, 0, 0, 1},
-      {"a limit of GPUs doesn't bind tasks without", {blue, 0, 8, 0, 4}, 0, {{blue, {0, 4, 0}}}, 0, 0, 8},
+      {"GPUs are more restricted than CPUs", {blue, 0, 8, 0, 4}, 2, {{blue, {1, 2, 0}}}, 0, 0, 1},
+      {"a GPU limit doesn't apply to tasks without GPUs",
+       {blue, 0, 8, 0, 4},
+       0,
+       {{blue, {0, 4, 0}}},
+       0,
+       0,
+       8},
       {"another team's usage", {blue, 0, 8, 0, 0}, 0, {{Team("red"), {8, 0, 0}}}, 0, 0, 8},
       {"another team's limit", {Team("red"), 0, 1, 0, 0}, 0, {}, 0, 0, 10},
-      {"released tasks are charged already", {blue, 0, 8, 0, 0}, 0, {{blue, {8, 0, 0}}}, 8, 3, 3},
-      {"beyond the limit only some are granted anew", {blue, 0, 6, 0, 0}, 0, {{blue, {8, 0, 0}}}, 8, 3, 1},
-      {"rounding doesn't cost a task", {blue, 0, 0.3 + 2, 0, 0}, 0, {{blue, {0.1 + 0.2, 0, 0}}}, 0, 0, 2},
+      {"released tasks are already charged", {blue, 0, 8, 0, 0}, 0, {{blue, {8, 0, 0}}}, 8, 3, 3},
+      {"usage beyond the limit: only some released tasks are granted again",
+       {blue, 0, 6, 0, 0},
+       0,
+       {{blue, {8, 0, 0}}},
+       8,
+       3,
+       1},
+      {"a rounding error doesn't reduce the number of tasks",
+       {blue, 0, 0.3 + 2, 0, 0},
+       0,
+       {{blue, {0.1 + 0.2, 0, 0}}},
+       0,
+       0,
+       2},
   };
   for (const auto& test_case : cases) {
     QuotaLedger ledger({test_case.settings});
-    auto entry = entry_of(10, test_case.gpus_each);
+    auto entry = make_entry(10, test_case.gpus_each);
     entry.charged_tasks = test_case.charged;
     entry.released_by_message_tasks = test_case.released_by_message;
-    EXPECT_EQ(ledger.allowed_tasks(entry, test_case.usage), test_case.allowed) << test_case.what;
+    EXPECT_EQ(ledger.allowed_tasks(entry, test_case.usage), test_case.allowed) << test_case.description;
   }
 }
 
-TEST(QuotaLedger, ReleaseUndoesCharge) {
+TEST(QuotaLedger, ReleaseReversesCharge) {
   QuotaLedger ledger({team("blue", 0, 8)});
-  auto first = entry_of(10), second = entry_of(10);
+  auto first = make_entry(10), second = make_entry(10);
   first.charged_tasks = 3;
   second.charged_tasks = 4;
   ledger.charge(first);
@@ -67,16 +85,16 @@
   EXPECT_EQ(ledger.usage().of(Team("blue")), (Resources{4, 0, 4}));
 }
 
-// What a job that is over released by message only isn't charged: the team's grants rely on those messages
-// until the job's key is deleted.
-TEST(QuotaLedger, GrantsDependOnTheTermsBehindUnchargedReleases) {
+// Tasks of a job in a terminal state aren't charged once their release is reported by message. The team's
+// grants therefore depend on the terms of the reporting leaders until the job's key is deleted.
+TEST(QuotaLedger, GrantsDependOnTermsOfUnrecordedReleasesOfTerminatedJobs) {
   QuotaLedger ledger({});
-  auto waiting = entry_of(10), ended = entry_of(10);
+  auto waiting = make_entry(10), ended = make_entry(10);
   EXPECT_TRUE(ledger.required_terms(waiting).empty());
   waiting.released_by_message = {ShardId(1)};
   EXPECT_EQ(ledger.required_terms(waiting), std::set{ShardId(1)});
   ended.released_by_message = {ShardId(2), ShardId(3)};
-  ledger.charge(ended);  // not over yet: its tasks stay charged
+  ledger.charge(ended);  // not in a terminal state, so that its tasks stay charged
   EXPECT_EQ(ledger.required_terms(waiting), std::set{ShardId(1)});
   ledger.release(ended);
   ended.terminal_state = TerminalState::kCancelled;
@@ -85,12 +103,13 @@
   ledger.release(ended);
   EXPECT_EQ(ledger.required_terms(waiting), std::set{ShardId(1)});
 }
-// ---- The scheduler as a whole
 
-// Found on a simulated day when nine of ten changes in the state store were progress, and its rate limit
-// delayed everything else: what shard leaders report counts at once. What it may count for is the point of
-// each step.
-TEST(Quota, ReportsCountAtOnceAsFarAsIsSafe) {
+// ---- The whole scheduler
+
+// In a simulated day, nine of ten changes in the state store were progress, and the store's rate limit
+// delayed all other writes. Reports of shard leaders therefore take effect before they are recorded. Each
+// step checks which effects are safe.
+TEST(Quota, ReportsTakeEffectBeforeTheyAreRecordedWhereSafe) {
   auto report = [](std::uint64_t term, Ranges done, Ranges released) {
     return protocol::ProgressReport{
         ShardId(0), Term(term), {{JobId("run-1"), done, {{Generation(1), released}}}}};
@@ -99,46 +118,48 @@
   fixture.scheduler.on_terms({{ShardId(0), Term(1)}, {ShardId(1), Term(1)}});
   fixture.job("run-1", 10);
   fixture.commit(fixture.run_round(1, {{0, capacity(10)}, {1, {}}}), 1);
-  auto pending = [&](double time) { return fixture.scheduler.demand(at(time)); };
-  EXPECT_TRUE(pending(1).empty());
-  // Not the shard's present term: the shard leader may have been replaced, and the next one start the tasks.
+  auto demand_at = [&](double time) { return fixture.scheduler.demand(at(time)); };
+  EXPECT_TRUE(demand_at(1).empty());
+  // The report isn't of the shard's current term. That leader may have been replaced, and the next one may
+  // start the tasks.
   fixture.scheduler.on_progress_report(report(2, {}, Ranges::span(5, 10)), at(2));
   fixture.publish("run-1", 2);
-  EXPECT_TRUE(pending(2).empty());
+  EXPECT_TRUE(demand_at(2).empty());
   fixture.scheduler.on_progress_report(report(1, Ranges::span(0, 2), Ranges::span(5, 10)), at(2));
   fixture.publish("run-1", 3);
-  ASSERT_EQ(pending(3).size(), 1u);
-  EXPECT_EQ(pending(3)[0].resource_request.wanted, 5u);
-  // Granted anew though all ten are still charged: these five are charged already. The write is conditional
-  // on the shard leader's term, and retains what the shard leader has yet to record as done.
+  ASSERT_EQ(demand_at(3).size(), 1u);
+  EXPECT_EQ(demand_at(3)[0].resource_request.wanted, 5u);
+  // Five tasks are granted again although all ten are still charged, because these five are among them. The
+  // write is conditional on the shard leader's term, and retains the tasks that the shard leader has yet to
+  // record as done.
   auto grants = fixture.run_round(4, {{0, {}}, {1, capacity(10)}});
   ASSERT_EQ(grants.size(), 1u);
   EXPECT_EQ(grants[0].depends_on_shards, std::set<ShardId>{ShardId(0)});
   EXPECT_EQ(SchedulerFixture::by_shard(grants[0]), (std::map<std::uint32_t, std::uint32_t>{{0, 5}, {1, 5}}));
-  // Other jobs get the quota of done tasks, not of tasks released by message only.
+  // Other jobs may use the quota of done tasks, but not of tasks whose release is only reported by message.
   fixture.scheduler.on_granted(grants, std::nullopt, at(7));
   fixture.job("run-2", 5);
-  ASSERT_EQ(pending(8).size(), 2u);
-  EXPECT_EQ(pending(8)[1].resource_request.wanted, 2u);
-  // The shard leader changes: reported releases count no more, what is done stays done.
+  ASSERT_EQ(demand_at(8).size(), 2u);
+  EXPECT_EQ(demand_at(8)[1].resource_request.wanted, 2u);
+  // When the shard leader changes, reported releases become invalid, but completed tasks stay done.
   auto again = fixture.scheduler.on_terms({{ShardId(0), Term(2)}, {ShardId(1), Term(1)}});
   EXPECT_EQ(again, std::vector<JobId>{JobId("run-1")});
   fixture.publish("run-1", 9);
-  ASSERT_EQ(pending(9).size(), 1u);
-  EXPECT_EQ(pending(9)[0].resource_request.wanted, 2u);
+  ASSERT_EQ(demand_at(9).size(), 1u);
+  EXPECT_EQ(demand_at(9)[0].resource_request.wanted, 2u);
   fixture.scheduler.on_progress_report(report(2, Ranges::span(2, 10), {}), at(2));
   fixture.publish("run-1", 10);
   EXPECT_EQ(fixture.scheduler.completed(), std::vector<JobId>{JobId("run-1")});
-  // Over: nobody starts any of its tasks again, so its quota is free.
+  // Tasks of a job in a terminal state are never started again, so that its quota is free.
   fixture.publish("run-1", 11, TerminalState::kDone);
   EXPECT_EQ(fixture.scheduler.collectable(), std::vector<JobId>{JobId("run-1")});
-  ASSERT_EQ(pending(12).size(), 1u);
-  EXPECT_EQ(pending(12)[0].resource_request.wanted, 5u);
+  ASSERT_EQ(demand_at(12).size(), 1u);
+  EXPECT_EQ(demand_at(12)[0].resource_request.wanted, 5u);
 }
 
-// Found by the simulation, seed 1366: the new leader of a shard released tasks that the one before it had
+// Found by the simulation, seed 1366: the new leader of a shard released tasks that the previous leader had
 // reported as done.
-TEST(Quota, DoneTasksThatAreReleasedAllTheSameAreNotCharged) {
+TEST(Quota, DoneTasksThatALaterLeaderReleasesAreNotCharged) {
   SchedulerFixture fixture(6);
   fixture.scheduler.on_terms({{ShardId(0), Term(1)}, {ShardId(1), Term(1)}});
   fixture.job("run-1", 6);
@@ -154,8 +175,8 @@
   EXPECT_EQ(fixture.scheduler.demand(at(3))[0].resource_request.wanted, 3u);
 }
 
-// The same seed: 8 are charged, 3 of them released, and the limit is 6.
-TEST(Quota, BeyondTheLimitReleasedTasksAreGrantedAnewOnlyInPart) {
+// Found by the simulation, seed 1366: 8 tasks are charged, 3 of them are released, and the limit is 6.
+TEST(Quota, ReleasedTasksBeyondTheLimitAreNotAllGrantedAgain) {
   SchedulerFixture fixture(6);
   fixture.scheduler.on_terms({{ShardId(0), Term(1)}, {ShardId(1), Term(1)}});
   auto& job = fixture.job("run-1", 8);
@@ -186,7 +207,7 @@
   EXPECT_EQ(granted, 6u);
   fixture.commit(grants, 1);
   EXPECT_TRUE(fixture.run_round(2, {{0, capacity(100)}, {1, capacity(100)}}).empty());
-  // A cancelled job still counts until its tasks are released.
+  // The tasks of a cancelled job are charged until they are released.
   auto first = grants[0].job.value();
   fixture.publish(first.c_str(), 3, TerminalState::kCancelled);
   EXPECT_TRUE(fixture.run_round(4, {{0, capacity(100)}, {1, capacity(100)}}).empty());
@@ -198,54 +219,55 @@
   EXPECT_FALSE(fixture.run_round(6, {{0, capacity(100)}, {1, capacity(100)}}).empty());
 }
 
-// Found by the simulation, seed 24: a transaction without an answer was committed after the next one, which
-// granted the team's remaining quota to another job as well.
-TEST(Quota, AnIndeterminateGrantIsSupersededByTheNext) {
+// Found by the simulation, seed 24: a transaction whose outcome was unknown was committed after the next one.
+// The next one had granted the team's remaining quota to another job as well.
+TEST(Quota, IndeterminateGrantIsSupersededByTheNextTransaction) {
   SchedulerFixture fixture(6);
   fixture.job("run-1", 10);
-  auto lost = fixture.run_round(1, {{0, capacity(100)}});
-  ASSERT_EQ(lost.size(), 0u);  // shard 1 is waited for
-  lost = fixture.scheduler.decide(at(4), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}}).value();
-  ASSERT_EQ(lost.size(), 1u);
-  fixture.scheduler.on_granted(lost, std::nullopt, at(5));
+  auto indeterminate = fixture.run_round(1, {{0, capacity(100)}});
+  ASSERT_EQ(indeterminate.size(), 0u);  // The round waits for shard 1.
+  indeterminate = fixture.scheduler.decide(at(4), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}}).value();
+  ASSERT_EQ(indeterminate.size(), 1u);
+  fixture.scheduler.on_granted(indeterminate, std::nullopt, at(5));
   fixture.job("run-2", 10, [](auto& spec) { spec.priority = Priority::kHigh; });
   auto next = fixture.run_round(6, {{0, capacity(100)}, {1, capacity(100)}});
-  auto of = [&](const char* id) {
+  auto find_grant = [&](const char* id) {
     return std::find_if(next.begin(), next.end(), [&](const auto& grant) { return grant.job == JobId(id); });
   };
-  ASSERT_NE(of("run-2"), next.end());
-  ASSERT_NE(of("run-1"), next.end());  // superseded, with no task: the limit is used up
-  EXPECT_EQ(of("run-1")->expected, lost[0].expected);
-  EXPECT_TRUE(of("run-1")->grants.chunks.empty());
+  ASSERT_NE(find_grant("run-2"), next.end());
+  ASSERT_NE(find_grant("run-1"), next.end());  // superseded without tasks, because the limit is used up
+  EXPECT_EQ(find_grant("run-1")->expected, indeterminate[0].expected);
+  EXPECT_TRUE(find_grant("run-1")->grants.chunks.empty());
   fixture.commit(next, 6);
-  // It can't be committed any more.
+  // The superseded transaction can no longer be committed.
   EXPECT_TRUE(fixture.run_round(8, {{0, capacity(100)}, {1, capacity(100)}}).empty());
 }
 
-TEST(Quota, AnIndeterminateGrantIsDroppedOnceItCannotBeCommitted) {
+TEST(Quota, IndeterminateGrantIsDiscardedOnceItCanNoLongerBeCommitted) {
   SchedulerFixture fixture(20);
   fixture.job("run-1", 4);
-  auto lost = fixture.run_round(1, {{0, capacity(100)}, {1, capacity(100)}});
-  ASSERT_EQ(lost.size(), 1u);
-  fixture.scheduler.on_granted(lost, std::nullopt, at(2));
-  fixture.publish("run-1", 3, TerminalState::kCancelled);  // a condition of it
+  auto indeterminate = fixture.run_round(1, {{0, capacity(100)}, {1, capacity(100)}});
+  ASSERT_EQ(indeterminate.size(), 1u);
+  fixture.scheduler.on_granted(indeterminate, std::nullopt, at(2));
+  fixture.publish("run-1", 3, TerminalState::kCancelled);  // The transaction is conditional on this state.
   fixture.job("run-2", 4);
   auto next = fixture.run_round(4, {{0, capacity(100)}, {1, capacity(100)}});
   ASSERT_EQ(next.size(), 1u);
   EXPECT_EQ(next[0].job, JobId("run-2"));
 }
 
-// More than a transaction holds: they are settled first, without granting anything beside them.
-TEST(Quota, ManyIndeterminateGrantsAreSettledFirst) {
+// If there are more indeterminate grants than one transaction may contain, they are superseded first, without
+// other grants in the same transaction.
+TEST(Quota, ManyIndeterminateGrantsAreSupersededBeforeOtherGrants) {
   SchedulerFixture fixture;
-  std::set<JobId> lost;
+  std::set<JobId> indeterminate;
   for (int i = 0; i < 10; ++i) {
     auto id = "run-" + std::to_string(100 - i);
     fixture.job(id.c_str(), 1,
                 [&](auto& spec) { spec.priority = i < 5 ? Priority::kNormal : Priority::kHigh; });
     auto grants = fixture.run_round(i * 10, {{0, capacity(100)}, {1, capacity(100)}});
     ASSERT_FALSE(grants.empty());
-    for (auto& grant : grants) lost.insert(grant.job);
+    for (auto& grant : grants) indeterminate.insert(grant.job);
     fixture.scheduler.on_granted(grants, std::nullopt, at(i * 10 + 5));
     fixture.publish(id.c_str(), i * 10 + 6);
   }
--- a/tests/scheduler_values_test.cpp
+++ b/tests/scheduler_values_test.cpp
@@ -1,4 +1,4 @@
-// The scheduler's value types: amounts by team, shard and zone, and what is known of the shards.
+// Tests the scheduler's value types: amounts by team, shard and zone, and the terms and summaries of shards.
 #include <gtest/gtest.h>
 
 #include "scheduler/reserved_cpus.h"
@@ -10,10 +10,10 @@
 namespace beaconsill::scheduler {
 namespace {
 
-const ShardId kFirst(0);
-const ShardId kSecond(1);
+const ShardId kFirstShard(0);
+const ShardId kSecondShard(1);
 
-TEST(TeamUsage, IsTheSumOfChargesLessReleases) {
+TEST(TeamUsage, EqualsChargesMinusReleases) {
   TeamUsage usage({{Team("blue"), {1, 0, 2}}});
   usage.charge(Team("blue"), {4, 1, 8});
   usage.charge(Team("red"), {16, 0, 16});
@@ -26,7 +26,7 @@
   EXPECT_EQ(TeamUsage().of(Team("blue")), Resources{});
 }
 
-TEST(TeamUsage, ACopyIsChargedByItself) {
+TEST(TeamUsage, ChargingACopyDoesNotChangeTheOriginal) {
   const TeamUsage usage({{Team("blue"), {1, 0, 1}}});
   auto planned = usage;
   planned.charge(Team("blue"), {1, 0, 1});
@@ -34,22 +34,22 @@
   EXPECT_EQ(planned.of(Team("blue")), (Resources{2, 0, 2}));
 }
 
-TEST(ShardTerms, OnlyTheTermThatWasSetLastIsCurrent) {
-  ShardTerms terms{{kFirst, Term(2)}};
-  terms.set(kFirst, Term(3));
-  EXPECT_EQ(terms.at(kFirst), Term(3));
-  EXPECT_TRUE(terms.is_current(kFirst, Term(3)));
-  EXPECT_FALSE(terms.is_current(kFirst, Term(2)));
-  EXPECT_FALSE(terms.is_current(kFirst, Term(4)));
-  EXPECT_FALSE(terms.is_current(kSecond, Term(3)));  // has no leader
-  EXPECT_FALSE(terms.is_current(kSecond, Term()));
+TEST(ShardTerms, OnlyTheLastSetTermIsCurrent) {
+  ShardTerms terms{{kFirstShard, Term(2)}};
+  terms.set(kFirstShard, Term(3));
+  EXPECT_EQ(terms.at(kFirstShard), Term(3));
+  EXPECT_TRUE(terms.is_current(kFirstShard, Term(3)));
+  EXPECT_FALSE(terms.is_current(kFirstShard, Term(2)));
+  EXPECT_FALSE(terms.is_current(kFirstShard, Term(4)));
+  EXPECT_FALSE(terms.is_current(kSecondShard, Term(3)));  // The second shard has no leader.
+  EXPECT_FALSE(terms.is_current(kSecondShard, Term()));
 }
 
-TEST(ShardTerms, AreEqualIfAllShardsHaveTheSameTerms) {
-  const ShardTerms terms{{kFirst, Term(2)}, {kSecond, Term(1)}};
-  EXPECT_EQ(terms, (ShardTerms{{kSecond, Term(1)}, {kFirst, Term(2)}}));
-  EXPECT_NE(terms, (ShardTerms{{kFirst, Term(2)}}));
-  EXPECT_NE(terms, (ShardTerms{{kFirst, Term(2)}, {kSecond, Term(2)}}));
+TEST(ShardTerms, EqualIfAllShardsHaveTheSameTerms) {
+  const ShardTerms terms{{kFirstShard, Term(2)}, {kSecondShard, Term(1)}};
+  EXPECT_EQ(terms, (ShardTerms{{kSecondShard, Term(1)}, {kFirstShard, Term(2)}}));
+  EXPECT_NE(terms, (ShardTerms{{kFirstShard, Term(2)}}));
+  EXPECT_NE(terms, (ShardTerms{{kFirstShard, Term(2)}, {kSecondShard, Term(2)}}));
 }
 
 protocol::Summary summary(ShardId shard, std::uint64_t term, std::uint64_t seen) {
@@ -60,32 +60,34 @@
   return summary;
 }
 
-TEST(ShardSummaries, KeepTheLatestOfTheHighestTerm) {
+TEST(ShardSummaries, StoresTheLatestSummaryOfTheHighestTerm) {
   struct Case {
-    const char* what;
-    std::uint64_t term;  // of a summary after one of term 2
-    bool kept;
+    const char* description;
+    std::uint64_t term;  // term of a summary that arrives after one of term 2
+    bool stored;
   };
-  const Case cases[] = {
-      {"an earlier leader's", 1, false}, {"the same leader's", 2, true}, {"a later leader's", 3, true}};
+  const Case cases[] = {{"summary of an earlier leader", 1, false},
+                        {"summary of the same leader", 2, true},
+                        {"summary of a later leader", 3, true}};
   for (const auto& test_case : cases) {
     ShardSummaries summaries;
-    summaries.update(summary(kFirst, 2, 10));
-    summaries.update(summary(kFirst, test_case.term, 11));
-    ASSERT_NE(summaries.find(kFirst), nullptr) << test_case.what;
-    EXPECT_EQ(summaries.find(kFirst)->seen, Revision(test_case.kept ? 11 : 10)) << test_case.what;
-    EXPECT_EQ(summaries.find(kSecond), nullptr) << test_case.what;
+    summaries.update(summary(kFirstShard, 2, 10));
+    summaries.update(summary(kFirstShard, test_case.term, 11));
+    ASSERT_NE(summaries.find(kFirstShard), nullptr) << test_case.description;
+    EXPECT_EQ(summaries.find(kFirstShard)->seen, Revision(test_case.stored ? 11 : 10))
+        << test_case.description;
+    EXPECT_EQ(summaries.find(kSecondShard), nullptr) << test_case.description;
   }
 }
 
-TEST(ReservedCpus, AreSummedForEachShard) {
-  ReservedCpus reserved{{kFirst, 1}};
-  reserved.add(kFirst, 2);
-  EXPECT_EQ(reserved.on(kFirst), 3);
-  EXPECT_EQ(reserved.on(kSecond), 0);
+TEST(ReservedCpus, SumsCpusForEachShard) {
+  ReservedCpus reserved{{kFirstShard, 1}};
+  reserved.add(kFirstShard, 2);
+  EXPECT_EQ(reserved.on(kFirstShard), 3);
+  EXPECT_EQ(reserved.on(kSecondShard), 0);
 }
 
-TEST(TasksByZone, AreSummedForEachZone) {
+TEST(TasksByZone, SumsTasksForEachZone) {
   TasksByZone tasks{{Zone("b"), 1}};
   tasks.add(Zone("b"), 2);
   tasks.add(Zone("c"), 1);
@@ -93,7 +95,7 @@
   EXPECT_EQ(tasks.in(Zone("a")), 0u);
 }
 
-TEST(TasksByZone, TheFirstZoneIsTheLeastByName) {
+TEST(TasksByZone, FirstZoneIsTheAlphabeticallyFirstAddedZone) {
   TasksByZone tasks;
   EXPECT_EQ(tasks.first_zone(), std::nullopt);
   tasks.add(Zone("b"), 1);
