--- a/src/api/cancellation.cpp
+++ b/src/api/cancellation.cpp
@@ -36,7 +36,7 @@
                              const state_store::TxnResult& result) const {
   using state_store::TxnError;
   if (result) {
-    context_.reader->apply_own(txn, *result);
+    context_.reader->apply_own_txn(txn, *result);
     reply(status_.status_response(id, protocol::JobState::kCancelled));
     return context_.hooks.on_change(*result);
   }
--- a/src/api/submission.cpp
+++ b/src/api/submission.cpp
@@ -96,7 +96,7 @@
   state_store::JobRecord record{std::make_shared<const protocol::JobSpec>(std::move(spec)),
                                 context_.clock.wall()};
   const auto max_bytes = std::min(context_.settings.value_bytes(), state_store::kMaxValueBytes);
-  auto values = state_store::fit_job(std::move(record), max_bytes);
+  auto values = state_store::split_job_record(std::move(record), max_bytes);
   if (!values)
     return reply({net::status::kUnprocessableContent,
                   protocol::render_error("its record is larger than the state service takes")});
@@ -123,7 +123,7 @@
   // What is written by now is there when the user repeats the request.
   context_.commit(draft.txn(), [this, values, reply, txn = draft.txn()](const TxnResult& result) {
     if (!result) return reply(retry_later(kStateUnknown));
-    context_.reader->apply_own(txn, *result);
+    context_.reader->apply_own_txn(txn, *result);
     write_job(values, reply);
   });
 }
@@ -144,7 +144,7 @@
 void Submission::on_record_result(const protocol::Txn& txn, const JobId& id, const Reply& reply,
                                   const TxnResult& result) const {
   if (result) {
-    context_.reader->apply_own(txn, *result);
+    context_.reader->apply_own_txn(txn, *result);
     spdlog::debug("job_accepted job={} revision={}", id.value(), result->value());
     context_.hooks.on_change(*result);
     return reply_accepted(id, reply);
@@ -154,7 +154,7 @@
     case TxnError::kUnknown:
       // Known already, or no response: what is stored decides.
       return context_.read_now([this, id, reply](bool fresh) { reply_known(id, fresh, reply); });
-    case TxnError::kRefused:
+    case TxnError::kNotExecuted:
     case TxnError::kRejected:
       return reply(retry_later(kUnreachable));
   }
--- a/src/controller/garbage_collector.cpp
+++ b/src/controller/garbage_collector.cpp
@@ -28,7 +28,7 @@
   auto leader = leadership_.still_leader();
   auto spare_writes = ctx_.store->spare_writes();
   if (!leader || !collecting_.empty() || spare_writes == 0) return;
-  state_store::TxnDraft draft(std::min({ctx_.store->sizes().txn_ops(), kMaxDeletedKeys, spare_writes}));
+  state_store::TxnDraft draft(std::min({ctx_.store->size_limits().txn_ops(), kMaxDeletedKeys, spare_writes}));
   draft.require(*leader);
   for (const auto& id : leadership_.scheduler().collectable())
     if (delete_job_keys(id, draft) == DraftState::kFull) break;
@@ -37,7 +37,7 @@
   if (draft.empty()) return;
   auto done = [this, txn = draft.txn()](state_store::TxnResult result) {
     if (result) {
-      ctx_.watch_cache->apply_own(txn, *result);
+      ctx_.watch_cache->apply_own_txn(txn, *result);
       collecting_.clear();
       return;
     }
@@ -57,7 +57,7 @@
   for (const auto& [shard, progress] : job->progress)
     keys.push_back({state_store::progress_key(shard, id), progress.revision});
   keys.push_back({state_store::job_key(id), job->created});
-  keys.resize(std::min(keys.size(), ctx_.store->sizes().txn_ops()));
+  keys.resize(std::min(keys.size(), ctx_.store->size_limits().txn_ops()));
   std::vector<protocol::Write> deletions;
   deletions.reserve(keys.size());
   for (const auto& condition : keys) deletions.push_back({condition.key, std::nullopt, std::nullopt});
--- a/src/controller/grant_writer.cpp
+++ b/src/controller/grant_writer.cpp
@@ -49,7 +49,7 @@
       spdlog::debug("tasks_granted job={} shard={} count={} preempt={}", grant.job.value(),
                     chunk.shard.value(), chunk.tasks.count(), chunk.preempt);
   leadership_.scheduler().on_granted(grants, revision, ctx_.now());
-  ctx_.watch_cache->apply_own(txn, revision);
+  ctx_.watch_cache->apply_own_txn(txn, revision);
   messenger_.broadcast(protocol::ChangeNotification{revision});
   on_written_();
 }
@@ -57,7 +57,7 @@
 // The state store refuses values beyond its limit, and with them the whole transaction.
 void GrantWriter::drop_oversized(Grants& grants) const {
   auto max_bytes =
-      static_cast<std::size_t>(static_cast<double>(ctx_.store->sizes().value_bytes()) * kValueShare);
+      static_cast<std::size_t>(static_cast<double>(ctx_.store->size_limits().value_bytes()) * kValueShare);
   bool superseding_dropped = false;
   std::erase_if(grants, [&](auto& grant) {
     const auto* job = ctx_.view().job(grant.job);
@@ -82,7 +82,7 @@
                              std::size_t max_bytes) const {
   if (grant.grants.revoke || grant.grants.last <= recorded)
     return state_store::value_bytes(state_store::to_json(grant.grants)) <= max_bytes;
-  return state_store::fit_grants(grant.grants, recorded, max_bytes);
+  return state_store::truncate_grants(grant.grants, recorded, max_bytes);
 }
 
 // Leaves out grants beyond what a transaction holds: they come with the next round. Superseding writes come
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -166,7 +166,7 @@
   state.vacant_since.reset();
   state.acquired_term = term;
   spdlog::info("role_acquired role={} term={}", state.key, term.value());
-  ctx_.watch_cache->apply_own(txn, revision);
+  ctx_.watch_cache->apply_own_txn(txn, revision);
   if (!state.acquired_term) return;  // lost again within the call above
   if (state.shard) {
     hooks_.acquire_shard(*state.shard, term);
@@ -191,7 +191,7 @@
   state.writing = true;
   auto done = [this, &state, txn](state_store::TxnResult result) {
     state.writing = false;
-    if (result) ctx_.watch_cache->apply_own(txn, *result);
+    if (result) ctx_.watch_cache->apply_own_txn(txn, *result);
   };
   ctx_.store->txn(txn, state_store::Urgency::kElection, std::move(done));
 }
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -54,7 +54,7 @@
 std::size_t Leadership::max_changes_per_txn() const {
   const auto rate = std::min(ctx_.settings.state_write_rps, ctx_.settings.next_state_write_rps);
   const auto changes = static_cast<std::size_t>(rate * kLeaderShareOfChanges * kMaxTxnSeconds);
-  return std::min(ctx_.store->sizes().txn_ops(), std::max(kMinChangesPerTxn, changes));
+  return std::min(ctx_.store->size_limits().txn_ops(), std::max(kMinChangesPerTxn, changes));
 }
 
 }  // namespace beaconsill::controller
--- a/src/controller/liveness_lease.cpp
+++ b/src/controller/liveness_lease.cpp
@@ -77,7 +77,7 @@
     if (result == tl::unexpected(state_store::TxnError::kRejected)) lease_.reset();  // expired meanwhile
     if (!result) return;
     liveness_written_ = true;
-    ctx_.watch_cache->apply_own(txn, *result);
+    ctx_.watch_cache->apply_own_txn(txn, *result);
   };
   ctx_.store->txn(txn, state_store::Urgency::kElection, std::move(done));
 }
--- a/src/controller/progress_writer.cpp
+++ b/src/controller/progress_writer.cpp
@@ -53,7 +53,7 @@
 
 // What the leader knows may wait until nothing else needs the writes.
 std::size_t ProgressWriter::max_jobs_per_txn(bool leader_notified) const {
-  auto max_jobs = std::min(ctx_.store->sizes().txn_ops(), kMaxJobsPerTxn);
+  auto max_jobs = std::min(ctx_.store->size_limits().txn_ops(), kMaxJobsPerTxn);
   return leader_notified ? std::min(max_jobs, ctx_.store->spare_writes()) : max_jobs;
 }
 
@@ -61,11 +61,11 @@
                                         state_store::TxnDraft& draft) const {
   const auto* record = ctx_.view().job(job);
   if (!record) return DraftState::kOpen;
-  auto max_bytes = ctx_.store->sizes().value_bytes();
+  auto max_bytes = ctx_.store->size_limits().value_bytes();
   auto found = record->progress.find(id);
   auto recorded =
       found == record->progress.end() ? state_store::Versioned<state_store::Progress>{} : found->second;
-  auto value = state_store::fit_progress(recorded.value, progress, max_bytes);
+  auto value = state_store::truncate_progress(recorded.value, progress, max_bytes);
   auto json = state_store::to_json(value);
   // Written under a higher limit: it gets shorter as the rest of the tasks end.
   if (value == recorded.value || state_store::value_bytes(json) > max_bytes) return DraftState::kOpen;
@@ -81,7 +81,7 @@
   auto done = [this, finish, txn](state_store::TxnResult result) {
     if (result) {
       finish();
-      ctx_.watch_cache->apply_own(txn, *result);
+      ctx_.watch_cache->apply_own_txn(txn, *result);
       messenger_.broadcast(protocol::ChangeNotification{*result});
       return;
     }
--- a/src/controller/registry_sync.cpp
+++ b/src/controller/registry_sync.cpp
@@ -36,7 +36,7 @@
   const auto& role = ctx_.view().shard_role(id);
   auto term = shard.manager->term();
   if (!shard.registry_read || !role.exists() || role.value.term != term) return;
-  const auto& sizes = ctx_.store->sizes();
+  const auto& sizes = ctx_.store->size_limits();
   auto txn =
       state_store::registry_txn(ctx_.view(), id, shard.manager->registry_buckets_to_write(),
                                 ctx_.partitioning.controllers(), {sizes.txn_ops(), sizes.value_bytes()});
@@ -48,7 +48,7 @@
   auto done = [this, finish, txn = *txn](state_store::TxnResult result) {
     if (result) {
       finish();
-      ctx_.watch_cache->apply_own(txn, *result);
+      ctx_.watch_cache->apply_own_txn(txn, *result);
       return;
     }
     ctx_.watch_cache->sync([finish](bool) { finish(); });
--- a/src/controller/terminal_record_writer.cpp
+++ b/src/controller/terminal_record_writer.cpp
@@ -51,7 +51,7 @@
   in_progress_.insert(ids.begin(), ids.end());
   ctx_.watch_cache->commit(txn, urgency, [this, txn, ids](state_store::TxnResult result) {
     if (result) {
-      ctx_.watch_cache->apply_own(txn, *result);
+      ctx_.watch_cache->apply_own_txn(txn, *result);
       messenger_.broadcast(protocol::ChangeNotification{*result});
       finish(ids);
       return;
--- a/src/controller/version_recorder.cpp
+++ b/src/controller/version_recorder.cpp
@@ -53,7 +53,7 @@
     if (result) {
       writing_ = false;
       spdlog::info("versions_recorded known_by_all={}", known_by_all);
-      ctx_.watch_cache->apply_own(txn, *result);
+      ctx_.watch_cache->apply_own_txn(txn, *result);
       return;
     }
     ctx_.watch_cache->sync([this](bool) { writing_ = false; });
--- a/src/state_store/access.h
+++ b/src/state_store/access.h
@@ -1,5 +1,5 @@
-// What the users' endpoints need of the state store, as interfaces: they run in tests without sockets. All
-// calls and callbacks are made on one thread.
+// Interfaces through which the user-facing HTTP endpoints read and write the state store. Tests implement
+// them without sockets. All calls and callbacks are made on one thread.
 #pragma once
 
 #include <cstddef>
@@ -12,53 +12,58 @@
 
 namespace beaconsill::state_store {
 
-// The most urgent first.
+// Priority classes of requests to the state store, the most urgent first.
 enum class Urgency { kElection, kUserRequest, kBackground, kGarbageCollection };
-constexpr std::size_t kUrgencies = 4;
+constexpr std::size_t kUrgencyCount = 4;
 
-// How long a request waits for its share of the rate limits before it's refused.
+// Default for the longest time that a request waits in the queue for the rate limits before it is refused.
 constexpr Duration kQueueWait = std::chrono::milliseconds(2500);
 
-// Why a transaction isn't known to be applied.
+// Why a transaction is not known to have been applied.
 enum class TxnError {
-  kConflict,  // 409: nothing was changed
-  kRefused,   // not executed: an outage, a limit, or not sent in time
-  kUnknown,   // no response, or none that is understood: it may have been executed, or may still be
-  kRejected,  // any other status, such as 400 for its size or 404 for its lease
+  kConflict,     // 409: a condition did not hold, and nothing was changed
+  kNotExecuted,  // an outage, a rate limit, or not sent within the queue wait: nothing was changed
+  kUnknown,      // no response or a malformed one: it may have been executed, or may be executed later
+  kRejected,     // any other status, such as 400 for its size or 404 for its lease
 };
 
-// The revision of the changes.
+// The revision under which the transaction's writes were applied, or why it is not known to be applied.
 using TxnResult = tl::expected<Revision, TxnError>;
 
-// Carries out transactions.
+// Executes transactions on the state store.
 class TxnExecutor {
  public:
   virtual ~TxnExecutor() = default;
   virtual void txn(protocol::Txn txn, Urgency urgency, std::function<void(TxnResult)> done) = 0;
-  // How long a change of this urgency would wait now: the measure of overload.
+  // Estimates how long a transaction of this urgency that is submitted now would wait for the write rate
+  // limit. Serves as the measure of overload.
   virtual Duration write_wait(Urgency urgency) const = 0;
 };
 
-// A view of the state store's content that can be brought up to date.
+// A local view of the state store's content that can be brought up to date on demand.
 class StateReader {
  public:
   virtual ~StateReader() = default;
   virtual const StateView& view() const = 0;
-  // The view holds all changes that were made before this time; none until everything was read once.
+  // The view contains all changes that were made before the returned time. Returns std::nullopt until the
+  // whole content has been read once.
   virtual std::optional<Instant> up_to_date_at() const = 0;
-  // Everything was read since the process began.
+  // Returns whether the whole content has been read.
   virtual bool ready() const = 0;
-  // Calls back once the view holds all that was written before this call; false: could not be read.
+  // Brings the view up to date. Calls `done` with true once the view contains everything that was written
+  // before this call, and with false if the read failed.
   virtual void sync(std::function<void(bool)> done) = 0;
-  // False while a read could not be answered soon: the service refuses this controller, or holds a read back.
+  // Returns false while a read is not expected to be answered soon: the state store refuses this controller's
+  // requests, or has not answered the current read for some time.
   virtual bool is_responsive() const = 0;
-  // Sends a transaction, or refuses it if that takes longer than `queue_wait`. If its response is late, reads
-  // tell whether it was applied; `done` is called with the first that is known. Without either it may still
+  // Sends a transaction, or fails it with TxnError::kNotExecuted if it can't be sent within `queue_wait`. If
+  // the response is late, the changes read from the state store may show that the transaction was applied;
+  // `done` is called with the first result that is available. If neither arrives, the transaction may still
   // be applied later (TxnError::kUnknown).
   virtual void commit(protocol::Txn txn, Urgency urgency, std::function<void(TxnResult)> done,
                       Duration queue_wait) = 0;
-  // A change that this controller itself made, under this revision.
-  virtual void apply_own(const protocol::Txn& txn, Revision revision) = 0;
+  // Applies to the view a transaction of this controller that the state store applied under `revision`.
+  virtual void apply_own_txn(const protocol::Txn& txn, Revision revision) = 0;
 };
 
 }  // namespace beaconsill::state_store
--- a/src/state_store/bucket_plan.cpp
+++ b/src/state_store/bucket_plan.cpp
@@ -17,14 +17,15 @@
   return kBytes;
 }
 
-// Text that JSON writes as it is, between quotes.
+// Returns whether the JSON encoding of `text` is the same text between quotes.
 bool needs_no_escape(const std::string& text) {
   return std::all_of(text.begin(), text.end(), [](char character) {
     return character >= ' ' && character <= '~' && character != '"' && character != '\\';
   });
 }
 
-// Bytes of a record with its comma beside its four texts. Each text of the example has one byte.
+// Bytes of an encoded record and its comma, without the contents of its four strings. Each string of the
+// example has one byte.
 std::size_t fixed_record_bytes() {
   static const MachineRecord kExample{MachineName("n"), MachineType("t"), Zone("z"), false, "a", true};
   static const std::size_t kBytes =
@@ -32,8 +33,9 @@
   return kBytes;
 }
 
-// Bytes that a machine takes up in a value, with its comma. Writing JSON to find out is slow, and thousands
-// are reckoned with for each change: what isn't text is the same for all, at most.
+// Bytes that a machine takes up in an encoded value, with its comma. Encoding JSON to measure it is slow, and
+// the sizes of thousands of machines are computed for each change. All fields other than strings are assumed
+// to have the size that they have in the example, which is their maximum.
 std::size_t record_bytes(const MachineRecord& machine) {
   const auto& name = machine.name.value();
   const auto& type = machine.type.value();
@@ -44,11 +46,11 @@
   return fixed_record_bytes() + name.size() + type.size() + zone.size() + machine.address.size();
 }
 
-// A segment while it's being planned.
+// The planned content of a segment.
 struct PlannedSegment {
   std::vector<MachineRecord> machines;
   std::size_t bytes = 0;
-  bool outgrown = false;  // some of its recorded machines have to move to another segment
+  bool oversized = false;  // some of its recorded machines have to move to another segment
 };
 
 class BucketPlan {
@@ -63,13 +65,13 @@
     return segments_.try_emplace(number, PlannedSegment{{}, empty_bytes(), false}).first->second;
   }
   void add(PlannedSegment& segment, const MachineRecord& machine, std::size_t bytes);
-  // The recorded machines that are still wanted stay, as far as they fit.
-  void keep(std::uint32_t number, const std::vector<MachineRecord>& machines);
-  // Puts a machine into the first segment that it fits into. False: into none.
+  // Leaves the recorded machines that are still wanted in their segment, as far as the size limit allows.
+  void retain_recorded(std::uint32_t number, const std::vector<MachineRecord>& machines);
+  // Adds a machine to the first segment that has room for it. Returns false if no segment has room.
   bool place(const MachineRecord& machine);
   bool place_in_new_segment(const MachineRecord& machine, std::size_t bytes);
   bool is_changed(std::uint32_t number, const PlannedSegment& segment) const;
-  bool holds_unplaced(std::uint32_t number) const;
+  bool contains_unplaced(std::uint32_t number) const;
 
   const BucketSegments& recorded_;
   const std::vector<MachineRecord>& wanted_;
@@ -77,17 +79,18 @@
   std::uint32_t max_segments_;
   std::map<MachineName, const MachineRecord*> by_name_;
   std::map<std::uint32_t, PlannedSegment> segments_;
-  std::vector<const MachineRecord*> moving_;
+  std::vector<const MachineRecord*> relocating_;
   std::set<MachineName> placed_;
-  std::set<MachineName> unplaced_;  // recorded in a segment that has outgrown its value, and in no other
+  // Recorded in an oversized segment, and no other segment has room for them.
+  std::set<MachineName> unplaced_;
 };
 
 BucketPlan::BucketPlan(const BucketSegments& recorded, const std::vector<MachineRecord>& wanted,
                        std::size_t max_bytes, std::uint32_t max_segments)
     : recorded_(recorded), wanted_(wanted), max_bytes_(max_bytes), max_segments_(max_segments) {
   for (const auto& machine : wanted_) by_name_[machine.name] = &machine;
-  for (const auto& [number, machines] : recorded_) keep(number, machines);
-  for (const auto* machine : moving_)
+  for (const auto& [number, machines] : recorded_) retain_recorded(number, machines);
+  for (const auto* machine : relocating_)
     if (!placed_.contains(machine->name) && !place(*machine)) unplaced_.insert(machine->name);
   for (const auto& machine : wanted_)
     if (!placed_.contains(machine.name) && !unplaced_.contains(machine.name)) place(machine);
@@ -95,9 +98,9 @@
 
 std::vector<SegmentWrite> BucketPlan::writes() {
   std::vector<SegmentWrite> writes;
-  for (bool outgrown : {false, true})
+  for (bool oversized : {false, true})
     for (auto& [number, planned] : segments_)
-      if (planned.outgrown == outgrown && is_changed(number, planned) && !holds_unplaced(number))
+      if (planned.oversized == oversized && is_changed(number, planned) && !contains_unplaced(number))
         writes.push_back({number, std::move(planned.machines)});
   return writes;
 }
@@ -108,7 +111,7 @@
   placed_.insert(machine.name);
 }
 
-void BucketPlan::keep(std::uint32_t number, const std::vector<MachineRecord>& machines) {
+void BucketPlan::retain_recorded(std::uint32_t number, const std::vector<MachineRecord>& machines) {
   auto& planned = segment(number);
   for (const auto& recorded : machines) {
     auto wanted = by_name_.find(recorded.name);
@@ -117,8 +120,8 @@
     if (planned.bytes + bytes <= max_bytes_) {
       add(planned, *wanted->second, bytes);
     } else {
-      planned.outgrown = true;
-      moving_.push_back(wanted->second);
+      planned.oversized = true;
+      relocating_.push_back(wanted->second);
     }
   }
 }
@@ -126,7 +129,7 @@
 bool BucketPlan::place(const MachineRecord& machine) {
   const auto bytes = record_bytes(machine);
   for (auto& [number, planned] : segments_) {
-    if (planned.outgrown || planned.bytes + bytes > max_bytes_) continue;
+    if (planned.oversized || planned.bytes + bytes > max_bytes_) continue;
     add(planned, machine, bytes);
     return true;
   }
@@ -137,9 +140,9 @@
   std::uint32_t number = 0;
   while (number < max_segments_ && segments_.contains(number)) ++number;
   if (number == max_segments_) return false;
-  auto& fresh = segment(number);
-  if (fresh.bytes + bytes > max_bytes_) return false;
-  add(fresh, machine, bytes);
+  auto& new_segment = segment(number);
+  if (new_segment.bytes + bytes > max_bytes_) return false;
+  add(new_segment, machine, bytes);
   return true;
 }
 
@@ -148,7 +151,7 @@
   return before == recorded_.end() ? !segment.machines.empty() : before->second != segment.machines;
 }
 
-bool BucketPlan::holds_unplaced(std::uint32_t number) const {
+bool BucketPlan::contains_unplaced(std::uint32_t number) const {
   if (unplaced_.empty()) return false;
   auto before = recorded_.find(number);
   return before != recorded_.end() &&
--- a/src/state_store/bucket_plan.h
+++ b/src/state_store/bucket_plan.h
@@ -1,4 +1,5 @@
-// How the machines of one bucket of a registry are spread over its segments (see kMachineBuckets).
+// Distributes the machines of one bucket of a shard's machine registry over the bucket's segments, each of
+// which is one key of the state store (see kMachineBuckets).
 #pragma once
 
 #include <cstddef>
@@ -10,21 +11,22 @@
 
 namespace beaconsill::state_store {
 
-// The machines that the keys of one bucket hold, by segment.
+// The machines that are recorded in the keys of one bucket, by segment number.
 using BucketSegments = std::map<std::uint32_t, std::vector<MachineRecord>>;
 
-// A segment that is to be written.
+// A segment that has to be written, with its new content.
 struct SegmentWrite {
   std::uint32_t segment = 0;
   std::vector<MachineRecord> machines;
 };
 
-// The segments of a bucket that have to be written so that it holds the machines `wanted`, in the order in
-// which they must be written if not all go at once. A recorded machine stays in its segment, so a change
-// costs the segments that it's in, however many there are. If a segment has outgrown `max_bytes` (it was
-// written under a higher limit), the machines that move out of it are in an earlier segment of the result:
-// they must not fall out of the registry while they may run tasks. Machines that find no place are left out,
-// and get no tasks until they do.
+// Returns the segments of a bucket that have to be written so that the bucket contains the machines `wanted`,
+// in the order in which they must be written if one transaction can't contain them all. A recorded machine
+// stays in its segment, so that a change rewrites only the segments of the machines concerned, however many
+// segments there are. If a recorded segment is larger than `max_bytes` (it was written under a higher limit),
+// the segments that receive machines from it come earlier in the result than the segment itself: a machine
+// must not disappear from the registry while it may run tasks. New machines for which no segment has room
+// are left out, and get no tasks until a segment has room for them.
 std::vector<SegmentWrite> plan_bucket(const BucketSegments& recorded,
                                       const std::vector<MachineRecord>& wanted, std::size_t max_bytes,
                                       std::uint32_t max_segments);
--- a/src/state_store/client.cpp
+++ b/src/state_store/client.cpp
@@ -12,24 +12,25 @@
 namespace beaconsill::state_store {
 namespace {
 
-constexpr Duration kTimeout = std::chrono::milliseconds(1500);
-// A transaction whose response is lost occupies its connection for the whole timeout. With six connections,
-// twenty lost responses held up the reads for 1.5 s (state_store_test).
+constexpr Duration kRequestTimeout = std::chrono::milliseconds(1500);
+// A transaction whose response is lost occupies its connection until the request times out. With 6
+// connections, 20 lost responses delayed the reads by 1.5 s (state_store_test).
 constexpr std::size_t kConnections = 24;
-// Of the body of a refusal, as much as is logged.
+// The response body of a rejected transaction is logged up to this length.
 constexpr std::size_t kLoggedBodyBytes = 200;
 
-// The service refuses a transaction for its size: 400 by the protocol, 413 for the whole body.
-bool refused_for_size(int status) {
+// Returns whether a transaction with this response status may have been too large. The protocol specifies
+// 400; 413 is sent if the whole request body is too large.
+bool may_be_too_large(int status) {
   return status == net::status::kBadRequest || status == net::status::kContentTooLarge;
 }
 
-bool refused_for_load(int status) {
+bool is_overload_or_outage(int status) {
   return status == net::status::kServiceUnavailable || status == net::status::kTooManyRequests;
 }
 
 ReadError read_error(int status) {
-  if (refused_for_load(status)) return ReadError::kRefused;
+  if (is_overload_or_outage(status)) return ReadError::kNotExecuted;
   if (status == net::status::kNotFound) return ReadError::kNotFound;
   if (status == net::status::kGone) return ReadError::kCompacted;
   return ReadError::kRejected;
@@ -38,7 +39,7 @@
 ReadResult to_read_result(const net::Result& response) {
   if (!response) {
     const bool sent = response.error() == net::RequestError::kNoResponse;
-    return tl::unexpected(sent ? ReadError::kUnknown : ReadError::kRefused);
+    return tl::unexpected(sent ? ReadError::kUnknown : ReadError::kNotExecuted);
   }
   if (response->status != net::status::kOk) return tl::unexpected(read_error(response->status));
   try {
@@ -51,7 +52,7 @@
 
 TxnError txn_error(const net::Response& response) {
   if (response.status == net::status::kConflict) return TxnError::kConflict;
-  if (refused_for_load(response.status)) return TxnError::kRefused;
+  if (is_overload_or_outage(response.status)) return TxnError::kNotExecuted;
   spdlog::error("state_store_txn_rejected status={} reason=\"{}\"", response.status,
                 response.body.substr(0, kLoggedBodyBytes));
   return TxnError::kRejected;
@@ -60,7 +61,7 @@
 TxnResult to_txn_result(const net::Result& response) {
   if (!response) {
     const bool sent = response.error() == net::RequestError::kNoResponse;
-    return tl::unexpected(sent ? TxnError::kUnknown : TxnError::kRefused);
+    return tl::unexpected(sent ? TxnError::kUnknown : TxnError::kNotExecuted);
   }
   if (response->status != net::status::kOk) return tl::unexpected(txn_error(*response));
   try {
@@ -71,7 +72,7 @@
   }
 }
 
-// How many keys of each kind a transaction puts and deletes.
+// Logs how many keys of each kind a transaction puts and deletes.
 void log_writes(const protocol::Txn& txn) {
   if (!spdlog::should_log(spdlog::level::debug)) return;
   std::map<std::string, int> counts;
@@ -93,12 +94,12 @@
 }  // namespace
 
 StoreClient::StoreClient(asio::io_context& io_context, const Clock& clock, const net::Tcp::endpoint& remote,
-                         StoreLimits limits, StoreLimits next, double share)
+                         StoreLimits limits, StoreLimits upcoming, double share)
     : clock_(clock),
       http_(std::make_shared<net::HttpClient>(io_context, remote, kConnections)),
-      rate_limits_(limits, next),
-      size_limits_(smaller_limit(limits.txn_ops, next.txn_ops),
-                   std::min(smaller_limit(limits.value_bytes, next.value_bytes), kMaxValueBytes)),
+      rate_limits_(limits, upcoming),
+      size_limits_(smaller_limit(limits.txn_ops, upcoming.txn_ops),
+                   std::min(smaller_limit(limits.value_bytes, upcoming.value_bytes), kMaxValueBytes)),
       request_share_(share),
       write_share_(share),
       queue_(limits.rps * share, limits.write_rps * share, clock.now()),
@@ -138,9 +139,9 @@
 }
 
 void StoreClient::on_size_refused(const protocol::Txn& txn, int status) {
-  // A transaction with a lease may have been refused for that lease.
-  if (!refused_for_size(status) || uses_lease(txn)) return;
-  size_limits_.on_refused(txn, clock_.now());
+  // A transaction with a lease may have been rejected because the lease has expired.
+  if (!may_be_too_large(status) || uses_lease(txn)) return;
+  size_limits_.on_size_refused(txn, clock_.now());
 }
 
 void StoreClient::get(std::string target, Urgency urgency, std::function<void(ReadResult)> done) {
@@ -181,8 +182,8 @@
   if (stopped_) return;
   auto dispatched = queue_.dispatch(clock_.now());
   for (auto& request : dispatched.ready) send(std::move(request));
-  if (dispatched.next) {
-    dispatch_timer_.expires_at(*dispatched.next);
+  if (dispatched.next_dispatch) {
+    dispatch_timer_.expires_at(*dispatched.next_dispatch);
     dispatch_timer_.async_wait([weak = weak_from_this()](std::error_code error) {
       if (auto self = weak.lock(); self && !error) self->send_queued();
     });
@@ -192,7 +193,7 @@
 
 void StoreClient::send(StoreRequest request) {
   if (request.on_sent) request.on_sent();
-  http_->request(request.method, request.target, request.body, kTimeout,
+  http_->request(request.method, request.target, request.body, kRequestTimeout,
                  [weak = weak_from_this(), is_read = request.is_read(), sent = clock_.now(),
                   done = std::move(request.done)](net::Result response) {
                    if (auto self = weak.lock()) self->on_response(response, is_read, sent);
@@ -202,7 +203,8 @@
 
 void StoreClient::on_response(const net::Result& response, bool is_read, Instant sent) {
   if (!response) {
-    // A response that came meanwhile says more than one that is missing.
+    // A response that arrived after this request was sent shows that the state store is available, even
+    // though this request was not answered.
     const bool newer_response = last_response_ && *last_response_ > sent;
     if (is_read && !newer_response) set_available(false);
     return;
@@ -211,18 +213,18 @@
   const auto now = clock_.now();
   last_response_ = now;
   set_available(true);
-  if (response->status == net::status::kTooManyRequests) return on_too_many(now);
-  if (rate_limits_.on_time(now)) update_rates(now);
-  size_limits_.on_time(now);
+  if (response->status == net::status::kTooManyRequests) return on_rate_limited(now);
+  if (rate_limits_.restore_if_due(now)) update_rates(now);
+  size_limits_.restore_if_due(now);
   response_delay_.add_sample(now - sent);
 }
 
-void StoreClient::on_too_many(Instant now) {
-  if (rate_limits_.on_too_many(now)) {
+void StoreClient::on_rate_limited(Instant now) {
+  if (rate_limits_.on_rate_limited(now)) {
     spdlog::info("state_store_rate_limits_lowered");
     update_rates(now);
   }
-  queue_.on_too_many(now);
+  queue_.on_rate_limited(now);
   spdlog::info("state_store_rate_limited");
 }
 
--- a/src/state_store/effective_limits.cpp
+++ b/src/state_store/effective_limits.cpp
@@ -5,24 +5,25 @@
 namespace beaconsill::state_store {
 namespace {
 
-// Refusals this close together are no accident of several controllers that send at the same moment.
-constexpr Duration kRepeatedRefusal = std::chrono::seconds(10);
+// Two refusals within this time show that a lower limit is in force. A single refusal may only mean that
+// several controllers sent requests at the same moment.
+constexpr Duration kRepeatedRefusalWindow = std::chrono::seconds(10);
 constexpr Duration kFirstRetryInterval = std::chrono::seconds(60);
 constexpr Duration kMaxRetryInterval = std::chrono::seconds(600);
-// No value is thought to be refused for its size below this.
+// The refusal of a value of at most this size is not attributed to its size.
 constexpr std::size_t kMinValueBytes = 512;
 
-bool recently(const std::optional<Instant>& event, Instant now) {
-  return event && now - *event < kRepeatedRefusal;
+bool is_recent(const std::optional<Instant>& event, Instant now) {
+  return event && now - *event < kRepeatedRefusalWindow;
 }
 
 }  // namespace
 
-bool EffectiveRateLimits::on_too_many(Instant now) {
-  const bool repeated = recently(last_refused_, now);
-  // Refused soon after the current limits were tried anew: the lower ones are still in force.
-  const bool retry_failed = !lowered_ && recently(retry_at_, now);
-  last_refused_ = now;
+bool EffectiveRateLimits::on_rate_limited(Instant now) {
+  const bool repeated = is_recent(last_rate_limited_, now);
+  // A refusal soon after the current limits were tried again shows that the lower ones are still in force.
+  const bool retry_failed = !lowered_ && is_recent(retry_at_, now);
+  last_rate_limited_ = now;
   if (lowered_ || !(repeated || retry_failed)) return false;
   lowered_ = true;
   retry_interval_ = retry_failed ? std::min(2 * retry_interval_, kMaxRetryInterval) : kFirstRetryInterval;
@@ -30,34 +31,34 @@
   return true;
 }
 
-bool EffectiveRateLimits::on_time(Instant now) {
+bool EffectiveRateLimits::restore_if_due(Instant now) {
   if (!lowered_ || now < *retry_at_) return false;
   lowered_ = false;
   retry_at_ = now;
   return true;
 }
 
-void EffectiveSizeLimits::lower(std::size_t& limit, std::size_t lowered, Instant now) {
-  if (lowered >= limit) return;
-  limit = lowered;
+void EffectiveSizeLimits::lower(std::size_t& limit, std::size_t new_limit, Instant now) {
+  if (new_limit >= limit) return;
+  limit = new_limit;
   if (retry_at_ && now < *retry_at_) return;
   retry_interval_ = std::clamp(2 * retry_interval_, kFirstRetryInterval, kMaxRetryInterval);
   retry_at_ = now + retry_interval_;
 }
 
-void EffectiveSizeLimits::on_time(Instant now) {
+void EffectiveSizeLimits::restore_if_due(Instant now) {
   if (retry_at_ && now < *retry_at_) return;
   txn_ops_ = configured_txn_ops_;
   value_bytes_ = configured_value_bytes_;
 }
 
-void EffectiveSizeLimits::on_refused(const protocol::Txn& txn, Instant now) {
+void EffectiveSizeLimits::on_size_refused(const protocol::Txn& txn, Instant now) {
   if (txn.writes.size() > 1) return lower(txn_ops_, txn.writes.size() / 2, now);
   if (txn.writes.empty() || !txn.writes[0].value) return;
   const auto bytes = protocol::dump(*txn.writes[0].value).size();
   if (bytes <= kMinValueBytes || bytes > value_bytes_) return;
   lower(value_bytes_, std::max(kMinValueBytes, bytes / 2), now);
-  // It was this value, not the number of changes, that the larger transactions were refused for.
+  // The larger transactions were refused for the size of this value, not for their number of writes.
   txn_ops_ = configured_txn_ops_;
 }
 
--- a/src/state_store/pending_txns.cpp
+++ b/src/state_store/pending_txns.cpp
@@ -10,7 +10,7 @@
 
 using ChangesByKey = std::unordered_map<std::string_view, std::vector<const protocol::Change*>>;
 
-bool holds(const ChangesByKey& changes, const protocol::Write& write, Revision revision) {
+bool contains_write(const ChangesByKey& changes, const protocol::Write& write, Revision revision) {
   auto it = changes.find(write.key);
   if (it == changes.end()) return false;
   return std::any_of(it->second.begin(), it->second.end(), [&](const auto* change) {
@@ -18,17 +18,19 @@
   });
 }
 
-// The revision under which the changes hold all writes of the transaction; none: they don't.
-std::optional<Revision> applied_revision(const protocol::Txn& txn, Revision known,
+// Returns the revision under which the changes contain all writes of the transaction, or std::nullopt if they
+// don't contain all of them under one revision later than `known_revision`.
+std::optional<Revision> applied_revision(const protocol::Txn& txn, Revision known_revision,
                                          const ChangesByKey& changes) {
   if (txn.writes.empty()) return std::nullopt;
   auto first = changes.find(txn.writes.front().key);
   if (first == changes.end()) return std::nullopt;
   for (const auto* change : first->second) {
-    if (change->revision <= known) continue;
-    const bool all = std::all_of(txn.writes.begin(), txn.writes.end(),
-                                 [&](const auto& write) { return holds(changes, write, change->revision); });
-    if (all) return change->revision;
+    if (change->revision <= known_revision) continue;
+    const bool all_found = std::all_of(txn.writes.begin(), txn.writes.end(), [&](const auto& write) {
+      return contains_write(changes, write, change->revision);
+    });
+    if (all_found) return change->revision;
   }
   return std::nullopt;
 }
@@ -40,10 +42,10 @@
   return last_id_;
 }
 
-void PendingTxns::sent(std::uint64_t id, Revision known, Instant now) {
+void PendingTxns::mark_sent(std::uint64_t id, Revision known_revision, Instant now) {
   auto it = pending_.find(id);
   if (it == pending_.end()) return;
-  it->second.known = known;
+  it->second.known_revision = known_revision;
   it->second.sent = now;
 }
 
@@ -69,7 +71,8 @@
   for (const auto& change : changes) by_key[change.key].push_back(&change);
   for (auto it = pending_.begin(); it != pending_.end();) {
     auto& pending = it->second;
-    auto revision = pending.sent ? applied_revision(pending.txn, pending.known, by_key) : std::nullopt;
+    auto revision =
+        pending.sent ? applied_revision(pending.txn, pending.known_revision, by_key) : std::nullopt;
     if (!revision) {
       ++it;
       continue;
--- a/src/state_store/pending_txns.h
+++ b/src/state_store/pending_txns.h
@@ -1,5 +1,5 @@
-// Transactions that have no response yet. Whether one with a lost response was applied can be read from what
-// is stored: the changes of a transaction all have the same revision.
+// Tracks the transactions that have no response yet. If a response is lost, the changes read from the state
+// store can show that the transaction was applied: all writes of a transaction have the same revision.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace beaconsill::state_store {
 
-// Not thread-safe; WatchCache owns it. It calls no callback itself.
+// Not thread-safe; WatchCache owns it. It never calls the callbacks that it stores.
 class PendingTxns {
  public:
   using Done = std::function<void(TxnResult)>;
@@ -23,25 +23,26 @@
     Revision revision;
   };
 
-  // Returns an id for the calls below.
+  // Adds a transaction that is not sent yet. Returns an id for the calls below.
   std::uint64_t add(protocol::Txn txn, Done done);
-  // It left this controller at `now`, when everything up to `known` had been read.
-  void sent(std::uint64_t id, Revision known, Instant now);
-  // Takes out a transaction that was responded to; nothing if it was found to be applied before.
+  // Records that the transaction was sent at `now`, when all changes up to `known_revision` had been read.
+  void mark_sent(std::uint64_t id, Revision known_revision, Instant now);
+  // Removes a transaction whose response has arrived, and returns its callback. Returns an empty function if
+  // the transaction was already found to be applied.
   Done take(std::uint64_t id);
-  // When the transaction that waits longest for its response was sent; none if none waits.
+  // Returns when the oldest of the sent transactions was sent, or std::nullopt if there is none.
   std::optional<Instant> oldest_sent() const;
-  // Takes out those that these changes show as applied: every write of theirs is there, with its value, under
-  // one revision later than what was known when they were sent. What isn't found may be applied later still,
-  // so its absence proves nothing.
+  // Removes and returns the transactions that `changes` show to be applied: all their writes are among the
+  // changes with the same values, under one revision that is later than the known revision when they were
+  // sent. A transaction that is not found may still be applied later, so its absence proves nothing.
   std::vector<Applied> take_applied(const std::vector<protocol::Change>& changes);
 
  private:
   struct Pending {
     protocol::Txn txn;
     Done done;
-    Revision known;
-    std::optional<Instant> sent;
+    Revision known_revision;      // all changes up to this one had been read when it was sent
+    std::optional<Instant> sent;  // nullopt: not sent yet
   };
   std::map<std::uint64_t, Pending> pending_;
   std::uint64_t last_id_ = 0;
--- a/src/state_store/rate_limiter.cpp
+++ b/src/state_store/rate_limiter.cpp
@@ -3,8 +3,9 @@
 namespace beaconsill::state_store {
 namespace {
 
-// Rounding errors of the level; a wait is a little longer than reckoned, so that the next attempt succeeds.
+// Compensates for rounding errors of the token level.
 constexpr double kLevelTolerance = 1e-9;
+// Added to each computed wait, so that the next attempt does not fail because of rounding.
 constexpr double kWaitMarginSeconds = 0.001;
 
 }  // namespace
@@ -21,11 +22,11 @@
   level_ = std::min(level_, rate_ * burst_s_);
 }
 
-// More than a whole burst waits for a full bucket, or it would never be served.
+// A request for more tokens than the capacity waits for a full bucket; otherwise it would never succeed.
 double RateLimiter::required_level(double tokens, bool urgent) const {
-  const double full = rate_ * burst_s_;
-  const double required = std::min(tokens, full);
-  return urgent ? required - full : required;
+  const double capacity = rate_ * burst_s_;
+  const double required = std::min(tokens, capacity);
+  return urgent ? required - capacity : required;
 }
 
 bool RateLimiter::take(double tokens, bool urgent, Instant now) {
--- a/src/state_store/request_queue.cpp
+++ b/src/state_store/request_queue.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr double kBurstSeconds = 1.0;
-// Below this rate a wait is reckoned as at this rate.
+// Puts and deletes per second. Waits at a lower rate are estimated with this rate, which also avoids a
+// division by zero.
 constexpr double kMinWriteRate = 0.1;
 
 }  // namespace
@@ -21,24 +22,24 @@
 }
 
 void RequestQueue::push(StoreRequest request, Urgency urgency, Instant now) {
-  auto& queues = request.is_read() ? reads_ : changes_;
+  auto& queues = request.is_read() ? read_queues_ : txn_queues_;
   const auto deadline = now + request.queue_wait;
   queues[static_cast<std::size_t>(urgency)].push_back({std::move(request), deadline});
 }
 
 RequestQueue::Dispatched RequestQueue::dispatch(Instant now) {
   Dispatched dispatched;
-  bool changes_wait = false;
-  for (std::size_t i = 0; i < kUrgencies; ++i) {
+  bool txns_blocked = false;
+  for (std::size_t i = 0; i < kUrgencyCount; ++i) {
     const bool urgent = i == static_cast<std::size_t>(Urgency::kElection);
-    if (auto next = dispatch_queue(reads_[i], urgent, now, dispatched)) {
-      dispatched.next = std::min(dispatched.next.value_or(*next), *next);
-      break;  // out of requests altogether: what is less urgent waits as well
+    if (auto next = dispatch_queue(read_queues_[i], urgent, now, dispatched)) {
+      dispatched.next_dispatch = std::min(dispatched.next_dispatch.value_or(*next), *next);
+      break;  // the request rate limit is used up, so less urgent requests wait as well
     }
-    if (changes_wait) continue;
-    if (auto next = dispatch_queue(changes_[i], urgent, now, dispatched)) {
-      dispatched.next = next;
-      changes_wait = true;
+    if (txns_blocked) continue;
+    if (auto next = dispatch_queue(txn_queues_[i], urgent, now, dispatched)) {
+      dispatched.next_dispatch = next;
+      txns_blocked = true;
     }
   }
   return dispatched;
@@ -56,7 +57,8 @@
     const auto writes = static_cast<double>(front.request.writes);
     auto ready_at = request_limiter_.ready_at(1, urgent, now);
     if (writes > 0) ready_at = std::max(ready_at, write_limiter_.ready_at(writes, urgent, now));
-    // Those behind it wait as well: a steady stream of small changes must not starve a large one.
+    // The requests behind this one wait as well: a steady stream of small transactions must not starve a
+    // large one.
     if (ready_at > now) return std::min(ready_at, front.deadline);
     request_limiter_.take(1, urgent, now);
     if (writes > 0) write_limiter_.take(writes, urgent, now);
@@ -66,29 +68,29 @@
   return std::nullopt;
 }
 
-void RequestQueue::on_too_many(Instant now) {
+void RequestQueue::on_rate_limited(Instant now) {
   request_limiter_.drain(now);
   write_limiter_.drain(now);
 }
 
 std::vector<StoreRequest> RequestQueue::take_all() {
   std::vector<StoreRequest> all;
-  for (auto* queues : {&reads_, &changes_})
+  for (auto* queues : {&read_queues_, &txn_queues_})
     for (auto& queue : *queues)
       for (auto& entry : std::exchange(queue, {})) all.push_back(std::move(entry.request));
   return all;
 }
 
-double RequestQueue::queued_writes(std::size_t urgencies) const {
+double RequestQueue::queued_writes(std::size_t urgency_count) const {
   double queued = 0;
-  for (std::size_t i = 0; i < urgencies; ++i)
-    for (const auto& entry : changes_[i]) queued += static_cast<double>(entry.request.writes);
+  for (std::size_t i = 0; i < urgency_count; ++i)
+    for (const auto& entry : txn_queues_[i]) queued += static_cast<double>(entry.request.writes);
   return queued;
 }
 
 std::size_t RequestQueue::spare_writes(Instant now) const {
   const double reserve = write_limiter_.rate() / 2;
-  const double spare = write_limiter_.level(now) - queued_writes(kUrgencies) - reserve;
+  const double spare = write_limiter_.level(now) - queued_writes(kUrgencyCount) - reserve;
   return spare <= 0 ? 0 : static_cast<std::size_t>(spare);
 }
 
--- a/src/state_store/request_queue.h
+++ b/src/state_store/request_queue.h
@@ -1,5 +1,5 @@
-// Requests to the state store that wait for this controller's share of the service's rate limits, the most
-// urgent first. Not thread-safe; StoreClient owns it.
+// Queues requests to the state store until this controller's share of the service's rate limits allows them
+// to be sent, the most urgent first. Not thread-safe; StoreClient owns it.
 #pragma once
 
 #include <array>
@@ -21,44 +21,49 @@
   std::string method;
   std::string target;
   std::string body;
-  std::size_t writes = 0;  // puts and deletes; 0: a read, or a request about a lease
+  std::size_t writes = 0;  // number of puts and deletes; 0: a read, or a request about a lease
   std::function<void(net::Result)> done;
   std::function<void()> on_sent;
-  Duration queue_wait = kQueueWait;  // it's refused if it can't be sent within this time
+  Duration queue_wait = kQueueWait;  // the request expires if it can't be sent within this time
 
   bool is_read() const { return writes == 0; }
 };
 
-// Queues of requests, a pair of reads and changes for each urgency, in front of two rate limiters.
+// Two queues for each urgency, one for reads and one for transactions, in front of two rate limiters: one for
+// all requests and one for writes (puts and deletes).
 //
-// Reads don't wait behind changes that wait for the limit of changes: submissions that are refused during an
-// outage use that limit up, and every read would stand behind them (2 s in state_store_test).
+// Reads don't wait behind transactions that wait for the write rate limit. Submissions that are refused
+// during an outage use up that limit, and in a common queue every read was delayed by them (by 2 s in
+// state_store_test).
 class RequestQueue {
  public:
-  // What a call of `dispatch` took out of the queues.
+  // The result of a call of `dispatch`.
   struct Dispatched {
     std::vector<StoreRequest> ready;    // to be sent now, in this order
-    std::vector<StoreRequest> expired;  // waited for longer than their `queue_wait`
-    std::optional<Instant> next;        // when the next one may be sent or expires; none: nothing waits
+    std::vector<StoreRequest> expired;  // could not be sent within their `queue_wait`
+    // When the next queued request may be sent or expires; nullopt: no request is queued.
+    std::optional<Instant> next_dispatch;
   };
 
-  // Rates of requests and of puts and deletes, a second.
+  // `request_rate`: requests per second; `write_rate`: puts and deletes per second.
   RequestQueue(double request_rate, double write_rate, Instant now);
 
   void set_rates(double request_rate, double write_rate, Instant now);
   void push(StoreRequest request, Urgency urgency, Instant now);
-  // Takes out the requests that the rate limits allow now.
+  // Removes and returns the requests that the rate limits allow to be sent now, and those that have expired.
   Dispatched dispatch(Instant now);
-  // The service refused a request for too many requests: nothing is sent until the limiters have refilled.
-  void on_too_many(Instant now);
-  // Takes out all requests, the reads first.
+  // Handles a response with status 429 (too many requests) by emptying both rate limiters. Until they
+  // have refilled, only election requests are sent, which may overdraw them.
+  void on_rate_limited(Instant now);
+  // Removes and returns all requests, the reads first.
   std::vector<StoreRequest> take_all();
 
-  // How many changes could be made now with half of a second's worth left for what is more urgent.
+  // How many puts and deletes could be sent now if half a second's worth of the write rate is reserved for
+  // more urgent transactions.
   std::size_t spare_writes(Instant now) const;
-  // How long a change of this urgency would wait now.
+  // Estimates how long a transaction of this urgency that is added now would wait for the write rate limit.
   Duration write_wait(Urgency urgency) const;
-  // The rate of requests, a second.
+  // Requests per second.
   double request_rate() const { return request_limiter_.rate(); }
 
  private:
@@ -68,14 +73,16 @@
   };
   using Queue = std::deque<Entry>;
 
-  // Takes out of one queue what may be sent now; the time of the next attempt if any is left.
+  // Moves the requests of one queue that may be sent now, or that have expired, to `dispatched`. Returns the
+  // time of the next attempt, or std::nullopt if the queue is now empty.
   std::optional<Instant> dispatch_queue(Queue& queue, bool urgent, Instant now, Dispatched& dispatched);
-  double queued_writes(std::size_t urgencies) const;
+  // Puts and deletes in the queues of the `urgency_count` most urgent classes.
+  double queued_writes(std::size_t urgency_count) const;
 
   RateLimiter request_limiter_;
   RateLimiter write_limiter_;
-  std::array<Queue, kUrgencies> reads_;
-  std::array<Queue, kUrgencies> changes_;
+  std::array<Queue, kUrgencyCount> read_queues_;
+  std::array<Queue, kUrgencyCount> txn_queues_;
 };
 
 }  // namespace beaconsill::state_store
--- a/src/state_store/response_delay.h
+++ b/src/state_store/response_delay.h
@@ -1,4 +1,4 @@
-// How long the state store takes to respond, to tell a lost response from a slow one.
+// Estimates how long the state store takes to respond, to distinguish a lost response from a slow one.
 #pragma once
 
 #include <optional>
@@ -7,12 +7,13 @@
 
 namespace beaconsill::state_store {
 
-// The smoothed delay of responses and its variation, as TCP sets its retransmission timeout (RFC 6298). Not
-// thread-safe; StoreClient owns it.
+// Computes a timeout from the smoothed delay of responses and its variation, as TCP computes its
+// retransmission timeout (RFC 6298). Not thread-safe; StoreClient owns it.
 class ResponseDelay {
  public:
   void add_sample(Duration delay);
-  // After so long a request without a response is more likely lost than slow.
+  // A request that has had no response for this long is more likely to have lost its response than to be
+  // slow.
   Duration timeout() const;
 
  private:
--- a/src/state_store/txn_draft.h
+++ b/src/state_store/txn_draft.h
@@ -1,4 +1,4 @@
-// A transaction that is built step by step and keeps within the limits of the state store.
+// Builds a transaction step by step within the limits of the state store.
 #pragma once
 
 #include <cstddef>
@@ -8,29 +8,30 @@
 
 namespace beaconsill::state_store {
 
-// Bytes of a whole transaction. The protocol allows 64 KiB; the service may write the same text a little
-// longer.
+// Maximum size of a transaction in bytes. The protocol allows 64 KiB, but the service's encoding of the same
+// transaction may be slightly longer than ours.
 constexpr std::size_t kMaxTxnBytes = std::size_t{60} * 1024;
-// Conditions for each change that a transaction may have (the protocol).
-constexpr std::size_t kConditionsPerChange = 4;
-// Of `kMaxTxnBytes`, what a value leaves to the keys and conditions beside it.
+// The protocol allows this many conditions per allowed put or delete of a transaction.
+constexpr std::size_t kConditionsPerWrite = 4;
+// Maximum size of a value in bytes. Leaves 4 KiB of `kMaxTxnBytes` for the keys and conditions of the
+// transaction.
 constexpr std::size_t kMaxValueBytes = kMaxTxnBytes - std::size_t{4} * 1024;
 
 // Not thread-safe.
 class TxnDraft {
  public:
-  // `max_changes`: how many puts and deletes it may hold.
-  explicit TxnDraft(std::size_t max_changes) : max_changes_(max_changes) {}
+  // `max_writes`: how many puts and deletes the transaction may contain.
+  explicit TxnDraft(std::size_t max_writes) : max_writes_(max_writes) {}
 
-  // Adds changes and what they are conditional on, all of them or none: false if they don't fit any more.
+  // Adds writes and their conditions. Returns false, and adds nothing, if they would exceed a limit.
   bool add(const std::vector<protocol::Condition>& conditions, const std::vector<protocol::Write>& writes);
-  // Conditions that hold for the transaction as a whole.
+  // Adds a condition without a write. Returns false, and adds nothing, if it would exceed a limit.
   bool require(const protocol::Condition& condition) { return add({condition}, {}); }
   bool empty() const { return txn_.writes.empty(); }
   const protocol::Txn& txn() const { return txn_; }
 
  private:
-  std::size_t max_changes_;
+  std::size_t max_writes_;
   std::size_t bytes_ = 0;
   protocol::Txn txn_;
 };
--- a/src/state_store/value_sizes.cpp
+++ b/src/state_store/value_sizes.cpp
@@ -8,9 +8,9 @@
 namespace beaconsill::state_store {
 namespace {
 
-// A span of finished tasks that could be added to a record.
+// A range of tasks, from `first` up to but excluding `end`, that could be added to a progress record.
 struct Span {
-  std::optional<Generation> released;  // none: they are done
+  std::optional<Generation> released;  // the generation under which they are released; nullopt: they are done
   std::uint32_t first = 0;
   std::uint32_t end = 0;
 };
@@ -29,29 +29,29 @@
   return spans;
 }
 
-// What is recorded and still wanted.
-Progress still_wanted(const Progress& recorded, const Progress& wanted) {
-  Progress kept{recorded.done, {}};
+// Returns the recorded progress without the released tasks of generations that `wanted` no longer contains.
+Progress without_obsolete_generations(const Progress& recorded, const Progress& wanted) {
+  Progress remaining{recorded.done, {}};
   for (const auto& released : recorded.released)
     if (std::any_of(wanted.released.begin(), wanted.released.end(),
                     [&](const ReleasedTasks& tasks) { return tasks.generation == released.generation; }))
-      kept.released.push_back(released);
-  return kept;
+      remaining.released.push_back(released);
+  return remaining;
 }
 
-// The dependencies of a job, spread over as few values as hold them.
+// Distributes the dependencies of a job over as few values of at most `max_bytes` as possible.
 std::vector<DependencySegment> split_dependencies(const JobRecord& record, std::size_t max_bytes) {
   constexpr std::size_t kQuotesAndCommaBytes = 3;
   const auto empty_bytes = value_bytes(to_json(DependencySegment{{}, record.submitted}));
   std::vector<DependencySegment> segments;
-  std::size_t bytes = max_bytes + 1;  // the first one begins a segment
+  std::size_t bytes = max_bytes + 1;  // makes the first dependency start a segment
   for (const auto& dependency : record.spec->depends_on) {
-    const auto more = dependency.value().size() + kQuotesAndCommaBytes;
-    if (bytes + more > max_bytes) {
+    const auto added_bytes = dependency.value().size() + kQuotesAndCommaBytes;
+    if (bytes + added_bytes > max_bytes) {
       segments.push_back({{}, record.submitted});
       bytes = empty_bytes;
     }
-    bytes += more;
+    bytes += added_bytes;
     segments.back().depends_on.push_back(dependency);
   }
   return segments;
@@ -63,25 +63,25 @@
   return protocol::dump(value).size();
 }
 
-Progress fit_progress(const Progress& recorded, const Progress& wanted, std::size_t max_bytes) {
+Progress truncate_progress(const Progress& recorded, const Progress& wanted, std::size_t max_bytes) {
   if (value_bytes(to_json(wanted)) <= max_bytes) return wanted;
-  auto fitting = still_wanted(recorded, wanted);
+  auto result = without_obsolete_generations(recorded, wanted);
   const auto spans = spans_of(wanted);
-  std::size_t taken = 0;
+  std::size_t added = 0;  // number of spans that the result contains
   for (std::size_t step = spans.size(); step > 0; step /= 2) {
-    if (taken + step > spans.size()) continue;
-    auto larger = fitting;
-    for (std::size_t i = taken; i < taken + step; ++i) add(larger, spans[i]);
-    if (value_bytes(to_json(larger)) > max_bytes) continue;
-    fitting = std::move(larger);
-    taken += step;
+    if (added + step > spans.size()) continue;
+    auto candidate = result;
+    for (std::size_t i = added; i < added + step; ++i) add(candidate, spans[i]);
+    if (value_bytes(to_json(candidate)) > max_bytes) continue;
+    result = std::move(candidate);
+    added += step;
   }
-  return fitting;
+  return result;
 }
 
-bool fit_grants(Grants& grants, Generation recorded, std::size_t max_bytes) {
-  auto fits = [&] { return value_bytes(to_json(grants)) <= max_bytes; };
-  while (!fits()) {
+bool truncate_grants(Grants& grants, Generation recorded, std::size_t max_bytes) {
+  auto within_limit = [&] { return value_bytes(to_json(grants)) <= max_bytes; };
+  while (!within_limit()) {
     if (grants.chunks.empty()) return false;
     auto& last = grants.chunks.back();
     if (last.generation <= recorded || last.gang_attempt.value()) return false;
@@ -96,7 +96,7 @@
   return !grants.chunks.empty() && grants.chunks.back().generation > recorded;
 }
 
-std::optional<JobValues> fit_job(JobRecord record, std::size_t max_bytes) {
+std::optional<JobValues> split_job_record(JobRecord record, std::size_t max_bytes) {
   JobValues values{std::move(record), {}};
   if (value_bytes(to_json(values.record)) <= max_bytes) return values;
   values.depends_on = split_dependencies(values.record, max_bytes);
--- a/src/state_store/value_sizes.h
+++ b/src/state_store/value_sizes.h
@@ -1,5 +1,6 @@
-// Values that fit the state store's limit. What was written under a higher limit stays readable; what is
-// written from now on has to fit, and must never lose what is recorded already.
+// Reduces records to values that are within the state store's size limit. The limit may have been higher when
+// a record was last written: the old value stays readable, but a new one must be within the current limit and
+// must not lose anything that is already recorded.
 #pragma once
 
 #include <cstddef>
@@ -10,26 +11,30 @@
 
 namespace beaconsill::state_store {
 
-// Bytes of the value as it's sent.
+// Returns the size of the encoded value in bytes.
 std::size_t value_bytes(const protocol::Json& value);
 
-// As much of `wanted` as fits into `max_bytes`, always with all of `recorded` that `wanted` still holds. What
-// is left out counts as neither done nor released until a later record, which is safe: sets of finished tasks
-// get shorter as they fill up.
-Progress fit_progress(const Progress& recorded, const Progress& wanted, std::size_t max_bytes);
+// Returns as much of `wanted` as `max_bytes` allows. The result always contains what `recorded` and `wanted`
+// have in common, even if that exceeds `max_bytes`. Tasks that are left out count as neither done nor
+// released until a later record contains them, which is safe: the encoding of the set of finished tasks gets
+// shorter as its gaps close.
+Progress truncate_progress(const Progress& recorded, const Progress& wanted, std::size_t max_bytes);
 
-// Takes tasks of the chunks beyond generation `recorded` back out until the value fits: the job gets the rest
-// later. False: even what is recorded doesn't fit, or a gang, which is granted as a whole, doesn't.
-bool fit_grants(Grants& grants, Generation recorded, std::size_t max_bytes);
+// Removes tasks from the chunks of generations later than `recorded` until the value is at most `max_bytes`
+// long; the removed tasks are granted later. Returns false if no new chunk remains: either the recorded
+// chunks leave no room for one, or the last chunk is of a gang, which can only be granted as a whole.
+bool truncate_grants(Grants& grants, Generation recorded, std::size_t max_bytes);
 
-// The values that make up a job.
+// The values in which a job is recorded: one for the record itself, and one for each further key of
+// dependencies.
 struct JobValues {
   JobRecord record;
   std::vector<DependencySegment> depends_on;
 };
 
-// The record of a job as values that fit. Most have it all in one; with more dependencies than fit these go
-// into further keys. None: it doesn't fit even so.
-std::optional<JobValues> fit_job(JobRecord record, std::size_t max_bytes);
+// Splits the record of a job into values of at most `max_bytes`. Most jobs need only one value. If the
+// dependencies make the record too long, they are moved to further keys. Returns std::nullopt if the record
+// is too long even then.
+std::optional<JobValues> split_job_record(JobRecord record, std::size_t max_bytes);
 
 }  // namespace beaconsill::state_store
--- a/src/state_store/watch_cache.cpp
+++ b/src/state_store/watch_cache.cpp
@@ -8,10 +8,11 @@
 namespace beaconsill::state_store {
 namespace {
 
-constexpr std::uint32_t kPageItems = 400;
-// A read that takes longer is no use to a request that comes now.
-constexpr Duration kSlowRead = std::chrono::milliseconds(400);
-// From so many failed reads in a row on, reads are probes.
+constexpr std::uint32_t kMaxPageKeys = 400;
+// While a read has been in progress for longer than this, a new user request can't expect to be answered in
+// time.
+constexpr Duration kSlowReadThreshold = std::chrono::milliseconds(400);
+// After this many consecutive failed reads, the state store is only probed once per period.
 constexpr int kProbeAfterFailures = 2;
 
 }  // namespace
@@ -27,7 +28,7 @@
 
 void WatchCache::start() {
   reading_ = true;
-  load("");
+  load_page("");
 }
 
 void WatchCache::stop() {
@@ -39,31 +40,31 @@
   finish_syncs(false);
 }
 
-void WatchCache::schedule(Duration delay) {
+void WatchCache::schedule_read(Duration delay) {
   if (delay <= Duration(0) && loaded_) {
     read_timer_.cancel();
     reading_ = true;
-    return read();
+    return read_changes();
   }
   read_timer_.expires_after(delay);
   read_timer_.async_wait([weak = weak_from_this()](std::error_code error) {
-    if (auto self = weak.lock(); self && !error) self->on_timer();
+    if (auto self = weak.lock(); self && !error) self->on_read_timer();
   });
 }
 
-void WatchCache::on_timer() {
+void WatchCache::on_read_timer() {
   if (stopped_ || reading_) return;
   reading_ = true;
-  if (loaded_) return read();
+  if (loaded_) return read_changes();
   view_.clear();
-  load("");
+  load_page("");
 }
 
-// Changes made while the pages are read come with the first read after them, which starts from the first
-// page's revision.
-void WatchCache::load(const std::string& after) {
+// Changes that are made while the pages are read are included in the first read of changes, which starts from
+// the revision of the first page.
+void WatchCache::load_page(const std::string& after) {
   const bool first = after.empty();
-  client_->get(protocol::page_target(kPrefix, after, kPageItems), Urgency::kElection,
+  client_->get(protocol::page_target(kPrefix, after, kMaxPageKeys), Urgency::kElection,
                [weak = weak_from_this(), first](const ReadResult& result) {
                  if (auto self = weak.lock(); self && !self->stopped_) self->on_page(result, first);
                });
@@ -78,9 +79,9 @@
     spdlog::error("state_store_page_malformed reason=\"{}\"", error.what());
     return on_load_failed();
   }
-  if (next) return load(*next);
+  if (next) return load_page(*next);
   loaded_ = true;
-  read();
+  read_changes();
 }
 
 std::optional<std::string> WatchCache::apply_page(const ReadResponse& response, bool first) {
@@ -90,7 +91,7 @@
   for (auto& item : page.items) {
     last = item.key;
     const protocol::Change change{std::move(item.key), std::move(item.value), item.revision};
-    if (!deleted_later(change)) view_.apply(change);
+    if (!predates_own_deletion(change)) view_.apply(change);
   }
   if (!page.more || last.empty()) return std::nullopt;
   return last;
@@ -100,20 +101,20 @@
   reading_ = false;
   active_syncs_.swap(waiting_syncs_);
   finish_syncs(false);
-  schedule(period_);
+  schedule_read(period_);
 }
 
-void WatchCache::read() {
+void WatchCache::read_changes() {
   const auto started = read_started_ = clock_.now();
   std::swap(active_syncs_, waiting_syncs_);
   const auto target = protocol::watch_target(kPrefix, ready_ ? revision_ : load_revision_, 0);
   client_->get(target, Urgency::kUserRequest, [weak = weak_from_this(), started](const ReadResult& result) {
-    if (auto self = weak.lock(); self && !self->stopped_) self->on_read(result, started);
+    if (auto self = weak.lock(); self && !self->stopped_) self->on_changes_read(result, started);
   });
 }
 
-void WatchCache::on_read(const ReadResult& result, Instant started) {
-  const bool succeeded = apply_result(result, started);
+void WatchCache::on_changes_read(const ReadResult& result, Instant started) {
+  const bool succeeded = apply_read_result(result, started);
   failed_reads_ = succeeded ? 0 : failed_reads_ + 1;
   if (succeeded) publish_changes();
   reading_ = false;
@@ -122,7 +123,7 @@
   if (!stopped_ && !reading_) schedule_next_read(succeeded);
 }
 
-bool WatchCache::apply_result(const ReadResult& result, Instant started) {
+bool WatchCache::apply_read_result(const ReadResult& result, Instant started) {
   if (result == tl::unexpected(ReadError::kCompacted)) {
     spdlog::info("state_store_watch_compacted revision={}", revision_.value());
     loaded_ = ready_ = false;
@@ -132,8 +133,9 @@
     auto changes = protocol::parse_changes(result->body);
     auto applied = pending_txns_.take_applied(changes.changes);
     apply_changes(std::move(changes), started);
-    // As if their responses had come: with the view complete, lest one of them shows a user something older
-    // than what was read, and before anybody else is shown the changes.
+    // The callbacks are called as if the responses had arrived: after the view is updated, so that none of
+    // them answers a user with older data than what was read, and before the changes are published to other
+    // components.
     for (auto& txn : applied) txn.done(txn.revision);
     return true;
   } catch (const protocol::ProtocolError& error) {
@@ -143,16 +145,16 @@
 }
 
 void WatchCache::schedule_next_read(bool succeeded) {
-  // A single read may fail by chance: those who wait needn't wait for a whole period.
+  // A single failure may be transient, so pending syncs should not have to wait for a whole period.
   if (loaded_ && (!waiting_syncs_.empty() || (succeeded && announced_revision_ > revision_))) {
-    read_soon();
+    schedule_early_read();
   } else {
-    schedule(period_);
+    schedule_read(period_);
   }
 }
 
 void WatchCache::apply_changes(protocol::Changes changes, Instant started) {
-  std::erase_if(changes.changes, [&](const auto& change) { return deleted_later(change); });
+  std::erase_if(changes.changes, [&](const auto& change) { return predates_own_deletion(change); });
   view_.apply_all(std::move(changes.changes));
   revision_ = std::max(revision_, changes.revision);
   view_.complete_to(revision_);
@@ -173,12 +175,12 @@
 void WatchCache::sync(std::function<void(bool)> done) {
   if (stopped_ || !loaded_) return done(false);
   waiting_syncs_.push_back(std::move(done));
-  if (!reading_) read_soon();
+  if (!reading_) schedule_early_read();
 }
 
 bool WatchCache::is_responsive() const {
   if (stopped_ || !loaded_ || !client_->available()) return false;
-  return !reading_ || clock_.now() - read_started_ <= kSlowRead;
+  return !reading_ || clock_.now() - read_started_ <= kSlowReadThreshold;
 }
 
 void WatchCache::commit(protocol::Txn txn, Urgency urgency, std::function<void(TxnResult)> done,
@@ -189,8 +191,8 @@
   options.on_sent = [weak = weak_from_this(), id] {
     auto self = weak.lock();
     if (!self) return;
-    self->pending_txns_.sent(id, self->revision_, self->clock_.now());
-    self->check_late_responses();
+    self->pending_txns_.mark_sent(id, self->revision_, self->clock_.now());
+    self->schedule_late_response_check();
   };
   auto on_response = [weak = weak_from_this(), id](TxnResult result) {
     auto self = weak.lock();
@@ -200,9 +202,9 @@
   client_->txn(std::move(txn), urgency, std::move(on_response), std::move(options));
 }
 
-// A lost response needn't cost the timeout of its transaction: what was carried out at once can be read. One
-// read serves all that are late.
-void WatchCache::check_late_responses() {
+// A transaction whose response is lost does not have to wait for its timeout: if it was applied at once, a
+// read shows that. One read serves all transactions whose responses are late.
+void WatchCache::schedule_late_response_check() {
   const auto oldest = pending_txns_.oldest_sent();
   if (stopped_ || late_check_scheduled_ || !oldest) return;
   late_check_scheduled_ = true;
@@ -219,36 +221,38 @@
   late_check_scheduled_ = false;
   const auto sent = pending_txns_.oldest_sent();
   if (sent && clock_.now() - *sent >= client_->response_timeout()) sync([](bool) {});
-  check_late_responses();
+  schedule_late_response_check();
 }
 
-// Found on a day with dozens of status requests a second at each controller: read after read took up the
-// whole rate limit, and grants waited for seconds. One read serves all who wait.
-void WatchCache::read_soon() {
-  // While reads fail they are probes: otherwise each status request and each grant that is refused would lead
-  // to the next read.
-  const auto gap = failed_reads_ < kProbeAfterFailures ? client_->fair_gap() : period_;
-  schedule(std::max(Duration(0), read_started_ + gap - clock_.now()));
+// With dozens of status requests per second at each controller, reads that followed each other without a
+// pause used up the whole request rate limit, and grants waited for seconds. One read serves all pending
+// syncs.
+void WatchCache::schedule_early_read() {
+  // While reads fail, each one only probes the state store and the next one follows after a whole period.
+  // Otherwise each status request and each refused grant would trigger another read.
+  const auto interval = failed_reads_ < kProbeAfterFailures ? client_->min_request_interval() : period_;
+  schedule_read(std::max(Duration(0), read_started_ + interval - clock_.now()));
 }
 
 void WatchCache::on_remote_change(Revision revision) {
   announced_revision_ = std::max(announced_revision_, revision);
   if (stopped_ || !loaded_ || reading_ || announced_revision_ <= revision_) return;
-  read_soon();
+  schedule_early_read();
 }
 
-// A read that began before this controller deleted a key may bring an older value of it, and the view keeps
-// no version of a key that doesn't exist.
-bool WatchCache::deleted_later(const protocol::Change& change) const {
+// A read that started before this controller deleted a key may return an older value of it. The view could
+// not discard that value by its version, since it stores no version for a key that doesn't exist.
+bool WatchCache::predates_own_deletion(const protocol::Change& change) const {
   auto deletion = own_deletions_.find(change.key);
   return deletion != own_deletions_.end() && change.revision <= deletion->second;
 }
 
-// The response to a transaction may come after reads that went beyond it. What it wrote may have been deleted
-// since, and would be back in the view for good: no later read shows it again. While the content is loaded,
-// what was written comes with the pages or with the read after them; and nobody may be notified of jobs whose
-// grants are in the view while what was released of them isn't yet.
-void WatchCache::apply_own(const protocol::Txn& txn, Revision revision) {
+// Ignores a transaction if the reads have already reached its revision, since its response may arrive after
+// such a read: the keys that it wrote may have been deleted since then, and would stay in the view for good
+// because no later read mentions them again. Ignores it also while the content is being loaded: the pages or
+// the read after them include its writes, and components must not be notified of jobs whose grants are in the
+// view already while their released tasks are not.
+void WatchCache::apply_own_txn(const protocol::Txn& txn, Revision revision) {
   if (!ready_ || revision <= revision_) return;
   for (const auto& write : txn.writes) {
     view_.apply({write.key, write.value, revision});
@@ -265,7 +269,7 @@
     view_.apply({terminal_key(cancelled.job), to_json(record), cancelled.revision});
     any = true;
   }
-  // While the view is being loaded it lacks roles as well, and nobody may act on that.
+  // While the view is being loaded it may also lack roles, and components must not act on that.
   if (any && ready_) publish_changes();
 }
 
--- a/tests/api_concurrent_faults_test.cpp
+++ b/tests/api_concurrent_faults_test.cpp
@@ -63,7 +63,7 @@
   ASSERT_TRUE(viewer.read_to(viewer.state.revision()));
   protocol::Txn own;
   own.writes = {{state_store::job_key(kJob), Viewer::record("run-000001"), std::nullopt}};
-  viewer.watch_cache->apply_own(own, Revision(created));
+  viewer.watch_cache->apply_own_txn(own, Revision(created));
   EXPECT_EQ(viewer.watch_cache->view().job(kJob), nullptr);
   EXPECT_TRUE(viewer.watch_cache->view().jobs().empty());
 }
@@ -82,7 +82,7 @@
   viewer.state.remove(state_store::job_key(kJob));
   protocol::Txn own;
   own.writes = {{state_store::job_key(kJob), std::nullopt, std::nullopt}};
-  viewer.watch_cache->apply_own(own, Revision(viewer.state.revision()));
+  viewer.watch_cache->apply_own_txn(own, Revision(viewer.state.revision()));
   auto before = viewer.watch_cache->revision();
   viewer.state.answer_kept();
   ASSERT_TRUE(viewer.run_until([&] { return viewer.watch_cache->revision() > before; }));
--- a/tests/dependency_records_test.cpp
+++ b/tests/dependency_records_test.cpp
@@ -82,7 +82,7 @@
         Case{4600, 32768, 2}, Case{4600, 1024, 60}}) {
     std::vector<JobId> dependency;
     for (std::size_t i = 0; i < test_case.dependency; ++i) dependency.push_back(run(i));
-    auto values = fit_job(record(run(9000), dependency), test_case.max_bytes);
+    auto values = split_job_record(record(run(9000), dependency), test_case.max_bytes);
     ASSERT_TRUE(values) << test_case.dependency;
     EXPECT_EQ(values->depends_on.size(), test_case.keys)
         << test_case.dependency << " " << test_case.max_bytes;
@@ -100,8 +100,8 @@
   }
   // Without dependencies a record is what it always was, and what doesn't fit by itself is refused.
   EXPECT_FALSE(to_json(record(run(1), {})).at("job").contains("awaits"));
-  EXPECT_FALSE(fit_job(record(run(1), {}), 100));
-  EXPECT_FALSE(fit_job(record(run(1), {run(2)}), 100));
+  EXPECT_FALSE(split_job_record(record(run(1), {}), 100));
+  EXPECT_FALSE(split_job_record(record(run(1), {run(2)}), 100));
 }
 
 // What each version writes, as the other reads it.
@@ -187,7 +187,7 @@
 TEST(DependencyRecords, AJobIsKnownOnceAllItsKeysAreRead) {
   std::vector<JobId> dependency;
   for (std::size_t i = 0; i < 300; ++i) dependency.push_back(run(i));
-  auto values = fit_job(record(run(9000), dependency), 2048);
+  auto values = split_job_record(record(run(9000), dependency), 2048);
   ASSERT_TRUE(values);
   const auto keys = values->depends_on.size();
   ASSERT_EQ(keys, 2u);
--- a/tests/fakes/watch_cache.h
+++ b/tests/fakes/watch_cache.h
@@ -58,7 +58,7 @@
               std::function<void(state_store::TxnResult)> done, Duration /*queue_wait*/) override {
     txns.push_back({std::move(txn), urgency, std::move(done)});
   }
-  void apply_own(const protocol::Txn& txn, Revision revision) override {
+  void apply_own_txn(const protocol::Txn& txn, Revision revision) override {
     for (const auto& write : txn.writes) apply({write.key, write.value, revision});
     applied.push_back(revision);
   }
--- a/tests/grant_writer_test.cpp
+++ b/tests/grant_writer_test.cpp
@@ -95,7 +95,7 @@
 }
 
 TEST_F(GrantWriterTest, ATransactionThatFailedIsNotRepeatedAndTheRoundEndsOnceTheStateWasRead) {
-  for (auto outcome : {TxnError::kConflict, TxnError::kRefused, TxnError::kUnknown}) {
+  for (auto outcome : {TxnError::kConflict, TxnError::kNotExecuted, TxnError::kUnknown}) {
     write(run_round());
     ASSERT_EQ(cache->txns.size(), 1u);
     cache->refuse_oldest(outcome);
--- a/tests/progress_writer_test.cpp
+++ b/tests/progress_writer_test.cpp
@@ -117,7 +117,7 @@
 }
 
 TEST_F(ProgressWriterTest, RepeatsAFailedTransactionOnceTheStateWasRead) {
-  for (auto outcome : {TxnError::kConflict, TxnError::kRefused, TxnError::kUnknown}) {
+  for (auto outcome : {TxnError::kConflict, TxnError::kNotExecuted, TxnError::kUnknown}) {
     if (!shard().manager->unwritten_progress().contains(job)) release_tasks_of(job);
     write_after(kCheckPeriod);
     write_after(kBatchDelay);
--- a/tests/sim/controller_leader_election.cpp
+++ b/tests/sim/controller_leader_election.cpp
@@ -101,7 +101,7 @@
     state.acquiring = false;
     state.vacant_since.reset();
     state.held = term;
-    process_.watch_cache->apply_own(txn, *result);
+    process_.watch_cache->apply_own_txn(txn, *result);
     if (!state.held) return;  // lost again within the call above
     if (shard) {
       acquire_shard(*shard, term);
@@ -120,7 +120,7 @@
   state.acquiring = true;
   env_.state.txn(number_, txn, [this, key, txn](state_store::TxnResult result) {
     process_.roles[key].acquiring = false;
-    if (result) process_.watch_cache->apply_own(txn, *result);
+    if (result) process_.watch_cache->apply_own_txn(txn, *result);
   });
 }
 
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -94,7 +94,7 @@
                    if (!process_.scheduler || process_.leader_term != term) return;
                    if (result) {
                      process_.scheduler->on_granted(grants, *result, instant());
-                     return process_.watch_cache->apply_own(txn, *result);
+                     return process_.watch_cache->apply_own_txn(txn, *result);
                    }
                    process_.watch_cache->sync([this, term, grants](bool) {
                      if (process_.scheduler && process_.leader_term == term)
@@ -125,7 +125,7 @@
                      {state_store::leader_role_key(), view().leader().revision}},
                     {{state_store::terminal_key(id), state_store::to_json(terminal_record), std::nullopt}}};
   env_.state.txn(number_, txn, [this, id, txn](state_store::TxnResult result) {
-    if (result) process_.watch_cache->apply_own(txn, *result);
+    if (result) process_.watch_cache->apply_own_txn(txn, *result);
     process_.watch_cache->sync([this, id](bool) { process_.terminal_record.erase(id); });
   });
 }
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -145,7 +145,7 @@
   env_.state.txn(number_, txn, [this, id, term, txn, flag](state_store::TxnResult result) {
     if (result) {
       if (auto* led = find(id, term)) led->*flag = false;
-      return process_.watch_cache->apply_own(txn, *result);
+      return process_.watch_cache->apply_own_txn(txn, *result);
     }
     process_.watch_cache->sync([this, id, term, flag](bool) {
       if (auto* led = find(id, term)) led->*flag = false;
--- a/tests/sim/state_store.cpp
+++ b/tests/sim/state_store.cpp
@@ -67,7 +67,7 @@
     apply_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), txn);
     return answer(kTimeout, tl::unexpected(state_store::TxnError::kUnknown));
   }
-  if (!answers(controller)) return answer(kRefusal, tl::unexpected(state_store::TxnError::kRefused));
+  if (!answers(controller)) return answer(kRefusal, tl::unexpected(state_store::TxnError::kNotExecuted));
   double there = path_delay();
   if (lost_response_window_.hits(queue_)) {
     apply_later(there, txn);
--- a/tests/sim/watch_cache.cpp
+++ b/tests/sim/watch_cache.cpp
@@ -37,7 +37,7 @@
   if (touched.any()) on_change_(touched);
 }
 
-void WatchCache::apply_own(const protocol::Txn& txn, Revision revision) {
+void WatchCache::apply_own_txn(const protocol::Txn& txn, Revision revision) {
   for (const auto& write : txn.writes) view_.apply({write.key, write.value, revision});
   publish_changes();
 }
--- a/tests/sim/watch_cache.h
+++ b/tests/sim/watch_cache.h
@@ -15,7 +15,7 @@
   bool ready() const override { return ready_; }
   // Calls while a read is under way share the next one.
   void sync(std::function<void(bool)> done) override;
-  void apply_own(const protocol::Txn& txn, Revision revision) override;
+  void apply_own_txn(const protocol::Txn& txn, Revision revision) override;
   bool is_responsive() const override { return true; }
   void commit(protocol::Txn txn, state_store::Urgency, std::function<void(state_store::TxnResult)> done,
               Duration) override {
@@ -60,8 +60,8 @@
               std::function<void(state_store::TxnResult)> done, Duration queue_wait) override {
     watch_cache_->commit(std::move(txn), urgency, std::move(done), queue_wait);
   }
-  void apply_own(const protocol::Txn& txn, Revision revision) override {
-    watch_cache_->apply_own(txn, revision);
+  void apply_own_txn(const protocol::Txn& txn, Revision revision) override {
+    watch_cache_->apply_own_txn(txn, revision);
   }
 
  private:
--- a/tests/state_store_fixture.h
+++ b/tests/state_store_fixture.h
@@ -1,4 +1,4 @@
-// A client of the state store and a watch cache on loopback, against a fake state store.
+// Test fixture with a StoreClient and a WatchCache that use a fake state store on loopback.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
     for (auto& door : state.doors) door->stop();
     io.poll();
   }
-  // Runs handlers until `done`, for 20 s at most. Returns the time that it took.
+  // Runs handlers until `done` returns true, for at most 20 s. Returns the elapsed time.
   Duration run_until(const std::function<bool()>& done) {
     const auto started = clock.now();
     EXPECT_TRUE(fakes::run_until(io, done, std::chrono::seconds(20)));
--- a/tests/state_store_test.cpp
+++ b/tests/state_store_test.cpp
@@ -1,3 +1,5 @@
+// Tests of the records in the state store, of the view of them, and of the client and the watch cache against
+// a fake state store on loopback.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,11 +13,11 @@
 
 using protocol::Json;
 
-Instant at(double seconds) {
+Instant at_seconds(double seconds) {
   return Instant{} + from_seconds(1000 + seconds);
 }
 
-Json job(const char* id, int tasks) {
+Json job_value(const char* id, int tasks) {
   protocol::JobSpec spec;
   spec.id = JobId(id);
   spec.job_class = "c";
@@ -25,17 +27,17 @@
   return to_json(JobRecord{std::make_shared<const protocol::JobSpec>(spec), WallMs(5)});
 }
 
-protocol::Change set(std::string key, Json value, std::uint64_t revision) {
+protocol::Change set_change(std::string key, Json value, std::uint64_t revision) {
   return {std::move(key), std::move(value), Revision(revision)};
 }
 
-TEST(Records, SurviveTheRoundTrip) {
+TEST(Records, ParsingAnEncodedRecordReturnsAnEqualRecord) {
   Grants grants{{{Generation(3), ShardId(1), Term(7), Ranges::span(0, 4), Zone("z"), true, Attempt(9)},
                  {Generation(4), ShardId(0), Term(2), Ranges::span(4, 9), std::nullopt, false, {}}},
                 Generation(4)};
-  auto back = parse_grants(to_json(grants));
-  EXPECT_EQ(back.chunks, grants.chunks);
-  EXPECT_EQ(back.last, grants.last);
+  auto parsed_grants = parse_grants(to_json(grants));
+  EXPECT_EQ(parsed_grants.chunks, grants.chunks);
+  EXPECT_EQ(parsed_grants.last, grants.last);
   Progress progress{Ranges::span(0, 3), {{Generation(3), Ranges::span(3, 4)}}};
   EXPECT_EQ(parse_progress(to_json(progress)), progress);
   std::vector<MachineRecord> machines{
@@ -47,10 +49,10 @@
   EXPECT_THROW(parse_progress(Json{{"done", "5-1"}, {"returned", Json::array()}}), protocol::ProtocolError);
 }
 
-// A value over the state store's limit would stop the registration of its machines for good, and with it
-// all that runs there. 8 KiB is the least limit seen; one controller's shard may have half the
-// machines of 1,050.
-TEST(Records, TheRegistryOfALargeShardFitsIntoItsValues) {
+// A registry value over the state store's size limit is rejected on each attempt, so that its machines would
+// never be registered and never run tasks. The lowest limit seen is 8 KiB. One controller's shard may have
+// half of 1,050 machines.
+TEST(Records, RegistryValuesOfALargeShardStayBelowTheValueSizeLimit) {
   std::map<std::uint32_t, std::vector<MachineRecord>> buckets;
   for (int i = 0; i < 525; ++i) {
     MachineName name("host-" + std::to_string(100000 + i));
@@ -63,49 +65,51 @@
     EXPECT_LE(to_json(machines).dump().size(), 8 * 1024 * 0.9) << bucket;
 }
 
-TEST(StateView, OutstandingIsGrantedLessDoneAndReleased) {
+TEST(StateView, OutstandingTasksAreTheGrantedOnesThatAreNeitherDoneNorReleased) {
   JobId id("run-1");
   StateView view;
-  view.apply(set(job_key(id), job("run-1", 10), 1));
-  view.apply(set(grants_key(id),
+  view.apply(set_change(job_key(id), job_value("run-1", 10), 1));
+  view.apply(
+      set_change(grants_key(id),
                  to_json(Grants{{{Generation(1), ShardId(0), Term(1), Ranges::span(0, 4), {}, false, {}},
                                  {Generation(2), ShardId(1), Term(1), Ranges::span(4, 9), {}, false, {}}},
                                 Generation(2)}),
                  2));
   EXPECT_EQ(view.job(id)->outstanding().str(), "0-8");
-  view.apply(set(progress_key(ShardId(0), id),
-                 to_json(Progress{Ranges::span(0, 2), {{Generation(1), Ranges::span(3, 4)}}}), 3));
+  view.apply(set_change(progress_key(ShardId(0), id),
+                        to_json(Progress{Ranges::span(0, 2), {{Generation(1), Ranges::span(3, 4)}}}), 3));
   EXPECT_EQ(view.job(id)->outstanding(ShardId(0)).str(), "2");
   EXPECT_EQ(view.job(id)->outstanding().str(), "2,4-8");
-  // A release counts for its generation only: granted again, the task is outstanding.
-  view.apply(set(grants_key(id),
+  // A release only applies to its own generation: a released task that is granted again is outstanding.
+  view.apply(
+      set_change(grants_key(id),
                  to_json(Grants{{{Generation(3), ShardId(0), Term(1), Ranges::span(3, 4), {}, false, {}}},
                                 Generation(3)}),
                  4));
   EXPECT_EQ(view.job(id)->outstanding().str(), "3");
 }
 
-TEST(StateView, TheHighestVersionStandsInAnyOrder) {
+TEST(StateView, KeepsTheChangeWithTheHighestRevisionRegardlessOfOrder) {
   JobId id("run-1");
   StateView view;
-  view.apply(set(terminal_key(id), to_json(TerminalRecord{TerminalState::kDone, 1}), 9));
-  view.apply(set(terminal_key(id), to_json(TerminalRecord{TerminalState::kCancelled, 0}), 5));
+  view.apply(set_change(terminal_key(id), to_json(TerminalRecord{TerminalState::kDone, 1}), 9));
+  view.apply(set_change(terminal_key(id), to_json(TerminalRecord{TerminalState::kCancelled, 0}), 5));
   EXPECT_EQ(view.terminal_state(id), TerminalState::kDone);
-  view.apply(set(shard_role_key(ShardId(0)), to_json(Role{ControllerName("a"), Term(2)}), 8));
-  view.apply(set(shard_role_key(ShardId(0)), to_json(Role{ControllerName("b"), Term(1)}), 7));
+  view.apply(set_change(shard_role_key(ShardId(0)), to_json(Role{ControllerName("a"), Term(2)}), 8));
+  view.apply(set_change(shard_role_key(ShardId(0)), to_json(Role{ControllerName("b"), Term(1)}), 7));
   EXPECT_EQ(view.shard_role(ShardId(0)).value.controller, ControllerName("a"));
-  view.apply(set(alive_key(ControllerName("a")), Json{{"up", true}}, 3));
+  view.apply(set_change(alive_key(ControllerName("a")), Json{{"up", true}}, 3));
   EXPECT_TRUE(view.alive(ControllerName("a")));
   view.apply({alive_key(ControllerName("a")), std::nullopt, Revision(10)});
   EXPECT_FALSE(view.alive(ControllerName("a")));
 }
 
-TEST(StateView, MalformedValuesAreDropped) {
+TEST(StateView, IgnoresMalformedValuesAndUnknownKeys) {
   StateView view;
   for (const char* key : {"jobs/run-1", "grants/run-1", "progress/0/run-1", "ends/run-1", "roles/leader",
-                          "machines/0/1", "machines/x/y", "novel/thing"})
-    view.apply(set(std::string(kPrefix) + key, Json{{"odd", 1}}, 1));
-  view.apply(set("elsewhere/jobs/run-1", job("run-1", 1), 2));
+                          "machines/0/1", "machines/x/y", "unknown/key"})
+    view.apply(set_change(std::string(kPrefix) + key, Json{{"unexpected", 1}}, 1));
+  view.apply(set_change("elsewhere/jobs/run-1", job_value("run-1", 1), 2));
   EXPECT_EQ(view.job(JobId("run-1")), nullptr);
   EXPECT_FALSE(view.terminal_state(JobId("run-1")));
 }
@@ -114,7 +118,8 @@
   return std::chrono::milliseconds(count);
 }
 
-protocol::Txn create(const std::string& key, int writes = 1) {
+// A transaction that creates keys with this name and a number.
+protocol::Txn create_keys(const std::string& key, int writes = 1) {
   protocol::Txn txn;
   for (int i = 0; i < writes; ++i) {
     auto name = std::string(kPrefix) + "test/" + key + std::to_string(i);
@@ -124,49 +129,58 @@
   return txn;
 }
 
-// What the changes of a read show of a transaction of two writes that has no response.
-TEST(PendingTxns, AppliedOnlyIfAllWritesAreThereUnderOneLaterRevision) {
+// The transaction sets key `a` and deletes key `b`, and has no response.
+TEST(PendingTxns, FindsATransactionAppliedOnlyIfAllItsWritesHaveOneLaterRevision) {
   struct Case {
-    const char* what;
+    const char* description;
     std::vector<protocol::Change> changes;
     bool sent;
-    std::optional<Revision> applied;
+    std::optional<Revision> applied_revision;
   };
-  const Json one{{"v", 1}}, other{{"v", 2}};
+  const Json written_value{{"v", 1}}, other_value{{"v", 2}};
   const Case cases[] = {
-      {"both there", {{"a", one, Revision(6)}, {"b", {}, Revision(6)}}, true, Revision(6)},
-      {"nothing there", {}, true, {}},
-      {"only one there", {{"a", one, Revision(6)}}, true, {}},
-      {"another value", {{"a", other, Revision(6)}, {"b", {}, Revision(6)}}, true, {}},
-      {"set instead of dropped", {{"a", one, Revision(6)}, {"b", one, Revision(6)}}, true, {}},
-      {"dropped instead of set", {{"a", {}, Revision(6)}, {"b", {}, Revision(6)}}, true, {}},
-      {"under two revisions", {{"a", one, Revision(6)}, {"b", {}, Revision(7)}}, true, {}},
-      {"known before it was sent", {{"a", one, Revision(5)}, {"b", {}, Revision(5)}}, true, {}},
-      {"not sent yet", {{"a", one, Revision(6)}, {"b", {}, Revision(6)}}, false, {}},
-      {"among others, later overwritten",
-       {{"c", one, Revision(6)}, {"a", one, Revision(7)}, {"b", {}, Revision(7)}, {"a", other, Revision(8)}},
+      {"both writes found", {{"a", written_value, Revision(6)}, {"b", {}, Revision(6)}}, true, Revision(6)},
+      {"no write found", {}, true, {}},
+      {"only one write found", {{"a", written_value, Revision(6)}}, true, {}},
+      {"another value was set", {{"a", other_value, Revision(6)}, {"b", {}, Revision(6)}}, true, {}},
+      {"key was set instead of deleted",
+       {{"a", written_value, Revision(6)}, {"b", written_value, Revision(6)}},
+       true,
+       {}},
+      {"key was deleted instead of set", {{"a", {}, Revision(6)}, {"b", {}, Revision(6)}}, true, {}},
+      {"under two revisions", {{"a", written_value, Revision(6)}, {"b", {}, Revision(7)}}, true, {}},
+      {"revision was known before the transaction was sent",
+       {{"a", written_value, Revision(5)}, {"b", {}, Revision(5)}},
+       true,
+       {}},
+      {"transaction not sent yet", {{"a", written_value, Revision(6)}, {"b", {}, Revision(6)}}, false, {}},
+      {"both writes found among other changes, one overwritten later",
+       {{"c", written_value, Revision(6)},
+        {"a", written_value, Revision(7)},
+        {"b", {}, Revision(7)},
+        {"a", other_value, Revision(8)}},
        true,
        Revision(7)},
   };
   for (const auto& test_case : cases) {
     PendingTxns pending;
     std::optional<Revision> applied;
-    auto id =
-        pending.add({{}, {{"a", one, {}}, {"b", {}, {}}}}, [&](TxnResult result) { applied = *result; });
-    if (test_case.sent) pending.sent(id, Revision(5), at(0));
-    EXPECT_EQ(pending.oldest_sent().has_value(), test_case.sent) << test_case.what;
+    auto id = pending.add({{}, {{"a", written_value, {}}, {"b", {}, {}}}},
+                          [&](TxnResult result) { applied = *result; });
+    if (test_case.sent) pending.mark_sent(id, Revision(5), at_seconds(0));
+    EXPECT_EQ(pending.oldest_sent().has_value(), test_case.sent) << test_case.description;
     for (auto& found : pending.take_applied(test_case.changes)) found.done(found.revision);
-    EXPECT_EQ(applied, test_case.applied) << test_case.what;
-    EXPECT_EQ(static_cast<bool>(pending.take(id)), !test_case.applied)
-        << test_case.what;  // its own answer is then dropped
+    EXPECT_EQ(applied, test_case.applied_revision) << test_case.description;
+    EXPECT_EQ(static_cast<bool>(pending.take(id)), !test_case.applied_revision)
+        << test_case.description;  // the transaction's own response is ignored from then on
   }
 }
 
-// Status requests must not stand behind submissions that are refused.
-TEST(StoreClient, ReadsDoNotWaitForTheRateLimitOfChanges) {
+// Status requests must not be delayed by submissions that wait for the write rate limit and are then refused.
+TEST(StoreClient, ReadsDoNotWaitForTheWriteRateLimit) {
   StateStoreFixture fixture({1000, 4});
   for (int i = 0; i < 12; ++i)
-    fixture.client->txn(create("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
+    fixture.client->txn(create_keys("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
   fixture.client->get(protocol::watch_target(kPrefix, Revision(), 0), Urgency::kUserRequest,
                       [&](ReadResult result) {
@@ -177,26 +191,27 @@
   EXPECT_GT(fixture.client->write_wait(Urgency::kUserRequest), ms(1000));
 }
 
-// Changes of a user that can't be sent soon are refused, and never sent.
-TEST(StoreClient, AUsersChangeWaitsNoLongerThanItsQueueWait) {
+// User transactions that can't be sent within their queue wait are refused and never sent later.
+TEST(StoreClient, TransactionsAreRefusedAfterTheirQueueWait) {
   StateStoreFixture fixture({1000, 2});
-  int refused = 0, ok = 0;
+  int refused = 0, succeeded = 0;
   for (int i = 0; i < 12; ++i)
     fixture.client->txn(
-        create("x" + std::to_string(i)), Urgency::kUserRequest,
-        [&](TxnResult result) { ++(result == tl::unexpected(TxnError::kRefused) ? refused : ok); },
+        create_keys("x" + std::to_string(i)), Urgency::kUserRequest,
+        [&](TxnResult result) { ++(result == tl::unexpected(TxnError::kNotExecuted) ? refused : succeeded); },
         {ms(600), {}});
-  EXPECT_LT(fixture.run_until([&] { return refused + ok == 12; }), ms(900));
+  EXPECT_LT(fixture.run_until([&] { return refused + succeeded == 12; }), ms(900));
   EXPECT_GT(refused, 6);
-  EXPECT_EQ(fixture.state.requests["/txn"], ok);
+  EXPECT_EQ(fixture.state.requests["/txn"], succeeded);
 }
 
-// As many lost responses as users' changes in a second must not take all connections from the reads.
+// Each transaction without a response occupies a connection. Lost responses to the user transactions of one
+// second must leave connections for reads.
 TEST(StoreClient, LostResponsesLeaveConnectionsForReads) {
   StateStoreFixture fixture;
   fixture.state.txn_answers_lost = true;
   for (int i = 0; i < 20; ++i)
-    fixture.client->txn(create("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
+    fixture.client->txn(create_keys("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
   fixture.client->get(protocol::watch_target(kPrefix, Revision(), 0), Urgency::kUserRequest,
                       [&](ReadResult) { read = true; });
@@ -204,73 +219,74 @@
   EXPECT_TRUE(fixture.client->available());
 }
 
-// A lost response is read back from what is stored, long before its timeout; one read serves all that are
-// late.
-TEST(WatchCache, ALostResponseIsReadBack) {
+// If the response to an applied transaction is lost, a read shows that it was applied, long before the
+// transaction times out. One read serves all transactions whose responses are late.
+TEST(WatchCache, ATransactionWithALostResponseIsFoundByARead) {
   StateStoreFixture fixture;
   fixture.state.txn_answers_lost = true;
-  auto reads = fixture.state.requests["/watch"];
-  int ok = 0;
+  auto reads_before = fixture.state.requests["/watch"];
+  int succeeded = 0;
   for (int i = 0; i < 10; ++i)
-    fixture.watch_cache->commit(create("x" + std::to_string(i), 1 + i % 3), Urgency::kUserRequest,
+    fixture.watch_cache->commit(create_keys("x" + std::to_string(i), 1 + i % 3), Urgency::kUserRequest,
                                 [&](TxnResult result) {
                                   ASSERT_TRUE(result);
                                   EXPECT_GT(*result, Revision());
-                                  ++ok;
+                                  ++succeeded;
                                 });
-  EXPECT_LT(fixture.run_until([&] { return ok == 10; }), ms(350));
-  EXPECT_LE(fixture.state.requests["/watch"] - reads, 4);
+  EXPECT_LT(fixture.run_until([&] { return succeeded == 10; }), ms(350));
+  EXPECT_LE(fixture.state.requests["/watch"] - reads_before, 4);
   fixture.state.unanswered.clear();
 }
 
-// What was not carried out yet proves nothing: it's unknown, and no sooner than its timeout.
-TEST(WatchCache, WhatIsNotFoundStaysUnknown) {
+// A transaction that reads don't show may still be applied later, so its result is reported as unknown, and
+// only after its timeout.
+TEST(WatchCache, ATransactionThatReadsDoNotShowStaysUnknownUntilItsTimeout) {
   StateStoreFixture fixture;
   fixture.state.silent = true;
   std::optional<TxnResult> result;
-  bool sent_again = false;
-  fixture.watch_cache->commit(create("x"), Urgency::kUserRequest,
+  bool second_succeeded = false;
+  fixture.watch_cache->commit(create_keys("x"), Urgency::kUserRequest,
                               [&](TxnResult received) { result = received; });
   fixture.io.run_for(ms(50));
-  fixture.state.silent = false;  // reads are answered from here on, and show nothing
+  fixture.state.silent = false;  // from here on reads are answered, and don't contain the transaction
   EXPECT_GT(fixture.run_until([&] { return result.has_value(); }), ms(1000));
   EXPECT_TRUE(*result == tl::unexpected(TxnError::kUnknown));
-  fixture.watch_cache->commit(create("x"), Urgency::kUserRequest,
-                              [&](TxnResult received) { sent_again = received.has_value(); });
-  fixture.run_until([&] { return sent_again; });
+  fixture.watch_cache->commit(create_keys("x"), Urgency::kUserRequest,
+                              [&](TxnResult received) { second_succeeded = received.has_value(); });
+  fixture.run_until([&] { return second_succeeded; });
 }
 
-// Whatever keeps the state store from responding, the controller knows it soon, and soon knows when it is
-// over.
-TEST(WatchCache, KnowsWhetherItsReadsAreAnswered) {
+// Whatever prevents the state store from responding, the watch cache must report within 1 s that it is
+// unresponsive, and within 550 ms after the fault has ended that it is responsive again.
+TEST(WatchCache, IsUnresponsiveWhileItsReadsAreNotAnswered) {
   struct Case {
-    const char* what;
-    std::function<void(fakes::StateStore&, bool)> fail;
+    const char* description;
+    std::function<void(fakes::StateStore&, bool)> set_fault;
   };
   const Case cases[] = {
-      {"an outage", [](auto& store, bool on) { store.down = on; }},
-      {"this controller alone is refused", [](auto& store, bool on) { store.shut[0] = on; }},
+      {"state store outage", [](auto& store, bool on) { store.down = on; }},
+      {"only this controller is refused", [](auto& store, bool on) { store.shut[0] = on; }},
       {"connections stay open with no response", [](auto& store, bool on) { store.silent = on; }},
   };
   for (const auto& test_case : cases) {
-    SCOPED_TRACE(test_case.what);
+    SCOPED_TRACE(test_case.description);
     StateStoreFixture fixture;
     fixture.run_until([&] { return fixture.watch_cache->is_responsive(); });
-    test_case.fail(fixture.state, true);
+    test_case.set_fault(fixture.state, true);
     EXPECT_LT(fixture.run_until([&] { return !fixture.watch_cache->is_responsive(); }), ms(1000));
     fixture.io.run_for(ms(1000));
     EXPECT_FALSE(fixture.watch_cache->is_responsive());
-    // However many syncs wait, the reads are probes of a few a second.
-    auto refused = fixture.state.refused["/watch"];
-    bool failing = true;
+    // While reads fail, only a few per second are sent as probes, however many syncs are pending.
+    auto refused_before = fixture.state.refused["/watch"];
+    bool fault_active = true;
     for (int i = 0; i < 200; ++i) {
-      fixture.watch_cache->sync([&](bool ok) { EXPECT_FALSE(ok && failing); });
+      fixture.watch_cache->sync([&](bool ok) { EXPECT_FALSE(ok && fault_active); });
       fixture.io.run_for(ms(5));
     }
-    failing = false;
-    EXPECT_LE(fixture.state.refused["/watch"] - refused, 4);
-    test_case.fail(fixture.state, false);
-    if (!fixture.state.unanswered.empty()) {  // what was held is answered late
+    fault_active = false;
+    EXPECT_LE(fixture.state.refused["/watch"] - refused_before, 4);
+    test_case.set_fault(fixture.state, false);
+    if (!fixture.state.unanswered.empty()) {  // the requests without a response are answered late
       for (auto& reply : fixture.state.unanswered) reply({503, "{}"});
       fixture.state.unanswered.clear();
     }
