--- a/src/controller/cancellation_visibility.cpp
+++ b/src/controller/cancellation_visibility.cpp
@@ -25,7 +25,7 @@
       barrier_(barrier_params(ctx.settings, contact_timeout), controller_names(ctx.settings.peers),
                ctx.now()) {}
 
-shard::CancellationBarrier::Known CancellationVisibility::known() const {
+shard::CancellationBarrier::LocalView CancellationVisibility::known() const {
   return {ctx_.watch_cache->ready(), ctx_.watch_cache->revision(), ctx_.view().cancelled()};
 }
 
--- a/src/controller/cancellation_visibility.h
+++ b/src/controller/cancellation_visibility.h
@@ -37,7 +37,7 @@
   Revision acknowledged_until();
   // What the heartbeat of this number to the peer has to carry. It counts as sent from now on.
   protocol::CancellationSync outgoing(const ControllerName& peer, std::uint64_t sequence) {
-    return barrier_.outgoing(peer, sequence, known(), ctx_.now());
+    return barrier_.prepare_sync(peer, sequence, known(), ctx_.now());
   }
   using NextHeartbeat = shard::CancellationBarrier::NextHeartbeat;
   // A heartbeat received: its cancellations are applied to the view. Says when the next one has to be sent
@@ -45,16 +45,16 @@
   NextHeartbeat on_heartbeat(const ControllerName& peer, const protocol::Heartbeat& heartbeat);
 
   // When the newest heartbeat was sent that the peer has echoed.
-  std::optional<Instant> echoed(const ControllerName& peer) const { return barrier_.echoed(peer); }
+  std::optional<Instant> echoed(const ControllerName& peer) const { return barrier_.last_echoed_sent_at(peer); }
   // Number of the last heartbeat received, to be echoed.
-  std::uint64_t received(const ControllerName& peer) const { return barrier_.received(peer); }
+  std::uint64_t received(const ControllerName& peer) const { return barrier_.last_received_sequence(peer); }
   // When the oldest heartbeat was sent that may still be echoed; none if there is none.
-  std::optional<Instant> oldest_sent(const ControllerName& peer) const { return barrier_.oldest_sent(peer); }
+  std::optional<Instant> oldest_sent(const ControllerName& peer) const { return barrier_.oldest_awaited_sent_at(peer); }
   // Forgets which heartbeats were sent, for a new connection: their echoes no longer count.
-  void forget_sent(const ControllerName& peer) { barrier_.forget_sent(peer); }
+  void forget_sent(const ControllerName& peer) { barrier_.discard_sent_heartbeats(peer); }
 
  private:
-  shard::CancellationBarrier::Known known() const;
+  shard::CancellationBarrier::LocalView known() const;
 
   ControllerContext& ctx_;
   shard::CancellationBarrier barrier_;
--- a/src/controller/peer_heartbeats.cpp
+++ b/src/controller/peer_heartbeats.cpp
@@ -122,7 +122,7 @@
 void PeerHeartbeats::on_heartbeat(const ControllerName& from, const protocol::Heartbeat& heartbeat) {
   auto& peer = peers_.at(from);
   auto echoed = cancellations_.echoed(from);
-  if (cancellations_.on_heartbeat(from, heartbeat) == CancellationVisibility::NextHeartbeat::kAtOnce)
+  if (cancellations_.on_heartbeat(from, heartbeat) == CancellationVisibility::NextHeartbeat::kImmediate)
     schedule_heartbeat(peer);
   if (cancellations_.echoed(from) >= echoed) peer.reaches_state_store = heartbeat.reaches_state_store;
 }
--- a/src/shard/cancellation_barrier.cpp
+++ b/src/shard/cancellation_barrier.cpp
@@ -4,12 +4,13 @@
 
 namespace beaconsill::shard {
 namespace {
-// Heartbeats whose echoes are awaited, for each peer.
-constexpr std::size_t kMaxSent = 64;
-// Steady clocks of different machines drift apart by as much as 0.05%; twice that is taken off a read lease.
-constexpr double kDriftMargin = 0.001;
+// Maximum number of sent heartbeats per peer whose echoes are still awaited.
+constexpr std::size_t kMaxAwaitedHeartbeats = 64;
+// Steady clocks of different machines drift apart by up to 0.05%. A received read lease is shortened by twice
+// that share.
+constexpr double kClockDriftMargin = 0.001;
 
-// The first one above the revision.
+// Returns an iterator to the first cancellation with a higher revision.
 auto first_after(const std::set<protocol::CancelledJob>& jobs, Revision revision) {
   return jobs.lower_bound({Revision(revision.value() + 1), JobId(), 0});
 }
@@ -21,30 +22,31 @@
   for (const auto& name : peers) peers_[name].read_lease_until = started + params_.read_lease;
 }
 
-bool CancellationBarrier::has(const Peer& peer, const protocol::CancelledJob& job) {
+bool CancellationBarrier::has_cancellation(const Peer& peer, const protocol::CancelledJob& job) {
   return job.revision <= peer.read_until || peer.acknowledged.contains(job);
 }
 
-protocol::CancellationSync CancellationBarrier::outgoing(const ControllerName& name, std::uint64_t sequence,
-                                                         const Known& known, Instant now) {
+protocol::CancellationSync CancellationBarrier::prepare_sync(const ControllerName& name,
+                                                             std::uint64_t sequence, const LocalView& view,
+                                                             Instant now) {
   auto& peer = peers_.at(name);
   protocol::CancellationSync sync;
-  sync.ready = known.ready;
-  if (known.ready) sync.read_until = known.read_until;
-  // A peer that isn't ready can conclude nothing; it reads all by itself.
-  if (known.ready && peer.ready) sync.complete = list_missing(peer, known, sync.cancelled);
-  if (peer.ready && peer.echoed && now - *peer.echoed < params_.contact_timeout) {
+  sync.ready = view.ready;
+  if (view.ready) sync.read_until = view.read_until;
+  // A peer that is not ready cannot use the list: it first reads all cancellations from the state store.
+  if (view.ready && peer.ready) sync.complete = list_missing(peer, view, sync.cancelled);
+  if (peer.ready && peer.last_echoed_sent_at && now - *peer.last_echoed_sent_at < params_.contact_timeout) {
     sync.read_lease = std::chrono::floor<std::chrono::milliseconds>(params_.read_lease);
     peer.read_lease_until = std::max(peer.read_lease_until, now + params_.read_lease);
   }
   peer.sent.push_back({sequence, now, sync.cancelled});
-  if (peer.sent.size() > kMaxSent) peer.sent.pop_front();
+  if (peer.sent.size() > kMaxAwaitedHeartbeats) peer.sent.pop_front();
   return sync;
 }
 
-bool CancellationBarrier::list_missing(const Peer& peer, const Known& known,
+bool CancellationBarrier::list_missing(const Peer& peer, const LocalView& view,
                                        std::vector<protocol::CancelledJob>& listed) const {
-  for (auto it = first_after(known.cancelled, peer.read_until); it != known.cancelled.end(); ++it) {
+  for (auto it = first_after(view.cancelled, peer.read_until); it != view.cancelled.end(); ++it) {
     if (peer.acknowledged.contains(*it)) continue;
     if (listed.size() == params_.max_listed) return false;
     listed.push_back(*it);
@@ -69,58 +71,62 @@
 void CancellationBarrier::apply_sync(Peer& peer, const protocol::CancellationSync& sync) {
   peer.read_until = std::max(peer.read_until, sync.read_until);
   peer.acknowledged.erase(peer.acknowledged.begin(), first_after(peer.acknowledged, peer.read_until));
-  // What a peer lists it has.
+  // The peer has every cancellation that it lists.
   acknowledge(peer, sync.cancelled);
 }
 
 CancellationBarrier::NextHeartbeat CancellationBarrier::on_heartbeat(const ControllerName& name,
                                                                      const protocol::Heartbeat& heartbeat,
-                                                                     const Known& known, Instant now) {
+                                                                     const LocalView& view, Instant now) {
   auto& peer = peers_.at(name);
   const auto& sync = heartbeat.cancellation_sync;
-  peer.received = heartbeat.sequence;
+  peer.last_received_sequence = heartbeat.sequence;
   if (sync) apply_sync(peer, *sync);
   bool should_answer = sync && !sync->cancelled.empty();
-  // Without an echo of a heartbeat of this process it may be minutes old.
+  // A heartbeat that echoes none of those sent by this process may be minutes old, so it proves nothing more.
   if (const auto* echoed = find_echoed(peer, heartbeat)) {
-    // A version without the barrier echoes what it hasn't read.
+    // Versions without the cancellation barrier send no sync, and echo heartbeats whose cancellations they
+    // have not read.
     if (sync) acknowledge(peer, echoed->listed);
-    on_echo(peer, heartbeat, echoed->sent_at, known, now);
-    should_answer |= !echoed->listed.empty() && lacks_cancellations(name, known);
+    on_echo(peer, heartbeat, echoed->sent_at, view, now);
+    should_answer |= !echoed->listed.empty() && lacks_cancellations(name, view);
   }
-  return should_answer ? NextHeartbeat::kAtOnce : NextHeartbeat::kPeriodic;
+  return should_answer ? NextHeartbeat::kImmediate : NextHeartbeat::kPeriodic;
 }
 
 void CancellationBarrier::on_echo(Peer& peer, const protocol::Heartbeat& heartbeat, Instant echoed_sent_at,
-                                  const Known& known, Instant now) {
+                                  const LocalView& view, Instant now) {
   const auto& sync = heartbeat.cancellation_sync;
-  if (sync) extend_completeness(peer, *sync, echoed_sent_at, known.ready, now);
-  if (peer.echoed && echoed_sent_at < *peer.echoed) return;
-  peer.echoed = echoed_sent_at;
+  if (sync) extend_completeness(peer, *sync, echoed_sent_at, view.ready, now);
+  if (peer.last_echoed_sent_at && echoed_sent_at < *peer.last_echoed_sent_at) return;
+  peer.last_echoed_sent_at = echoed_sent_at;
   peer.ready = sync && sync->ready;
-  if (!sync) set_completeness_without_read_lease(peer, heartbeat, echoed_sent_at, known);
+  if (!sync) set_completeness_without_read_lease(peer, heartbeat, echoed_sent_at, view);
 }
 
-// The heartbeat was sent after the one that it echoes, so its read lease lasts until that was sent + the read
-// lease at least. What was acknowledged to users before it was sent is known here if it lists all that isn't
-// known; or if an earlier read lease by the same controller, which a restarted process keeps as well, was
-// still running when it came.
+// The peer sent this heartbeat after it had received the echoed one. So the read lease that it grants lasts
+// at least until the time at which the echoed heartbeat was sent plus the duration of the lease. All
+// cancellations that the peer acknowledged to users before it sent this heartbeat are known here if the
+// heartbeat lists all that were missing. They are also known if an earlier read lease from the same
+// controller was still running when the heartbeat arrived; a restarted process of the controller honours such
+// a lease as well.
 void CancellationBarrier::extend_completeness(Peer& peer, const protocol::CancellationSync& sync,
                                               Instant echoed_sent_at, bool ready, Instant now) {
   bool lists_all = ready && sync.ready && sync.complete;
   bool read_lease_running = peer.complete_until && now <= *peer.complete_until;
   if (!lists_all && !read_lease_running) return;
-  auto read_lease = std::chrono::duration_cast<Duration>(sync.read_lease * (1 - kDriftMargin));
+  auto read_lease = std::chrono::duration_cast<Duration>(sync.read_lease * (1 - kClockDriftMargin));
   auto until = echoed_sent_at + read_lease;
   peer.complete_until = peer.complete_until ? std::max(*peer.complete_until, until) : until;
 }
 
-// A version without the barrier grants no read lease: all that it had acknowledged to users when it sent this
-// is known if it's within what was read here, and what it may have acknowledged since isn't.
+// A version without the cancellation barrier grants no read lease. All cancellations that it had acknowledged
+// to users when it sent this heartbeat are known here if this controller has read up to the heartbeat's
+// acknowledged_until. Cancellations that it acknowledged afterwards may be unknown here.
 void CancellationBarrier::set_completeness_without_read_lease(Peer& peer,
                                                               const protocol::Heartbeat& heartbeat,
-                                                              Instant echoed_sent_at, const Known& known) {
-  bool all_read = known.ready && heartbeat.acknowledged_until <= known.read_until;
+                                                              Instant echoed_sent_at, const LocalView& view) {
+  bool all_read = view.ready && heartbeat.acknowledged_until <= view.read_until;
   if (all_read) {
     peer.complete_until = echoed_sent_at;
   } else if (peer.complete_until) {
@@ -128,23 +134,23 @@
   }
 }
 
-bool CancellationBarrier::may_reveal(const protocol::CancelledJob& job, const Known& known,
+bool CancellationBarrier::may_reveal(const protocol::CancelledJob& job, const LocalView& view,
                                      Instant now) const {
-  if (!known.ready) return false;
+  if (!view.ready) return false;
   return std::all_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    return has(entry.second, job) || now > entry.second.read_lease_until;
+    return has_cancellation(entry.second, job) || now > entry.second.read_lease_until;
   });
 }
 
-bool CancellationBarrier::lacks_cancellations(const ControllerName& name, const Known& known) const {
+bool CancellationBarrier::lacks_cancellations(const ControllerName& name, const LocalView& view) const {
   const auto& peer = peers_.at(name);
-  if (!known.ready || !peer.ready) return false;
-  return std::any_of(first_after(known.cancelled, peer.read_until), known.cancelled.end(),
+  if (!view.ready || !peer.ready) return false;
+  return std::any_of(first_after(view.cancelled, peer.read_until), view.cancelled.end(),
                      [&](const auto& job) { return !peer.acknowledged.contains(job); });
 }
 
 std::optional<Instant> CancellationBarrier::known_until(bool ready, Instant now) const {
-  // While the view is loaded anew it lacks what had been acknowledged.
+  // While the state view is being reloaded it may lack cancellations that were acknowledged to users.
   if (!ready) return std::nullopt;
   auto until = now;
   for (const auto& [name, peer] : peers_) {
@@ -154,7 +160,7 @@
   return until;
 }
 
-std::optional<Instant> CancellationBarrier::oldest_sent(const ControllerName& name) const {
+std::optional<Instant> CancellationBarrier::oldest_awaited_sent_at(const ControllerName& name) const {
   const auto& sent = peers_.at(name).sent;
   if (sent.empty()) return std::nullopt;
   return sent.front().sent_at;
--- a/src/shard/command_channel.h
+++ b/src/shard/command_channel.h
@@ -1,4 +1,5 @@
-// The command channel to one machine: which machines have something to send, fencing and probes.
+// Manages the command channel to each machine: the queue of machines with commands to send, fencing and
+// probes.
 #pragma once
 
 #include <vector>
@@ -7,33 +8,35 @@
 
 namespace beaconsill::shard {
 
-// Probes of one machine are at least so far apart.
+// Minimum interval between requested probes of one machine.
 constexpr Duration kProbeInterval = std::chrono::seconds(1);
 
-// Machines to which there may be something to send. Refers to them by address.
+// The queue of machines to which there may be commands or probes to send. It holds pointers to the machines.
 class DispatchQueue {
  public:
-  // Without effect if the machine is queued already.
+  // Has no effect if the machine is already queued.
   void push(Machine& machine);
-  // Empties the queue, in the order of names, so that the same events give the same batches.
+  // Empties the queue and returns its machines ordered by name, so that the same events always lead to the
+  // same batches.
   std::vector<Machine*> take_all();
-  // To be called before the machine is destroyed.
+  // Must be called before the machine is destroyed.
   void remove(const Machine& machine) { std::erase(machines_, &machine); }
 
  private:
   std::vector<Machine*> machines_;
 };
 
-// Requests an empty batch to the machine, unless one was sent within kProbeInterval.
+// Requests a probe (an empty batch) of the machine, unless one was sent within kProbeInterval.
 void request_probe(Machine& machine, DispatchQueue& queue, Instant now);
 
-// Starts nothing more on the machine until its worker shows a token raised for that purpose. By its
-// heartbeats alone a worker that receives nothing would pass for reachable, and be sent start after start.
-// Without effect while a batch is in flight, whose result decides.
+// Raises the machine's fencing token, and starts no further task on the machine until its worker has reported
+// that token. Heartbeats alone do not prove that a worker receives commands: without fencing, a worker that
+// receives none would be considered reachable, and one start after another would be sent to it. Has no effect
+// while a batch is in flight, because its result shows whether the worker receives commands.
 void begin_fencing(Machine& machine, DispatchQueue& queue, Instant now);
 
-// The worker has shown the fencing token, so it obeys no earlier batch any more: what had no answer has been
-// executed or never will be.
+// Ends fencing. To be called once the worker has reported the fencing token: it then executes no earlier
+// batch any more, so each unanswered command has either been executed or never will be.
 void resolve_in_flight(Machine& machine, DispatchQueue& queue);
 
 }  // namespace beaconsill::shard
--- a/src/shard/command_delivery.cpp
+++ b/src/shard/command_delivery.cpp
@@ -8,8 +8,8 @@
 using Op = protocol::Command::Op;
 using Start = MachineTask::Start;
 
-// After a probe that did not confirm the machine.
-constexpr Duration kNextProbeAfter = std::chrono::seconds(1);
+// Delay before the next probe after one that did not confirm the machine.
+constexpr Duration kReprobeDelay = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -21,7 +21,7 @@
     if (machine->address.empty() || machine->deleting) continue;
     bool probe_due = machine->probe_at && now_ >= *machine->probe_at;
     if (auto batch = command_batch(*machine)) {
-      // Commands tell as much as a probe.
+      // The answer to commands shows as much as the answer to a probe.
       if (probe_due) machine->probe_at.reset();
       batches.push_back(std::move(*batch));
     } else if (probe_due) {
@@ -31,9 +31,10 @@
   return batches;
 }
 
-// An empty batch: to learn whether the machine receives commands, or, after a failover, to be obeyed and to
-// get its heartbeat at once. Otherwise a worker would not come here whose earlier leader is partitioned from
-// all but its workers, and still answers them.
+// Returns an empty batch. Its answer shows whether the machine receives commands. After a failover it also
+// makes the worker accept this leader and send its heartbeat here immediately. Without it, a worker whose
+// earlier leader is partitioned from everything but its workers would still be answered by that leader, and
+// would never contact this one.
 CommandBatch CommandDelivery::probe_batch(Machine& machine) {
   machine.probe_at.reset();
   machine.last_probe_at = now_;
@@ -51,7 +52,7 @@
     if (auto command = next_command(key, task)) batch.commands.push_back(std::move(*command));
   }
   if (batch.commands.empty()) return std::nullopt;
-  // A token of its own for every batch: a copy of it that arrives late is refused.
+  // Each batch has a new token, so that the worker rejects a copy of an earlier batch that arrives late.
   machine.token = machine.token.raised();
   batch.token = machine.token;
   machine.channel = Machine::Channel::kBusy;
@@ -59,7 +60,8 @@
   return batch;
 }
 
-// Cancelled between placing and sending: they never leave this controller.
+// Removes tasks whose jobs were cancelled after they had been placed and before their start commands were
+// sent.
 void CommandDelivery::drop_cancelled_starts(Machine& machine) {
   state_.drop_tasks_if(
       machine,
@@ -100,7 +102,7 @@
     machine.probe_under_way = false;
     return;
   }
-  // The tasks of an earlier incarnation have been dropped already.
+  // The batch was for an earlier incarnation of the machine, whose tasks have been dropped already.
   if (machine.incarnation != batch.incarnation) return;
   machine.channel = Machine::Channel::kIdle;
   switch (result) {
@@ -121,7 +123,7 @@
   }
 }
 
-// Rejected for its token or incarnation, and so it always will be.
+// The worker rejected the batch because of its token or incarnation, so it would also reject any copy of it.
 void CommandDelivery::on_rejected(Machine& machine, const CommandBatch& batch) {
   for (const auto& command : batch.commands) {
     auto task = machine.tasks.find({command.task, command.attempt});
@@ -139,15 +141,15 @@
 
 void CommandDelivery::schedule_next_probe(Machine& machine, const CommandBatch& probe) {
   if (machine.confirmed && machine.channel != Machine::Channel::kFencing) return;
-  // An incarnation that was guessed wrong is known now.
-  machine.probe_at = machine.incarnation > probe.incarnation ? now_ : now_ + kNextProbeAfter;
+  // If the probe was sent with a wrong incarnation, the right one is known now, and the next probe is due.
+  machine.probe_at = machine.incarnation > probe.incarnation ? now_ : now_ + kReprobeDelay;
 }
 
 HeartbeatResponse CommandDelivery::heartbeat_response(Machine& machine) {
   machine.last_answered = now_;
   HeartbeatResponse response{machine.token, {}};
-  // A machine that is being deleted may go on after all: until the deletion is answered, what was cancelled
-  // there is stopped this way, since it gets no other commands.
+  // The deletion of a machine may fail, and the machine then continues to run. Until the deletion is
+  // answered, heartbeat responses stop cancelled tasks, since such a machine is sent no command batches.
   if (machine.channel != Machine::Channel::kFencing && !machine.deleting) return response;
   for (const auto& [key, task] : machine.tasks)
     if (is_live(task) && task.stop_grace && response.commands.size() < kMaxCommands)
--- a/src/shard/command_delivery.h
+++ b/src/shard/command_delivery.h
@@ -1,4 +1,4 @@
-// Delivery of commands to machines: batches to be sent, and what their results tell.
+// Builds the batches of commands that are sent to machines, and applies their results.
 #pragma once
 
 #include <optional>
@@ -9,7 +9,7 @@
 
 namespace beaconsill::shard {
 
-// Commands for one machine under one token; a probe if there are none.
+// Commands for one machine under one fencing token. A batch without commands is a probe.
 struct CommandBatch {
   MachineName machine;
   std::string address;
@@ -23,23 +23,22 @@
 // The answer to a machine's heartbeat, which renews its lease.
 struct HeartbeatResponse {
   FencingToken token;
-  // While commands don't reach the machine, tasks to be stopped are listed here. Stops only: they can be
-  // repeated, and leave nothing in flight.
+  // Stops of tasks, listed here while no command batches can be sent to the machine. Only stops are allowed,
+  // because they can be repeated and need no tracking as in-flight commands.
   std::vector<protocol::Command> commands;
 };
 
-// Works on a shard's state for the time of one event.
+// Operates on a shard's state while one event is processed.
 class CommandDelivery {
  public:
   CommandDelivery(ShardState& state, Instant now) : state_(state), now_(now) {}
 
-  // What can be sent now: at most one batch for each machine that has commands to send or is to be
-  // probed.
+  // Returns the batches to send now: at most one for each machine that has commands to send or a probe due.
   std::vector<CommandBatch> take_batches();
-  // Applies the result of a batch that was taken. The caller reconciles the heartbeat of the answer next,
-  // then calls schedule_next_probe if the batch was a probe.
+  // Applies the result of a batch that take_batches returned. The caller then reconciles the heartbeat
+  // contained in the answer, and after that calls schedule_next_probe if the batch was a probe.
   void on_result(Machine& machine, const CommandBatch& batch, CommandResult result);
-  // Probes the machine again unless its heartbeat has confirmed it.
+  // Schedules another probe, unless the machine's heartbeat has confirmed it.
   void schedule_next_probe(Machine& machine, const CommandBatch& probe);
   HeartbeatResponse heartbeat_response(Machine& machine);
 
--- a/src/shard/estimator.cpp
+++ b/src/shard/estimator.cpp
@@ -5,9 +5,12 @@
 
 namespace beaconsill::shard {
 namespace {
-constexpr double kSlack = 1e-6;  // amounts are decimal numbers: 3 * 0.1 must fit into 0.3
-// At the same time on one machine. One alone is the quickest, but then the shards promise capacity that the
-// first of several jobs takes from the others.
+// Tolerance, in tasks, for rounding errors of decimal amounts: three tasks of 0.1 CPUs must fit into 0.3
+// CPUs.
+constexpr double kRoundingTolerance = 1e-6;
+// Maximum number of images that one machine fetches at the same time. A single fetch is the fastest. But with
+// a limit of one, the shards would offer capacity to several jobs that the first job's fetch then denies to
+// the others.
 constexpr std::size_t kMaxFetches = 2;
 
 protocol::CapacityByZone without_empty(const std::map<Zone, protocol::ZoneCapacity>& zones) {
@@ -39,7 +42,7 @@
 std::uint32_t tasks_that_fit(const Resources& idle, const Resources& each) {
   double count = protocol::kMaxTasks;
   auto limit = [&count](double available, double wanted) {
-    if (wanted > 0) count = std::min(count, std::floor(available / wanted + kSlack));
+    if (wanted > 0) count = std::min(count, std::floor(available / wanted + kRoundingTolerance));
   };
   limit(idle.cpus, each.cpus);
   limit(idle.gpus, each.gpus);
@@ -63,7 +66,7 @@
   std::map<Zone, protocol::ZoneCapacity> zones;
   for (const auto& [name, machine] : machines) {
     if (!machine.usable(now) || !is_allowed(request, machine.type, machine.zone, machine.spot)) continue;
-    auto free = available_tasks(machine, request, rules, LowerPriorityWork::kKept);
+    auto free = available_tasks(machine, request, rules, LowerPriorityWork::kLeftRunning);
     auto with_preemption = available_tasks(machine, request, rules, LowerPriorityWork::kPreempted);
     auto preemptible = std::max(with_preemption, free) - free;
     if (free == 0 && preemptible == 0) continue;
@@ -97,8 +100,8 @@
   if (machine.images.has(image)) return ImageState::kCached;
   if (machine.is_fetching(image)) return ImageState::kFetching;
   auto fetches = machine.fetch_count();
-  if (fetches == 0) return ImageState::kNoFetch;
-  return fetches < kMaxFetches ? ImageState::kBesideOtherFetch : ImageState::kFetchLimitReached;
+  if (fetches == 0) return ImageState::kNotFetching;
+  return fetches < kMaxFetches ? ImageState::kFetchingOther : ImageState::kFetchLimitReached;
 }
 
 bool has_capacity(const Machine& machine, const PackingRules& rules) {
@@ -123,10 +126,10 @@
     auto image = image_state(*machine, request.image);
     if (!accepts_image_state(image, image_policy)) continue;
     if (avoided.contains(machine->name)) continue;
-    if (available_tasks(*machine, request, rules, LowerPriorityWork::kKept) == 0) continue;
+    if (available_tasks(*machine, request, rules, LowerPriorityWork::kLeftRunning) == 0) continue;
     ranked.push_back({image, (machine->total - machine->used()).cpus, machine});
   }
-  // Equals stay in the order of their names.
+  // Equally ranked machines stay ordered by name.
   std::stable_sort(ranked.begin(), ranked.end(), [](const auto& left, const auto& right) {
     return left.image != right.image ? left.image < right.image : left.idle_cpus < right.idle_cpus;
   });
--- a/src/shard/gang_scheduling.cpp
+++ b/src/shard/gang_scheduling.cpp
@@ -42,22 +42,23 @@
   if (!machine) return;
   auto task = machine->tasks.find({id, granted_task.attempt});
   if (task == machine->tasks.end()) return;
-  // A running task may yet complete or exit by itself with the others; one that waits would do so for long.
+  // A running task may still complete, or exit by itself together with the others. A task that still waits or
+  // fetches its image would remain for a long time, so it is stopped.
   if (task->second.state == TaskState::kWaiting || task->second.state == TaskState::kFetching)
     state.stop(*machine, task->second, 0);
 }
 
 }  // namespace
 
-void place_gang(ShardState& state, const JobId& id, ShardJob& job, const std::vector<Machine*>& open_machines,
-                Instant now) {
+void place_gang(ShardState& state, const JobId& id, ShardJob& job,
+                const std::vector<Machine*>& machines_with_capacity, Instant now) {
   if (!is_ready_to_start(job)) return;
   auto request = request_of(*job.record.spec, 1);
   const auto avoided = state.failure_attribution.failed_on(id, now);
   std::vector<PlacedMember> placed;
   for (auto& [index, granted_task] : job.granted_tasks) {
     auto candidates =
-        choose_machines(open_machines, {request, granted_task.zone, avoided, ImagePolicy::kMayFetch},
+        choose_machines(machines_with_capacity, {request, granted_task.zone, avoided, ImagePolicy::kMayFetch},
                         state.params.rules, now);
     if (candidates.empty()) break;
     state.place(*candidates.front(), {id, index}, job, granted_task, now);
--- a/src/shard/gang_scheduling.h
+++ b/src/shard/gang_scheduling.h
@@ -1,4 +1,4 @@
-// Gang scheduling: the tasks of a gang that are granted to a shard start together, and end together.
+// Gang scheduling: ensures that those tasks of a gang that are granted to one shard start and end together.
 #pragma once
 
 #include <vector>
@@ -7,13 +7,13 @@
 
 namespace beaconsill::shard {
 
-// Places the shard's tasks of a gang as a whole or not at all, and once under each attempt. `open_machines`:
-// those with any capacity.
-void place_gang(ShardState& state, const JobId& id, ShardJob& job, const std::vector<Machine*>& open_machines,
-                Instant now);
+// Places either all of the shard's tasks of a gang or none, and at most once per attempt.
+// `machines_with_capacity`: the machines that have capacity for any task.
+void place_gang(ShardState& state, const JobId& id, ShardJob& job,
+                const std::vector<Machine*>& machines_with_capacity, Instant now);
 
-// Stops what is left of gangs that have lost a task here: they start anew under their next attempt only. The
-// other shards' tasks notice by themselves.
+// Stops tasks that do not run yet of each gang that has lost a task in this shard: the gang starts again only
+// under its next attempt. The gang's tasks in other shards detect the loss themselves.
 void stop_broken_gangs(ShardState& state);
 
 }  // namespace beaconsill::shard
--- a/src/shard/granted_jobs.cpp
+++ b/src/shard/granted_jobs.cpp
@@ -63,23 +63,24 @@
                                      [](const auto& entry) { return !entry.second.value.done.empty(); });
   shard_job.revoked = job.grants.value.revoke;
   shard_job.generations.clear();
-  std::set<std::uint32_t> wanted;
+  std::set<std::uint32_t> granted_indices;
   for (const auto& chunk : chunks)
-    if (chunk.shard == shard_) apply_chunk(id, shard_job, chunk, reconciled, wanted, now);
-  std::erase_if(shard_job.granted_tasks, [&](const auto& entry) { return !wanted.contains(entry.first); });
+    if (chunk.shard == shard_) apply_chunk(id, shard_job, chunk, reconciled, granted_indices, now);
+  std::erase_if(shard_job.granted_tasks,
+                [&](const auto& entry) { return !granted_indices.contains(entry.first); });
   return &shard_job;
 }
 
 void GrantedJobs::apply_chunk(const JobId& id, ShardJob& job, const state_store::Chunk& chunk,
-                              bool reconciled, std::set<std::uint32_t>& wanted, Instant now) {
+                              bool reconciled, std::set<std::uint32_t>& granted_indices, Instant now) {
   job.generations.insert(chunk.generation);
-  if (chunk.term > term_) return;  // meant for a later leader of the shard
+  if (chunk.term > term_) return;  // granted to a later leader of the shard
   Ranges tasks = chunk.tasks;
   tasks.remove(state_store::released_tasks(job.recorded, chunk.generation));
   tasks.remove(job.recorded.done);
   for (auto [first, last] : tasks.spans())
     for (auto index = first; index < last; ++index) {
-      wanted.insert(index);
+      granted_indices.insert(index);
       auto [it, inserted] = job.granted_tasks.try_emplace(index);
       auto& task = it->second;
       if (!inserted && task.generation == chunk.generation) continue;
@@ -89,12 +90,13 @@
       task.preempt = chunk.preempt;
       task.zone = chunk.zone;
       task.attempt = chunk.gang_attempt;
-      task.wait_again(reconciled, now);
+      task.reset_to_waiting(reconciled, now);
       mark_waiting(id);
     }
 }
 
-// In this shard the job has the priority of the jobs that need it, as the scheduler granted it.
+// In this shard the job has at least the priority that the scheduler granted with the chunks: it inherits the
+// priority of the jobs that depend on it.
 void GrantedJobs::set_record(ShardJob& shard_job, const state_store::Job& job) const {
   auto priority = job.record.spec->priority;
   for (const auto& chunk : job.grants.value.chunks)
@@ -119,7 +121,7 @@
   for (auto& [id, job] : jobs_)
     for (auto& [index, task] : job.granted_tasks) {
       if (task.status != Status::kAwaitingReconciliation) continue;
-      task.wait_again(true, now);
+      task.reset_to_waiting(true, now);
       mark_waiting(id);
       ++count;
     }
@@ -143,7 +145,7 @@
   return job && (job->terminal_state || job->recorded.done.contains(id.index));
 }
 
-bool GrantedJobs::holds_no_tasks_of(const JobId& id) const {
+bool GrantedJobs::has_no_unfinished_tasks(const JobId& id) const {
   const auto* job = find(id);
   return !job || std::all_of(job->granted_tasks.begin(), job->granted_tasks.end(),
                              [](const auto& entry) { return entry.second.is_finished(); });
@@ -167,7 +169,7 @@
     auto progress = progress_of(job);
     bool any_finished = std::any_of(job.granted_tasks.begin(), job.granted_tasks.end(),
                                     [](const auto& entry) { return entry.second.is_finished(); });
-    job.unwritten = any_finished && progress != job.recorded;  // until it is seen as written
+    job.unwritten = any_finished && progress != job.recorded;  // until the recorded value equals it
     if (job.unwritten) out[id] = std::move(progress);
   }
   return out;
--- a/src/shard/placer.cpp
+++ b/src/shard/placer.cpp
@@ -7,7 +7,7 @@
 namespace beaconsill::shard {
 namespace {
 
-// Of jobs without a deadline, after their submission.
+// Jobs without a deadline are ordered as if theirs was this long after their submission.
 constexpr double kDefaultDeadlineSeconds = 3600;
 
 std::int64_t deadline_ms(const ShardJob& job) {
@@ -19,12 +19,12 @@
   return job.record.spec->priority;
 }
 
-bool same_machines(const protocol::ResourceRequest& left, const protocol::ResourceRequest& right) {
+bool allows_same_machines(const protocol::ResourceRequest& left, const protocol::ResourceRequest& right) {
   return left.image == right.image && left.types == right.types && left.zone == right.zone &&
          left.spot == right.spot && left.priority == right.priority;
 }
 
-bool needs_no_more(const Resources& left, const Resources& right) {
+bool is_no_larger(const Resources& left, const Resources& right) {
   return left.cpus <= right.cpus && left.gpus <= right.gpus && left.memory_gb <= right.memory_gb;
 }
 
@@ -49,7 +49,7 @@
   state_.visited_count += state_.machines.size();
   for (auto& [name, machine] : state_.machines)
     if (machine.usable(now_) && has_capacity(machine, state_.params.rules))
-      open_machines_.push_back(&machine);
+      machines_with_capacity_.push_back(&machine);
   for (auto first = waiting.begin(); first != waiting.end();) {
     auto priority = priority_of(*first->job);
     auto last = std::find_if(first, waiting.end(),
@@ -60,22 +60,23 @@
   }
 }
 
-// Found on recorded days with jobs submitted with a mistake: each of their hundreds of tasks was started
-// again and again. One task at a time shows as much.
+// Without this check, each of the hundreds of tasks of a job that fails because of a mistake in its
+// specification would be restarted again and again. One task at a time is enough to detect whether the job
+// still fails.
 bool Placer::in_crash_loop_backoff(const JobId& id) const {
   if (!state_.failure_attribution.job_fails(id, now_)) return false;
   auto retry_at = state_.failure_attribution.retry_at(id);
   if (retry_at && now_ < *retry_at) return true;
-  bool being_tried = false;
+  bool has_live_task = false;
   state_.locations.for_each_of_job(id, [&](const Machine&, const TaskKey&, const MachineTask& task) {
-    being_tried = being_tried || is_live(task);
+    has_live_task = has_live_task || is_live(task);
   });
-  return being_tried;
+  return has_live_task;
 }
 
 void Placer::place_job(const JobId& id, ShardJob& job, ImagePolicy image_policy) {
   if (job.record.spec->kind == JobKind::kGang) {
-    if (image_policy == ImagePolicy::kMayFetch) place_gang(state_, id, job, open_machines_, now_);
+    if (image_policy == ImagePolicy::kMayFetch) place_gang(state_, id, job, machines_with_capacity_, now_);
     return;
   }
   JobPlacement placement{id,
@@ -99,11 +100,12 @@
   auto* best = best_candidate(placement, task.zone);
   if (cached_only && !best) return task.zone ? Next::kNextTask : Next::kNextJob;
   TaskId id{placement.id, index};
-  // A guard against every mistake elsewhere: what any machine still lists is not started.
+  // Safeguard against bugs in other components: a task that is still live on any machine is never started
+  // again.
   if (state_.locations.is_live_anywhere(id)) return Next::kNextTask;
-  // Where room is being made for it, and the image is, it starts sooner than anywhere else.
+  // The task starts earliest on the machine where other tasks are being preempted for it.
   if (auto* target = usable_preemption_target(task)) {
-    if (available_tasks(*target, request, state_.params.rules, LowerPriorityWork::kKept) == 0)
+    if (available_tasks(*target, request, state_.params.rules, LowerPriorityWork::kLeftRunning) == 0)
       return Next::kNextTask;
     preemption_.on_placed(target->name, request.each);
     state_.place(*target, id, placement.job, task, now_);
@@ -111,7 +113,7 @@
   }
   if (task.preempt && preempt(placement, task, best)) return Next::kNextTask;
   if (!best) {
-    // A job that failed on machines avoids them: that they have no room for it says nothing of others.
+    // The search excluded the machines on which this job failed, so its result does not hold for other jobs.
     if (!placement.avoided.empty()) return Next::kNextJob;
     unplaceable_.push_back({request, task.zone});
     return Next::kNextTask;
@@ -124,22 +126,23 @@
   const auto& rules = state_.params.rules;
   auto& candidates = placement.candidates;
   if (!candidates.searched || candidates.zone != zone) {
-    state_.visited_count += open_machines_.size();
-    auto machines = choose_machines(
-        open_machines_, {placement.request, zone, placement.avoided, placement.image_policy}, rules, now_);
+    state_.visited_count += machines_with_capacity_.size();
+    auto machines =
+        choose_machines(machines_with_capacity_,
+                        {placement.request, zone, placement.avoided, placement.image_policy}, rules, now_);
     candidates = {true, zone, std::move(machines), 0};
   }
   auto& next = candidates.next;
-  while (next < candidates.machines.size() &&
-         available_tasks(*candidates.machines[next], placement.request, rules, LowerPriorityWork::kKept) == 0)
+  while (next < candidates.machines.size() && available_tasks(*candidates.machines[next], placement.request,
+                                                              rules, LowerPriorityWork::kLeftRunning) == 0)
     ++next;
   return next < candidates.machines.size() ? candidates.machines[next] : nullptr;
 }
 
 bool Placer::is_unplaceable(const protocol::ResourceRequest& request, const std::optional<Zone>& zone) const {
   return std::any_of(unplaceable_.begin(), unplaceable_.end(), [&](const auto& known) {
-    return known.zone == zone && same_machines(known.request, request) &&
-           needs_no_more(known.request.each, request.each);
+    return known.zone == zone && allows_same_machines(known.request, request) &&
+           is_no_larger(known.request.each, request.each);
   });
 }
 
@@ -149,11 +152,12 @@
   return target && target->usable(now_) ? target : nullptr;
 }
 
-// Rather where the image is, and otherwise only if there is no machine without preemption.
+// Prefers preemption on a machine where the image is cached to fetching the image on `best`. Preempts on a
+// machine that must fetch the image only if no machine has capacity without preemption.
 bool Placer::preempt(const JobPlacement& placement, GrantedTask& task, const Machine* best) {
   bool must_fetch = !best || !best->images.has(placement.request.image);
-  if (must_fetch && preemption_.make_room_for(placement.job, task, ImagePolicy::kCachedOnly)) return true;
-  return !best && preemption_.make_room_for(placement.job, task, ImagePolicy::kMayFetch);
+  if (must_fetch && preemption_.free_capacity_for(placement.job, task, ImagePolicy::kCachedOnly)) return true;
+  return !best && preemption_.free_capacity_for(placement.job, task, ImagePolicy::kMayFetch);
 }
 
 }  // namespace beaconsill::shard
--- a/src/shard/preemption.cpp
+++ b/src/shard/preemption.cpp
@@ -5,14 +5,15 @@
 namespace beaconsill::shard {
 namespace {
 
-// What stopping the task loses: its work since the last checkpoint.
+// Returns the CPU time that is lost by stopping the task now: its run time, limited to one checkpoint
+// interval if it writes checkpoints.
 double lost_cpu_seconds(const MachineTask& task, Instant now) {
   double seconds = task.running_since ? to_seconds(now - *task.running_since) : 0;
   if (task.spec->checkpoint_s > 0) seconds = std::min(seconds, task.spec->checkpoint_s);
   return seconds * task.spec->each.cpus;
 }
 
-// Gangs are spared: one task less stops them all.
+// Tasks of gangs are not preempted, because losing one task stops the whole gang.
 bool is_preemptible(const MachineTask& task, Priority preemptor) {
   return is_live(task) && task.spec && task.spec->priority < preemptor && task.spec->kind != JobKind::kGang;
 }
@@ -24,8 +25,8 @@
          now - task.since < heartbeat_period;
 }
 
-// Found on recorded days when services with the right to preempt waited for a second or two, some of them
-// several times over: the room made for one of them passed for that of the next as well.
+// Without reservations, capacity that is freed for one task would be counted for the next one as well.
+// Services that may preempt were delayed by a second or two this way, some of them several times.
 void Preemption::collect_reservations() {
   if (reserved_) return;
   reserved_.emplace();
@@ -58,7 +59,7 @@
   for (auto& [key, task] : machine.tasks) {
     if (!is_preemptible(task, request.priority)) continue;
     if (task.stop_grace) {
-      idle += task.spec->each;  // being stopped already
+      idle += task.spec->each;  // already being stopped
     } else if (task.start == MachineTask::Start::kAcknowledged) {
       preemptible.push_back(&task);
     }
@@ -77,7 +78,7 @@
   return plan;
 }
 
-bool Preemption::make_room_for(const ShardJob& job, GrantedTask& task, ImagePolicy image_policy) {
+bool Preemption::free_capacity_for(const ShardJob& job, GrantedTask& task, ImagePolicy image_policy) {
   auto request = request_of(*job.record.spec, 1);
   collect_reservations();
   std::optional<Plan> best;
--- a/src/shard/preemption.h
+++ b/src/shard/preemption.h
@@ -1,4 +1,4 @@
-// Preemption: stops work of lower priority so that a task of higher priority fits on a machine.
+// Preemption: stops tasks of lower priority to free capacity on a machine for a task of higher priority.
 #pragma once
 
 #include <map>
@@ -9,22 +9,22 @@
 
 namespace beaconsill::shard {
 
-// Whether work is being stopped for the task, which waits for its target machine meanwhile.
+// Returns whether tasks are being stopped for this task, which meanwhile waits for its target machine.
 bool awaits_preemption(const GrantedTask& task, Duration heartbeat_period, Instant now);
 
-// Serves one placement pass over a shard's waiting tasks.
+// Performs preemptions during one placement pass over a shard's waiting tasks.
 class Preemption {
  public:
   Preemption(ShardState& state, Instant now) : state_(state), now_(now) {}
 
-  // Stops the work that loses least, so that one task of the job fits, and makes that machine its target.
-  // False: there is no such machine.
-  bool make_room_for(const ShardJob& job, GrantedTask& task, ImagePolicy image_policy);
-  // A task has been placed on its target: nothing is reserved for it any more.
+  // Chooses the machine on which freeing capacity for one task of the job loses the least work, stops tasks
+  // there and sets that machine as the task's preemption target. Returns false if there is no such machine.
+  bool free_capacity_for(const ShardJob& job, GrantedTask& task, ImagePolicy image_policy);
+  // Ends the reservation of a task that has been placed on its target.
   void on_placed(const MachineName& target, const Resources& resources);
 
  private:
-  // What would be stopped on one machine.
+  // The tasks that would be stopped on one machine.
   struct Plan {
     Machine* machine = nullptr;
     std::vector<MachineTask*> victims;
@@ -37,7 +37,8 @@
 
   ShardState& state_;
   Instant now_;
-  // Capacity that is being freed for waiting tasks, and is theirs. Summed up at the first preemption.
+  // Capacity that is being freed for waiting tasks and is reserved for them, by machine. Computed at the
+  // first preemption of the pass.
   std::optional<std::map<MachineName, Resources>> reserved_;
 };
 
--- a/src/shard/shard_manager.h
+++ b/src/shard/shard_manager.h
@@ -80,7 +80,7 @@
   // unwritten.
   std::vector<protocol::JobProgress> progress_report(bool all) { return state_.jobs.progress_report(all); }
   // Whether the shard holds no task of the job any more, once that progress is written.
-  bool holds_no_tasks_of(const JobId& id) const { return state_.jobs.holds_no_tasks_of(id); }
+  bool holds_no_tasks_of(const JobId& id) const { return state_.jobs.has_no_unfinished_tasks(id); }
   // Buckets of the registry to be written.
   RegistryState::RecordsByBucket registry_buckets_to_write();
 
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -60,7 +60,7 @@
     auto task = machine->tasks.find(key);
     if (task != machine->tasks.end() && is_live(task->second)) return;
   }
-  granted_task->wait_again(reconciled, now);
+  granted_task->reset_to_waiting(reconciled, now);
   jobs.mark_waiting(key.task.job);
 }
 
--- a/src/shard/task_locations.h
+++ b/src/shard/task_locations.h
@@ -1,4 +1,4 @@
-// An index of which machines list which tasks, so that questions about a job or a task cost no pass over all
+// Index from tasks to the machines that list them, so that queries about a job or a task need no scan of all
 // machines.
 #pragma once
 
@@ -11,8 +11,9 @@
 
 namespace beaconsill::shard {
 
-// Every insertion into and removal from `Machine::tasks` goes through put and drop, which keep the index. It
-// refers to machines by address: all tasks of a machine have to be dropped before the machine is destroyed.
+// Every insertion into and removal from `Machine::tasks` must go through put and drop, which update the
+// index. The index holds pointers to machines: all tasks of a machine must be dropped before the machine is
+// destroyed.
 class TaskLocations {
  public:
   using TaskIterator = std::map<TaskKey, MachineTask>::iterator;
@@ -20,21 +21,21 @@
     MachineTask& task;
     bool inserted;
   };
-  // Finds the task on the machine, or adds it there in its initial state.
+  // Returns the task on the machine. Adds it in its initial state if it does not exist.
   PutResult put(Machine& machine, const TaskKey& key);
-  // Removes the task from the machine; returns the one after it.
+  // Removes the task from the machine. Returns an iterator to the following task.
   TaskIterator drop(Machine& machine, TaskIterator task);
 
-  // Calls visit(machine, key, task) for everything that machines list of the job.
+  // Calls visit(machine, key, task) for each attempt of the job's tasks on each machine that lists it.
   template <class Visitor>
   void for_each_of_job(const JobId& id, Visitor visit) const;
-  // Whether any machine lists an attempt of the task that has not ended.
+  // Returns whether any machine lists an attempt of the task that has not ended.
   bool is_live_anywhere(const TaskId& id) const;
-  // Tasks visited so far.
+  // Returns the number of tasks visited so far.
   std::uint64_t visited_count() const { return visited_count_; }
 
  private:
-  // One entry for each attempt that the machine lists.
+  // A machine has one entry for each attempt of the task that it lists.
   using MachinesByTask = std::map<TaskId, std::vector<Machine*>>;
   template <class Visitor>
   void for_each_of_task(const MachinesByTask::value_type& entry, Visitor visit) const;
@@ -54,7 +55,7 @@
   const auto& [id, machines] = entry;
   for (auto it = machines.begin(); it != machines.end(); ++it) {
     auto* machine = *it;
-    // A machine that lists several attempts has as many entries.
+    // A machine that lists several attempts has several entries, but is visited only once.
     if (std::find(machines.begin(), it, machine) != it) continue;
     auto task = machine->tasks.lower_bound({id, Attempt()});
     for (; task != machine->tasks.end() && task->first.task == id; ++task, ++visited_count_)
--- a/tests/cancellation_barrier_test.cpp
+++ b/tests/cancellation_barrier_test.cpp
@@ -1,4 +1,5 @@
-// When a cancellation may be acknowledged to users, and up to when a shard leader knows all that were.
+// Tests when CancellationBarrier allows a cancellation to be acknowledged to users, and up to which time it
+// reports that all acknowledged cancellations are known.
 #include "shard/cancellation_barrier.h"
 
 #include <gtest/gtest.h>
@@ -21,15 +22,16 @@
   return {Revision(revision), JobId("run-" + std::to_string(revision)), 0};
 }
 
-// One controller with one peer; what the peer says is made by hand.
+// One controller with one peer, whose heartbeats the tests construct.
 struct Fixture {
   explicit Fixture(Instant started = kStart, std::size_t max_listed = 128)
       : barrier({kReadLease, kContactTimeout, max_listed}, {kPeer}, started) {}
-  CancellationBarrier::Known known() const { return {ready, read_until, jobs}; }
+  CancellationBarrier::LocalView view() const { return {ready, read_until, jobs}; }
   protocol::CancellationSync send(Duration at) {
-    return barrier.outgoing(kPeer, ++sequence, known(), kStart + at);
+    return barrier.prepare_sync(kPeer, ++sequence, view(), kStart + at);
   }
-  // A heartbeat of the peer that echoes the one of this number. True: it has to be answered at once.
+  // Delivers a heartbeat of the peer that echoes the heartbeat with the given sequence number. Returns
+  // whether the controller has to answer it immediately.
   bool receive(Duration at, std::uint64_t echo, std::optional<protocol::CancellationSync> sync,
                Revision acknowledged_until = {}) {
     protocol::Heartbeat heartbeat;
@@ -37,17 +39,17 @@
     heartbeat.sequence = 1;
     heartbeat.echo = echo;
     heartbeat.cancellation_sync = std::move(sync);
-    return barrier.on_heartbeat(kPeer, heartbeat, known(), kStart + at) ==
-           CancellationBarrier::NextHeartbeat::kAtOnce;
+    return barrier.on_heartbeat(kPeer, heartbeat, view(), kStart + at) ==
+           CancellationBarrier::NextHeartbeat::kImmediate;
   }
-  // The peer is in touch and has read everything up to this revision.
+  // Exchanges heartbeats with the peer, which has read all records up to this revision.
   void make_contact(Duration at, Revision peer_read = {}) {
     send(at);
     receive(at, sequence, protocol::CancellationSync{true, peer_read, 8s, true, {}});
-    send(at);  // with a read lease, now that the peer is known to be there
+    send(at);  // grants a read lease, because the peer has echoed a heartbeat
   }
-  bool may(std::uint64_t revision, Duration at) const {
-    return barrier.may_reveal(cancelled(revision), known(), kStart + at);
+  bool may_reveal(std::uint64_t revision, Duration at) const {
+    return barrier.may_reveal(cancelled(revision), view(), kStart + at);
   }
   Duration known_until(Duration at) const { return barrier.known_until(ready, kStart + at).value() - kStart; }
 
@@ -62,59 +64,59 @@
   return {ready, Revision(), read_lease, complete, {}};
 }
 
-TEST(CancellationBarrierTest, WaitsForTheAcknowledgementOfAPeerInContact) {
+TEST(CancellationBarrierTest, CancellationIsNotRevealedBeforeAPeerInContactHasAcknowledgedIt) {
   Fixture fixture;
   fixture.make_contact(20s);
   fixture.jobs = {cancelled(101), cancelled(102)};
-  EXPECT_FALSE(fixture.may(101, 20s));
-  EXPECT_TRUE(fixture.barrier.lacks_cancellations(kPeer, fixture.known()));
+  EXPECT_FALSE(fixture.may_reveal(101, 20s));
+  EXPECT_TRUE(fixture.barrier.lacks_cancellations(kPeer, fixture.view()));
   auto sent = fixture.send(20s);
   EXPECT_EQ(sent.cancelled, (std::vector{cancelled(101), cancelled(102)}));
   EXPECT_TRUE(sent.complete);
   EXPECT_EQ(sent.read_lease, 8s);
-  EXPECT_FALSE(fixture.may(101, 20s));
+  EXPECT_FALSE(fixture.may_reveal(101, 20s));
   // The echo of an earlier heartbeat acknowledges nothing.
   fixture.receive(20s, fixture.sequence - 1, sync_of(true, true));
-  EXPECT_FALSE(fixture.may(101, 20s));
+  EXPECT_FALSE(fixture.may_reveal(101, 20s));
   fixture.receive(20s, fixture.sequence, sync_of(true, true));
-  EXPECT_TRUE(fixture.may(101, 20s));
-  EXPECT_TRUE(fixture.may(102, 20s));
-  EXPECT_FALSE(fixture.barrier.lacks_cancellations(kPeer, fixture.known()));
+  EXPECT_TRUE(fixture.may_reveal(101, 20s));
+  EXPECT_TRUE(fixture.may_reveal(102, 20s));
+  EXPECT_FALSE(fixture.barrier.lacks_cancellations(kPeer, fixture.view()));
   EXPECT_TRUE(fixture.send(20s).cancelled.empty());
 }
 
-TEST(CancellationBarrierTest, WhatThePeerHasReadOrListsItselfNeedsNoAcknowledgement) {
+TEST(CancellationBarrierTest, CancellationsThatThePeerHasReadOrListsNeedNoAcknowledgement) {
   Fixture fixture;
   fixture.make_contact(20s);
   fixture.jobs = {cancelled(101), cancelled(102), cancelled(103)};
   auto sync = sync_of(true, true);
   sync.read_until = Revision(101);
   sync.cancelled = {cancelled(103)};
-  EXPECT_TRUE(fixture.receive(20s, fixture.sequence, sync));  // it's answered at once
-  EXPECT_TRUE(fixture.may(101, 20s));
-  EXPECT_FALSE(fixture.may(102, 20s));
-  EXPECT_TRUE(fixture.may(103, 20s));
+  EXPECT_TRUE(fixture.receive(20s, fixture.sequence, sync));  // to be answered immediately
+  EXPECT_TRUE(fixture.may_reveal(101, 20s));
+  EXPECT_FALSE(fixture.may_reveal(102, 20s));
+  EXPECT_TRUE(fixture.may_reveal(103, 20s));
   EXPECT_EQ(fixture.send(20s).cancelled, (std::vector{cancelled(102)}));
 }
 
-TEST(CancellationBarrierTest, WaitsForTheReadLeaseOfAPeerWithoutContactToEnd) {
+TEST(CancellationBarrierTest, CancellationIsRevealedOnceTheReadLeaseOfAnUnreachablePeerHasExpired) {
   Fixture fixture;
   fixture.make_contact(20s);
   fixture.jobs = {cancelled(101)};
   EXPECT_EQ(fixture.send(21s).read_lease, 8s);
-  EXPECT_EQ(fixture.send(22s).read_lease, 0s);  // it has echoed nothing for too long
-  EXPECT_FALSE(fixture.may(101, 29s));
-  EXPECT_TRUE(fixture.may(101, 29s + 1ms));
+  EXPECT_EQ(fixture.send(22s).read_lease, 0s);  // contact timeout: the last echoed heartbeat was sent at 20 s
+  EXPECT_FALSE(fixture.may_reveal(101, 29s));
+  EXPECT_TRUE(fixture.may_reveal(101, 29s + 1ms));
 }
 
-TEST(CancellationBarrierTest, KeepsTheReadLeasesOfAnEarlierProcess) {
+TEST(CancellationBarrierTest, RestartedProcessHonoursReadLeasesOfItsPredecessor) {
   Fixture fixture;
   fixture.jobs = {cancelled(101)};
-  EXPECT_FALSE(fixture.may(101, 8s));
-  EXPECT_TRUE(fixture.may(101, 8s + 1ms));
+  EXPECT_FALSE(fixture.may_reveal(101, 8s));
+  EXPECT_TRUE(fixture.may_reveal(101, 8s + 1ms));
 }
 
-TEST(CancellationBarrierTest, NothingIsAcknowledgedOrListedBeforeAllIsRead) {
+TEST(CancellationBarrierTest, ControllerRevealsAndListsNoCancellationBeforeItHasReadAllRecords) {
   Fixture fixture;
   fixture.make_contact(20s);
   fixture.ready = false;
@@ -124,7 +126,7 @@
   EXPECT_FALSE(sent.complete);
   EXPECT_EQ(sent.read_until, Revision());
   EXPECT_TRUE(sent.cancelled.empty());
-  EXPECT_FALSE(fixture.may(101, 100s));
+  EXPECT_FALSE(fixture.may_reveal(101, 100s));
   EXPECT_EQ(fixture.barrier.known_until(false, kStart + 20s), std::nullopt);
 }
 
@@ -139,90 +141,100 @@
   EXPECT_FALSE(sent.complete);
 }
 
-TEST(CancellationBarrierTest, MoreThanOneMessageHoldsGoPageByPage) {
+TEST(CancellationBarrierTest, CancellationsBeyondTheListLimitAreSentWithTheNextHeartbeat) {
   Fixture fixture(kStart, 2);
   fixture.make_contact(20s);
   fixture.jobs = {cancelled(101), cancelled(102), cancelled(103)};
   auto first = fixture.send(20s);
   EXPECT_EQ(first.cancelled, (std::vector{cancelled(101), cancelled(102)}));
   EXPECT_FALSE(first.complete);
-  EXPECT_TRUE(fixture.receive(20s, fixture.sequence, sync_of(true, true)));  // the rest goes at once
-  EXPECT_FALSE(fixture.may(103, 20s));
+  EXPECT_TRUE(fixture.receive(20s, fixture.sequence, sync_of(true, true)));  // the rest is sent immediately
+  EXPECT_FALSE(fixture.may_reveal(103, 20s));
   auto second = fixture.send(20s);
   EXPECT_EQ(second.cancelled, (std::vector{cancelled(103)}));
   EXPECT_TRUE(second.complete);
   EXPECT_FALSE(fixture.receive(20s, fixture.sequence, sync_of(true, true)));
-  EXPECT_TRUE(fixture.may(103, 20s));
+  EXPECT_TRUE(fixture.may_reveal(103, 20s));
 }
 
-// Seen in a read that comes late: a record older than one that is acknowledged.
-TEST(CancellationBarrierTest, AcknowledgementsAreOfEachRecordByItself) {
+// A delayed read can return a record that is older than one which the peer has acknowledged already.
+TEST(CancellationBarrierTest, AcknowledgingACancellationDoesNotAcknowledgeEarlierOnes) {
   Fixture fixture;
   fixture.make_contact(20s);
   fixture.jobs = {cancelled(105)};
   fixture.send(20s);
   fixture.receive(20s, fixture.sequence, sync_of(true, true));
   fixture.jobs.insert(cancelled(101));
-  EXPECT_TRUE(fixture.may(105, 20s));
-  EXPECT_FALSE(fixture.may(101, 20s));
+  EXPECT_TRUE(fixture.may_reveal(105, 20s));
+  EXPECT_FALSE(fixture.may_reveal(101, 20s));
 }
 
-TEST(CancellationBarrierTest, KnowledgeLastsAsLongAsTheReadLeaseFromTheEchoedHeartbeat) {
+TEST(CancellationBarrierTest, KnownUntilIsExtendedByTheReadLeaseCountedFromTheEchoedHeartbeat) {
   struct Case {
     const char* what;
-    std::optional<protocol::CancellationSync> first,
-        second;                       // received at 0 s and 3 s, of heartbeats sent then
-    Duration last_contact, expected;  // the second; what is known in the end
+    // Syncs of the peer's heartbeats that echo heartbeats sent at 0 s and 3 s.
+    std::optional<protocol::CancellationSync> first, second;
+    Duration second_received_at;  // when the second one is received
+    Duration expected;            // the resulting known_until
   };
-  const auto in_full = from_seconds(8 * 0.999);
+  const auto shortened_read_lease = from_seconds(8 * 0.999);
   const Case cases[] = {
-      {"one", sync_of(true, true), std::nullopt, 3s, in_full},
-      {"extended", sync_of(true, true), sync_of(true, true), 3s, 3s + in_full},
-      {"counts from when the echoed one was sent", sync_of(true, true), sync_of(true, true), 7s,
-       3s + in_full},
-      {"late", sync_of(true, true), sync_of(true, true), 60s, 3s + in_full},
-      {"a new process, in time", sync_of(true, true), sync_of(false, false), 7s, 3s + in_full},
-      {"a new process, too late", sync_of(true, true), sync_of(false, false), 9s, in_full},
-      {"not all is listed, in time", sync_of(true, true), sync_of(true, false), 7s, 3s + in_full},
-      {"not all is listed, too late", sync_of(true, true), sync_of(true, false), 9s, in_full},
-      {"no read lease", sync_of(true, true), sync_of(true, true, 0ms), 3s, in_full},
+      {"one heartbeat", sync_of(true, true), std::nullopt, 3s, shortened_read_lease},
+      {"extended by a second heartbeat", sync_of(true, true), sync_of(true, true), 3s,
+       3s + shortened_read_lease},
+      {"lease counted from when the echoed heartbeat was sent", sync_of(true, true), sync_of(true, true), 7s,
+       3s + shortened_read_lease},
+      {"second heartbeat received late", sync_of(true, true), sync_of(true, true), 60s,
+       3s + shortened_read_lease},
+      {"restarted peer before the lease expires", sync_of(true, true), sync_of(false, false), 7s,
+       3s + shortened_read_lease},
+      {"restarted peer after the lease has expired", sync_of(true, true), sync_of(false, false), 9s,
+       shortened_read_lease},
+      {"incomplete list before the lease expires", sync_of(true, true), sync_of(true, false), 7s,
+       3s + shortened_read_lease},
+      {"incomplete list after the lease has expired", sync_of(true, true), sync_of(true, false), 9s,
+       shortened_read_lease},
+      {"second heartbeat without a read lease", sync_of(true, true), sync_of(true, true, 0ms), 3s,
+       shortened_read_lease},
   };
   for (const auto& entry : cases) {
     Fixture fixture;
     fixture.send(0s);
     fixture.receive(0s, 1, entry.first);
     fixture.send(3s);
-    if (entry.second) fixture.receive(entry.last_contact, 2, entry.second);
+    if (entry.second) fixture.receive(entry.second_received_at, 2, entry.second);
     EXPECT_EQ(fixture.known_until(1000s), entry.expected) << entry.what;
     EXPECT_EQ(fixture.known_until(1s), 1s) << entry.what;
   }
 }
 
-TEST(CancellationBarrierTest, WithoutAnEchoNothingIsConcluded) {
+TEST(CancellationBarrierTest, KnownUntilIsExtendedOnlyByEchoesOfAwaitedHeartbeats) {
   Fixture fixture;
   fixture.send(0s);
   fixture.receive(0s, 77, sync_of(true, true));
   EXPECT_EQ(fixture.barrier.known_until(true, kStart + 1s), std::nullopt);
   fixture.receive(0s, 1, sync_of(true, true));
   EXPECT_EQ(fixture.known_until(1s), 1s);
-  fixture.barrier.forget_sent(kPeer);
+  fixture.barrier.discard_sent_heartbeats(kPeer);
   fixture.receive(20s, 1, sync_of(true, true));
   EXPECT_LT(fixture.known_until(20s), 8s);
 }
 
-// Versions before the barrier acknowledge to users without asking, and echo without reading.
-TEST(CancellationBarrierTest, AnEarlierVersionIsTakenAtItsAcknowledgedRevision) {
+// Versions without the barrier acknowledge cancellations to users without consulting peers, and echo
+// heartbeats without reading their cancellations.
+TEST(CancellationBarrierTest, PeerWithoutTheBarrierIsCompleteUpToItsAcknowledgedRevision) {
   Fixture fixture;
   fixture.jobs = {cancelled(101)};
   fixture.send(20s);
   fixture.receive(20s, 1, std::nullopt, Revision(100));
   EXPECT_EQ(fixture.known_until(21s), 20s);
   EXPECT_EQ(fixture.send(22s).read_lease, 0s);
-  // It has acknowledged more to users than is known here.
+  // The peer has acknowledged a cancellation to users that is not known here.
   fixture.receive(22s, 2, std::nullopt, Revision(101));
   EXPECT_EQ(fixture.known_until(23s), 20s);
-  EXPECT_TRUE(fixture.may(101, 23s));  // it was granted no read lease, and concludes nothing beyond the echo
-  // The read lease of a newer version that was running there before counts no longer.
+  // The peer has no read lease, and concludes nothing about the time after the echoed heartbeat.
+  EXPECT_TRUE(fixture.may_reveal(101, 23s));
+  // After a downgrade of the peer the read lease from the newer version no longer counts.
   fixture.receive(22s, 2, sync_of(true, true));
   EXPECT_EQ(fixture.known_until(24s), 24s);
   fixture.send(24s);
@@ -230,7 +242,7 @@
   EXPECT_EQ(fixture.known_until(25s), 24s);
 }
 
-TEST(CancellationBarrierTest, AnEarlierVersionAcknowledgesNothingAndEndsTheCompletenessOfANewerOne) {
+TEST(CancellationBarrierTest, EchoOfAPeerWithoutTheBarrierAcknowledgesNothingAndVoidsEarlierReadLeases) {
   Fixture fixture;
   fixture.make_contact(20s);
   fixture.jobs = {cancelled(101)};
@@ -238,11 +250,11 @@
   fixture.send(21s);
   EXPECT_EQ(fixture.known_until(22s), 22s);
   fixture.receive(21s, fixture.sequence, std::nullopt, Revision(101));
-  EXPECT_FALSE(fixture.may(101, 21s));       // it echoes lists that it hasn't read
-  EXPECT_EQ(fixture.known_until(22s), 21s);  // it doesn't keep the read leases of the newer one
+  EXPECT_FALSE(fixture.may_reveal(101, 21s));  // its echo does not mean that it has read the list
+  EXPECT_EQ(fixture.known_until(22s), 21s);    // it does not honour read leases granted by the newer version
 }
 
-TEST(CancellationBarrierTest, OnlyControllersThatHaveReadEverythingListEverything) {
+TEST(CancellationBarrierTest, CompleteListsCountOnlyIfBothControllersHaveReadAllRecords) {
   Fixture fixture;
   fixture.send(0s);
   fixture.receive(0s, 1, sync_of(false, true));
@@ -252,7 +264,7 @@
   EXPECT_EQ(fixture.barrier.known_until(true, kStart), std::nullopt);
 }
 
-TEST(StateView, IndexesCancelledEnds) {
+TEST(StateView, IndexesTerminalRecordsOfCancelledJobs) {
   state_store::StateView view;
   auto put = [&](const char* job, state_store::TerminalState end, std::uint64_t revision) {
     view.apply({state_store::terminal_key(JobId(job)),
--- a/tests/command_channel_test.cpp
+++ b/tests/command_channel_test.cpp
@@ -1,4 +1,4 @@
-// The dispatch queue, probes and fencing of one machine's command channel.
+// Tests the dispatch queue, and probes and fencing of a machine's command channel.
 #include "shard/command_channel.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   return out;
 }
 
-TEST(DispatchQueue, HoldsAMachineOnceAndReturnsThemByName) {
+TEST(DispatchQueue, QueuesEachMachineOnceAndReturnsMachinesOrderedByName) {
   auto first = machine("m1");
   auto second = machine("m2");
   auto third = machine("m3");
@@ -32,7 +32,7 @@
   EXPECT_EQ(queue.take_all(), std::vector{&first});
 }
 
-TEST(CommandChannel, ProbesOfAMachineAreAnIntervalApart) {
+TEST(CommandChannel, RequestsNoProbeWithinTheProbeIntervalOfTheLastOne) {
   struct Case {
     std::optional<double> last_probe;
     bool requested;
@@ -47,16 +47,16 @@
   }
 }
 
-TEST(CommandChannel, FencingRaisesTheTokenOnceAndNotWhileABatchIsInFlight) {
+TEST(CommandChannel, FencingRaisesTheTokenOnceAndHasNoEffectWhileABatchIsInFlight) {
   struct Case {
     const char* what;
     Channel before, after;
-    bool raised, suspected;
+    bool token_raised, suspected;
   };
   const Case cases[] = {
       {"idle", Channel::kIdle, Channel::kFencing, true, true},
-      {"a batch in flight", Channel::kBusy, Channel::kBusy, false, false},
-      {"fencing already", Channel::kFencing, Channel::kFencing, false, true},
+      {"batch in flight", Channel::kBusy, Channel::kBusy, false, false},
+      {"already fencing", Channel::kFencing, Channel::kFencing, false, true},
   };
   for (const auto& entry : cases) {
     auto fenced = machine("m1");
@@ -65,13 +65,13 @@
     DispatchQueue queue;
     begin_fencing(fenced, queue, at(1));
     EXPECT_EQ(fenced.channel, entry.after) << entry.what;
-    EXPECT_EQ(fenced.token > FencingToken::first_of(Term(5)), entry.raised) << entry.what;
+    EXPECT_EQ(fenced.token > FencingToken::first_of(Term(5)), entry.token_raised) << entry.what;
     EXPECT_EQ(fenced.suspected_since.has_value(), entry.suspected) << entry.what;
-    EXPECT_EQ(queue.take_all().size(), entry.raised ? 1u : 0u) << entry.what;
+    EXPECT_EQ(queue.take_all().size(), entry.token_raised ? 1u : 0u) << entry.what;
   }
 }
 
-TEST(CommandChannel, TheSuspicionCountsFromTheFirstFencing) {
+TEST(CommandChannel, RepeatedFencingDoesNotChangeTheTimeOfTheFirstSuspicion) {
   auto fenced = machine("m1");
   DispatchQueue queue;
   begin_fencing(fenced, queue, at(1));
@@ -79,7 +79,7 @@
   EXPECT_EQ(fenced.suspected_since, at(1));
 }
 
-TEST(CommandChannel, WhatWasInFlightIsResolved) {
+TEST(CommandChannel, ResolvingInFlightCommandsEndsFencingAndAcknowledgesSentStarts) {
   auto fenced = machine("m1");
   auto task = [&](std::uint32_t index) -> MachineTask& {
     return fenced.tasks[{{JobId("run-1"), index}, Attempt(1)}];
--- a/tests/command_delivery_test.cpp
+++ b/tests/command_delivery_test.cpp
@@ -1,4 +1,4 @@
-// Which commands are sent to a machine, and what their results change.
+// Tests which commands are sent to a machine, and how their results change its state.
 #include "shard/command_delivery.h"
 
 #include "shard_state_fixture.h"
@@ -16,14 +16,14 @@
     state.dispatch_queue.push(machine);
     return CommandDelivery(state, at(kNowSeconds)).take_batches();
   }
-  // Places the task and takes the batch that starts it.
+  // Places the task and returns the batch that starts it.
   CommandBatch send_start(Machine& machine, const std::string& job) {
     place(machine, job);
     return take_batches(machine).at(0);
   }
 };
 
-TEST_F(CommandDeliveryTest, EachTaskGetsTheCommandThatItsStateCallsFor) {
+TEST_F(CommandDeliveryTest, TheStateOfATaskDeterminesItsCommand) {
   struct Case {
     const char* what;
     void (*change)(MachineTask&);
@@ -31,12 +31,13 @@
   };
   const Case cases[] = {
       {"placed", [](MachineTask& task) { task.start = Start::kQueued; }, Op::kStart},
-      {"its start in flight", [](MachineTask& task) { task.start = Start::kSent; }, std::nullopt},
+      {"start in flight", [](MachineTask& task) { task.start = Start::kSent; }, std::nullopt},
       {"running", [](MachineTask&) {}, std::nullopt},
       {"to be stopped", [](MachineTask& task) { task.stop_grace = 2; }, Op::kStop},
       {"stop sent", [](MachineTask& task) { task.stop_grace = 2, task.stop_sent = true; }, std::nullopt},
-      {"ended, not recorded", [](MachineTask& task) { task.state = TaskState::kEnded; }, std::nullopt},
-      {"ended, of no use",
+      {"ended, result not recorded yet", [](MachineTask& task) { task.state = TaskState::kEnded; },
+       std::nullopt},
+      {"ended and disposable",
        [](MachineTask& task) { task.state = TaskState::kEnded, task.is_disposable = true; }, Op::kForget},
       {"forget sent",
        [](MachineTask& task) {
@@ -59,7 +60,7 @@
   }
 }
 
-TEST_F(CommandDeliveryTest, ABatchHasATokenOfItsOwnAndNoOtherFollowsWhileItIsInFlight) {
+TEST_F(CommandDeliveryTest, EachBatchHasANewTokenAndOnlyOneBatchIsInFlight) {
   auto& machine = add_machine("m1");
   grant(job_spec("run-1", 2));
   place(machine, "run-1", 0);
@@ -72,7 +73,7 @@
   EXPECT_TRUE(take_batches(machine).empty());
 }
 
-TEST_F(CommandDeliveryTest, NothingIsSentWhereItMustNotOrCannotBe) {
+TEST_F(CommandDeliveryTest, NoBatchIsSentToAMachineThatCannotOrMustNotReceiveCommands) {
   struct Case {
     const char* what;
     void (*change)(ShardState&, Machine&);
@@ -95,7 +96,7 @@
   }
 }
 
-TEST_F(CommandDeliveryTest, ABatchHasNoMoreCommandsThanTheProtocolAllows) {
+TEST_F(CommandDeliveryTest, ABatchHasAtMostTheMaximumNumberOfCommands) {
   auto& machine = add_machine("m1");
   const std::uint32_t tasks = kMaxCommands + 2;
   grant(job_spec("run-1", tasks));
@@ -112,7 +113,7 @@
   EXPECT_TRUE(machine.tasks.empty());
 }
 
-TEST_F(CommandDeliveryTest, AProbeIsSentOnceDueAndCommandsTakeItsPlace) {
+TEST_F(CommandDeliveryTest, AProbeIsSentWhenDueUnlessThereAreCommandsToSend) {
   struct Case {
     const char* what;
     double probe_at;
@@ -122,7 +123,7 @@
   const Case cases[] = {
       {"not due", kNowSeconds + 0.1, false, 0, 0},
       {"due", kNowSeconds, false, 1, 0},
-      {"due, but there is a command", kNowSeconds, true, 1, 1},
+      {"due, with a command to send", kNowSeconds, true, 1, 1},
   };
   for (const auto& entry : cases) {
     reset();
@@ -136,17 +137,17 @@
     if (batches.empty()) continue;
     EXPECT_EQ(batches[0].commands.size(), entry.commands) << entry.what;
     EXPECT_EQ(machine.probe_under_way, !entry.has_command) << entry.what;
-    // A probe raises no token: the one that the machine has to show is the fencing token.
+    // A probe does not raise the token: the machine has to report the fencing token.
     EXPECT_EQ(batches[0].token > FencingToken::first_of(kTerm), entry.has_command) << entry.what;
   }
 }
 
-TEST_F(CommandDeliveryTest, TheResultOfABatchDecidesWhatBecomesOfItsStart) {
+TEST_F(CommandDeliveryTest, TheResultOfABatchDeterminesTheStateOfItsStart) {
   struct Case {
     const char* what;
     CommandResult result;
     Channel channel;
-    std::optional<Start> start;  // none: it is no longer on the machine
+    std::optional<Start> start;  // std::nullopt: the task is removed from the machine
     GrantedTask::Status status;
   };
   using Status = GrantedTask::Status;
@@ -199,14 +200,14 @@
     const char* what;
     bool confirmed;
     Channel channel;
-    Incarnation incarnation;  // the one that the machine has shown; the probe was for the first
+    Incarnation incarnation;  // reported by the machine; the probe was sent for incarnation 1
     std::optional<double> probe_at;
   };
   const Case cases[] = {
       {"confirmed", true, Channel::kIdle, Incarnation(1), std::nullopt},
       {"fencing", true, Channel::kFencing, Incarnation(1), kNowSeconds + 1},
       {"not confirmed", false, Channel::kIdle, Incarnation(1), kNowSeconds + 1},
-      {"its incarnation was guessed wrong", false, Channel::kIdle, Incarnation(2), kNowSeconds},
+      {"probe sent with the wrong incarnation", false, Channel::kIdle, Incarnation(2), kNowSeconds},
   };
   for (const auto& entry : cases) {
     reset();
@@ -221,7 +222,7 @@
   }
 }
 
-TEST_F(CommandDeliveryTest, StopsGoWithTheAnswerToAHeartbeatWhileCommandsDoNotReachTheMachine) {
+TEST_F(CommandDeliveryTest, HeartbeatResponsesListStopsWhileNoBatchesCanBeSent) {
   struct Case {
     const char* what;
     Channel channel;
@@ -229,8 +230,8 @@
     std::size_t stops;
   };
   const Case cases[] = {
-      {"commands reach it", Channel::kIdle, false, 0},
-      {"a batch is in flight", Channel::kBusy, false, 0},
+      {"batches can be sent", Channel::kIdle, false, 0},
+      {"batch in flight", Channel::kBusy, false, 0},
       {"fencing", Channel::kFencing, false, 1},
       {"being deleted", Channel::kIdle, true, 1},
   };
--- a/tests/estimator_test.cpp
+++ b/tests/estimator_test.cpp
@@ -1,4 +1,4 @@
-// How many tasks of a request fit on the machines of a shard.
+// Tests how many tasks of a request the estimator finds capacity for, and which machines a request allows.
 #include "shard/estimator.h"
 
 #include "shard_fixture.h"
@@ -27,7 +27,7 @@
   }
 }
 
-TEST(Estimator, CountsMatchingMachinesOnly) {
+TEST(Estimator, MachinesAreAllowedByTypeZoneAndSpot) {
   struct Case {
     const char* what;
     std::optional<std::vector<MachineType>> types;
@@ -36,15 +36,15 @@
     bool allowed;
   };
   const Case cases[] = {
-      {"any", std::nullopt, std::nullopt, false, false, true},
-      {"type", std::vector{MachineType("t4")}, std::nullopt, false, false, true},
+      {"no constraints", std::nullopt, std::nullopt, false, false, true},
+      {"matching type", std::vector{MachineType("t4")}, std::nullopt, false, false, true},
       {"other type", std::vector{MachineType("t8")}, std::nullopt, false, false, false},
-      {"no type", std::vector<MachineType>{}, std::nullopt, false, false, false},
-      {"zone", std::nullopt, Zone("a"), false, false, true},
+      {"empty list of types", std::vector<MachineType>{}, std::nullopt, false, false, false},
+      {"matching zone", std::nullopt, Zone("a"), false, false, true},
       {"other zone", std::nullopt, Zone("b"), false, false, false},
-      {"spot refused", std::nullopt, std::nullopt, true, false, false},
-      {"spot taken", std::nullopt, std::nullopt, true, true, true},
-      {"ordinary for a spot job", std::nullopt, std::nullopt, false, true, true},
+      {"spot machine for a job without spot", std::nullopt, std::nullopt, true, false, false},
+      {"spot machine for a spot job", std::nullopt, std::nullopt, true, true, true},
+      {"on-demand machine for a spot job", std::nullopt, std::nullopt, false, true, true},
   };
   for (const auto& entry : cases) {
     protocol::ResourceRequest request;
--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -1,4 +1,4 @@
-// A gang's tasks start together, and end together.
+// Tests that the tasks of a gang are placed together, and that the remaining ones are stopped if one is lost.
 #include "shard/gang_scheduling.h"
 
 #include "shard_state_fixture.h"
@@ -22,7 +22,7 @@
   }
 };
 
-TEST_F(GangSchedulingTest, IsSpreadOverMachinesUnderOneAttempt) {
+TEST_F(GangSchedulingTest, AGangIsSpreadOverMachinesUnderOneAttempt) {
   auto& first = add_machine("m1");
   auto& second = add_machine("m2");
   grant_gang(6);
@@ -34,7 +34,7 @@
     for (const auto& [key, task] : machine->tasks) EXPECT_EQ(key.attempt, Attempt(1));
 }
 
-TEST_F(GangSchedulingTest, IsNotPlacedInPart) {
+TEST_F(GangSchedulingTest, AGangIsNotPlacedPartially) {
   auto& machine = add_machine("m1");
   grant_gang(5);
   place_gang_on({&machine});
@@ -42,13 +42,13 @@
   EXPECT_TRUE(machine.tasks.empty());
   EXPECT_EQ(machine.used().cpus, 0);
   EXPECT_FALSE(state.locations.is_live_anywhere({JobId("run-1"), 0}));
-  // It may be placed as a whole later, under the same attempt.
+  // All of it may be placed later under the same attempt.
   auto& larger = add_machine("m2");
   place_gang_on({&machine, &larger});
   EXPECT_EQ(placed_tasks(), 5u);
 }
 
-TEST_F(GangSchedulingTest, IsNotStartedTwiceUnderOneAttemptNorWhenRevoked) {
+TEST_F(GangSchedulingTest, AGangIsNotStartedTwiceUnderOneAttemptOrAfterItsRevocation) {
   struct Case {
     const char* what;
     void (*change)(ShardJob&);
@@ -69,7 +69,7 @@
   }
 }
 
-TEST_F(GangSchedulingTest, OnceATaskIsLostThoseThatDoNotRunYetAreStopped) {
+TEST_F(GangSchedulingTest, LosingATaskStopsTheTasksThatAreNotRunningYet) {
   struct Case {
     TaskState state;
     bool lost, stopped;
--- a/tests/granted_jobs_test.cpp
+++ b/tests/granted_jobs_test.cpp
@@ -1,4 +1,4 @@
-// The ledger of granted tasks: what grants and recorded progress make of them.
+// Tests how grants and recorded progress determine the status of granted tasks.
 #include "shard/granted_jobs.h"
 
 #include <gtest/gtest.h>
@@ -43,23 +43,23 @@
   GrantedJobs jobs{kShard, kTerm};
 };
 
-TEST_F(GrantedJobsTest, TheTermOfAGrantDecidesWhetherItsTasksWait) {
+TEST_F(GrantedJobsTest, TheTermOfAGrantDeterminesTheInitialStatusOfItsTasks) {
   struct Case {
     const char* what;
     std::uint64_t term;
     bool reconciled;
-    std::optional<Status> status;  // none: not held by this leader
+    std::optional<Status> status;  // std::nullopt: the task is ignored by this leader
   };
   const Case cases[] = {
       {"granted to this leader", 5, false, Status::kWaiting},
       {"granted to an earlier leader", 4, false, Status::kAwaitingReconciliation},
-      {"the same after the reconciliation", 4, true, Status::kWaiting},
-      {"meant for a later leader", 6, true, std::nullopt},
+      {"granted to an earlier leader, after reconciliation", 4, true, Status::kWaiting},
+      {"granted to a later leader", 6, true, std::nullopt},
   };
   for (const auto& entry : cases) {
-    GrantedJobs ledger(kShard, kTerm);
-    auto* job = ledger.apply(kJob, job_with({chunk(1, Term(entry.term), 0, 1)}), std::nullopt,
-                             entry.reconciled, at(0));
+    GrantedJobs granted_jobs(kShard, kTerm);
+    auto* job = granted_jobs.apply(kJob, job_with({chunk(1, Term(entry.term), 0, 1)}), std::nullopt,
+                                   entry.reconciled, at(0));
     ASSERT_TRUE(job) << entry.what;
     EXPECT_EQ(!job->granted_tasks.empty(), entry.status.has_value()) << entry.what;
     if (entry.status) {
@@ -68,7 +68,7 @@
   }
 }
 
-TEST_F(GrantedJobsTest, GrantsToOtherShardsAreNotHeld) {
+TEST_F(GrantedJobsTest, GrantsToOtherShardsAreIgnored) {
   EXPECT_FALSE(apply(job_with({chunk(1, kTerm, 0, 4, ShardId(3))}), 0));
   EXPECT_FALSE(jobs.find(kJob));
   auto* job = apply(job_with({chunk(1, kTerm, 0, 4, ShardId(3)), chunk(2, kTerm, 4, 6)}), 0);
@@ -77,7 +77,7 @@
   EXPECT_EQ(job->generations, std::set{Generation(2)});
 }
 
-TEST_F(GrantedJobsTest, ARepeatedGrantKeepsTasksAndANewGenerationResetsThem) {
+TEST_F(GrantedJobsTest, ARepeatedGrantPreservesTaskStatusAndANewGenerationResetsIt) {
   auto job = job_with({chunk(1, kTerm, 0, 2)});
   apply(job, 0);
   task(0).status = Status::kPlaced;
@@ -90,19 +90,19 @@
   EXPECT_EQ(jobs.at(kJob).granted_tasks.size(), 1u);
 }
 
-TEST_F(GrantedJobsTest, RecordedProgressIsNoLongerHeld) {
+TEST_F(GrantedJobsTest, TasksInTheRecordedProgressAreNoLongerGranted) {
   auto job = job_with({chunk(1, kTerm, 0, 4)});
   job.progress[kShard] = {{Ranges::span(0, 1), {{Generation(1), Ranges::span(2, 3)}}}, Revision(7)};
-  auto* held = apply(job, 0);
-  ASSERT_TRUE(held);
-  EXPECT_EQ(held->granted_tasks.size(), 2u);
-  EXPECT_TRUE(held->works);
+  auto* shard_job = apply(job, 0);
+  ASSERT_TRUE(shard_job);
+  EXPECT_EQ(shard_job->granted_tasks.size(), 2u);
+  EXPECT_TRUE(shard_job->works);
   EXPECT_TRUE(jobs.is_durable({kJob, 0}));
   EXPECT_FALSE(jobs.is_durable({kJob, 1}));
   EXPECT_FALSE(jobs.is_durable({JobId("run-2"), 0}));
 }
 
-TEST_F(GrantedJobsTest, AnInheritedPriorityRaisesTheJobs) {
+TEST_F(GrantedJobsTest, AnInheritedPriorityRaisesThePriorityOfTheJob) {
   for (auto [own, inherited, expected] : {std::tuple{Priority::kLow, Priority::kHigh, Priority::kHigh},
                                           std::tuple{Priority::kHigh, Priority::kLow, Priority::kHigh}}) {
     auto job = job_with({chunk(1, kTerm, 0, 1)});
@@ -110,12 +110,12 @@
     spec.priority = own;
     job.record.spec = std::make_shared<const protocol::JobSpec>(spec);
     job.grants.value.chunks[0].priority = inherited;
-    GrantedJobs ledger(kShard, kTerm);
-    EXPECT_EQ(ledger.apply(kJob, job, std::nullopt, true, at(0))->record.spec->priority, expected);
+    GrantedJobs granted_jobs(kShard, kTerm);
+    EXPECT_EQ(granted_jobs.apply(kJob, job, std::nullopt, true, at(0))->record.spec->priority, expected);
   }
 }
 
-TEST_F(GrantedJobsTest, UnplacedTasksAreReleasedAfterAHeartbeatPeriodOrOnceUnwanted) {
+TEST_F(GrantedJobsTest, UnplacedTasksAreReleasedAfterTheLimitOrWhenRevokedOrCancelled) {
   struct Case {
     const char* what;
     double waited;
@@ -124,28 +124,28 @@
     Status expected;
   };
   const Case cases[] = {
-      {"has just come", 0.5, false, std::nullopt, Status::kWaiting},
-      {"has waited", 1.0, false, std::nullopt, Status::kReleased},
+      {"granted recently", 0.5, false, std::nullopt, Status::kWaiting},
+      {"waited for a heartbeat period", 1.0, false, std::nullopt, Status::kReleased},
       {"revoked", 0, true, std::nullopt, Status::kReleased},
       {"cancelled", 0, false, TerminalState::kCancelled, Status::kReleased},
   };
   for (const auto& entry : cases) {
-    GrantedJobs ledger(kShard, kTerm);
+    GrantedJobs granted_jobs(kShard, kTerm);
     auto job = job_with({chunk(1, kTerm, 0, 1)});
     job.grants.value.revoke = entry.revoked;
-    auto* held = ledger.apply(kJob, job, entry.end, true, at(0));
-    ledger.release_unplaced(kHeartbeatPeriod, at(entry.waited));
-    EXPECT_EQ(held->granted_tasks.at(0).status, entry.expected) << entry.what;
-    EXPECT_EQ(ledger.holds_no_tasks_of(kJob), entry.expected == Status::kReleased) << entry.what;
+    auto* shard_job = granted_jobs.apply(kJob, job, entry.end, true, at(0));
+    granted_jobs.release_unplaced(kHeartbeatPeriod, at(entry.waited));
+    EXPECT_EQ(shard_job->granted_tasks.at(0).status, entry.expected) << entry.what;
+    EXPECT_EQ(granted_jobs.has_no_unfinished_tasks(kJob), entry.expected == Status::kReleased) << entry.what;
   }
 }
 
 TEST_F(GrantedJobsTest, ProgressIsUnwrittenUntilItIsReadBack) {
   auto job = job_with({chunk(1, kTerm, 0, 2)});
-  auto* held = apply(job, 0);
+  auto* shard_job = apply(job, 0);
   EXPECT_TRUE(jobs.unwritten_progress().empty());
   task(0).status = Status::kDone;
-  held->mark_progress();
+  shard_job->mark_progress();
   auto progress = jobs.unwritten_progress();
   ASSERT_EQ(progress.size(), 1u);
   EXPECT_EQ(progress.at(kJob).done, Ranges::span(0, 1));
@@ -155,10 +155,10 @@
   EXPECT_TRUE(jobs.unwritten_progress().empty());
 }
 
-TEST_F(GrantedJobsTest, TheSchedulerIsNotifiedOfChangesOnceAndOfAllOnRequest) {
-  auto* held = apply(job_with({chunk(1, kTerm, 0, 2)}), 0);
+TEST_F(GrantedJobsTest, ProgressReportContainsChangesOnceAndAllUnwrittenProgressOnRequest) {
+  auto* shard_job = apply(job_with({chunk(1, kTerm, 0, 2)}), 0);
   task(1).status = Status::kReleased;
-  held->mark_progress();
+  shard_job->mark_progress();
   auto report = jobs.progress_report(false);
   ASSERT_EQ(report.size(), 1u);
   ASSERT_EQ(report[0].released.size(), 1u);
@@ -166,12 +166,12 @@
   EXPECT_EQ(report[0].released[0].tasks, Ranges::span(1, 2));
   EXPECT_TRUE(jobs.progress_report(false).empty());
   EXPECT_EQ(jobs.progress_report(true).size(), 1u);
-  held->report_health(protocol::JobHealth::kFails);
+  shard_job->report_health(protocol::JobHealth::kFails);
   EXPECT_EQ(jobs.progress_report(false).at(0).health, protocol::JobHealth::kFails);
   EXPECT_EQ(jobs.progress_report(true).at(0).health, protocol::JobHealth::kNone);
 }
 
-TEST_F(GrantedJobsTest, WaitingJobsAreVisitedAndOthersForgotten) {
+TEST_F(GrantedJobsTest, OnlyJobsWithWaitingTasksAreVisited) {
   apply(job_with({chunk(1, Term(4), 0, 2)}), 0, false);
   std::vector<JobId> visited;
   auto visit = [&](const JobId& id, const ShardJob&) { visited.push_back(id); };
@@ -186,7 +186,7 @@
   EXPECT_EQ(jobs.waiting_cpus(Priority::kProduction), 0);
   jobs.erase(kJob);
   EXPECT_TRUE(jobs.waiting().empty());
-  EXPECT_TRUE(jobs.holds_no_tasks_of(kJob));
+  EXPECT_TRUE(jobs.has_no_unfinished_tasks(kJob));
 }
 
 }  // namespace
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,33 +1,39 @@
-// Where tasks are placed: by capacity, image, priority, and gangs as a whole.
+// Tests on which machines a shard places tasks, depending on capacity, images and priority, and that it
+// places gangs as a whole.
 #include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
 
-// Found on a day when fetches took 30 to 46 s instead of 10, and two CPUs of five were held by tasks that
-// waited for their image: machines fetched many at a time, which share their rate.
-TEST(Placement, FewFetchesAtATime) {
+// Guards against machines that fetch many images at the same time and share their download rate between them:
+// fetches took 30 to 46 s instead of 10 s, and tasks that waited for their images occupied two of five CPUs.
+TEST(Placement, AMachineFetchesAtMostTwoImagesAtTheSameTime) {
   struct Case {
     const char* what;
     const char* image;
     std::uint32_t tasks;
-    bool busy;                               // c fetches a second image, and has 1 free
-    std::map<std::string, std::size_t> got;  // tasks by machine
+    bool c_fetches_two;                         // c also fetches `other`, and has 1 CPU free
+    std::map<std::string, std::size_t> placed;  // tasks by machine
   };
-  // a holds `img` and has 3 CPUs free, b is empty (4), c fetches `coming` and has 2 free, d holds `img` (3).
+  // a: `img` is cached, 3 CPUs free. b: no images, 4 CPUs free. c: fetches `coming`, 2 CPUs free. d: `img` is
+  // cached, 3 CPUs free.
   const Case cases[] = {
-      {"where the image is, the fullest first", "img", 4, false, {{"a", 3}, {"d", 1}}},
-      {"then where it's being fetched", "coming", 2, false, {{"c", 2}}},
-      {"that's no further fetch", "coming", 1, true, {{"c", 1}}},
-      {"then where nothing is being fetched", "new", 7, false, {{"a", 3}, {"d", 3}, {"b", 1}}},
-      {"beside another fetch at last", "new", 14, false, {{"a", 3}, {"d", 3}, {"b", 4}, {"c", 2}}},
-      {"never beside two", "new", 14, true, {{"a", 3}, {"d", 3}, {"b", 4}}},
+      {"machines with the cached image first, the fullest first", "img", 4, false, {{"a", 3}, {"d", 1}}},
+      {"then machines that fetch the image", "coming", 2, false, {{"c", 2}}},
+      {"joining a fetch does not count towards the limit", "coming", 1, true, {{"c", 1}}},
+      {"then machines that fetch nothing", "new", 7, false, {{"a", 3}, {"d", 3}, {"b", 1}}},
+      {"then machines that fetch one other image",
+       "new",
+       14,
+       false,
+       {{"a", 3}, {"d", 3}, {"b", 4}, {"c", 2}}},
+      {"never machines that fetch two other images", "new", 14, true, {{"a", 3}, {"d", 3}, {"b", 4}}},
   };
   for (const auto& entry : cases) {
     ShardFixture fixture;
     for (const char* name : {"a", "b", "c", "d"}) fixture.worker(name);
-    auto has = [&](const char* name, const char* job, const char* image, std::uint32_t tasks,
-                   TaskState state) {
+    auto add_running_tasks = [&](const char* name, const char* job, const char* image, std::uint32_t tasks,
+                                 TaskState state) {
       auto job_spec = *spec(job, tasks);
       job_spec.image = ImageName(image);
       fixture.jobs[job].record = {std::make_shared<const protocol::JobSpec>(job_spec), WallMs(0)};
@@ -36,10 +42,10 @@
       fixture.grant(job, tasks, 5, 0);
     };
     fixture.register_all(0);
-    has("a", "run-1", "img", 1, TaskState::kRunning);
-    has("c", "run-2", "coming", 2, TaskState::kFetching);
-    has("d", "run-3", "img", 1, TaskState::kRunning);
-    if (entry.busy) has("c", "run-4", "other", 1, TaskState::kFetching);
+    add_running_tasks("a", "run-1", "img", 1, TaskState::kRunning);
+    add_running_tasks("c", "run-2", "coming", 2, TaskState::kFetching);
+    add_running_tasks("d", "run-3", "img", 1, TaskState::kRunning);
+    if (entry.c_fetches_two) add_running_tasks("c", "run-4", "other", 1, TaskState::kFetching);
     for (auto& [name, worker] : fixture.workers) fixture.heartbeat(name.c_str(), 0.1);
     auto job_spec = *spec("run-9", entry.tasks);
     job_spec.image = ImageName(entry.image);
@@ -49,25 +55,26 @@
     fixture.jobs["run-9"].record = {std::make_shared<const protocol::JobSpec>(job_spec), WallMs(0)};
     fixture.grant("run-9", entry.tasks, 5, 0.2);
     fixture.tick(0.2);
-    std::map<std::string, std::size_t> got;
+    std::map<std::string, std::size_t> placed;
     for (auto& batch : fixture.shard.take_command_batches(at(0.2)))
       for (auto& command : batch.commands)
-        if (command.task.job == JobId("run-9")) ++got[batch.machine.value()];
-    EXPECT_EQ(got, entry.got) << entry.what;
-    // The shard offers no capacity that it then doesn't use.
-    for (const auto& [name, tasks] : got) expected += static_cast<std::uint32_t>(tasks);
+        if (command.task.job == JobId("run-9")) ++placed[batch.machine.value()];
+    EXPECT_EQ(placed, entry.placed) << entry.what;
+    // The capacity in the estimate must match the capacity that the shard then uses.
+    for (const auto& [name, tasks] : placed) expected += static_cast<std::uint32_t>(tasks);
     EXPECT_EQ(std::min(free, entry.tasks), expected) << entry.what;
   }
 }
 
-TEST(Placement, TheFullestMachineThatFitsAndHoldsTheImageIsTaken) {
+TEST(Placement, TheFullestMachineWithTheCachedImageIsChosen) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1", "m2", "m3"});
   fixture.grant("run-1", 1, 5, 0);
   fixture.tick(0);
   auto first = fixture.execute_commands(0);
   ASSERT_EQ(first.size(), 1u);
-  // The next task follows it: that machine is the fullest and holds the image now.
+  // The next tasks are placed on the same machine up to its capacity: it is now the fullest, and has the
+  // image cached.
   fixture.grant("run-2", 4, 5, 1);
   fixture.tick(1);
   std::map<std::string, int> on;
@@ -77,14 +84,14 @@
   EXPECT_EQ(on["m2"] + on["m3"], 1);
 }
 
-TEST(Preemption, StopsWhatLosesLeastAndOnlyLowerPriority) {
+TEST(Preemption, StopsTheLowerPriorityTaskThatLosesTheLeastWork) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant("run-1", 3, 5, 0);
   fixture.tick(0);
   fixture.execute_commands(0);
   for (int time_s = 1; time_s <= 9; ++time_s) fixture.heartbeat("m1", time_s);
-  fixture.grant("run-2", 1, 5, 9);  // the youngest loses least
+  fixture.grant("run-2", 1, 5, 9);  // the most recent task loses the least work
   fixture.tick(9);
   fixture.execute_commands(9);
   fixture.heartbeat("m1", 9.5);
@@ -99,15 +106,15 @@
   for (auto& command : fixture.execute_commands(10.1))
     started |= command.op == protocol::Command::Op::kStart && command.task.job == JobId("run-3");
   EXPECT_TRUE(started);
-  // Work of the same priority is left alone.
+  // Tasks of the same priority are not stopped.
   fixture.grant("run-4", 1, 5, 11, Priority::kNormal, true);
   fixture.tick(11);
   for (auto& command : fixture.execute_commands(11)) EXPECT_NE(command.op, protocol::Command::Op::kStop);
 }
 
-// Found on days when services with the right to preempt waited for a second or two, some of them several
-// times over: the capacity freed for one of them passed for that of the next as well, which then waited for
-// it in vain.
+// Guards against capacity that is freed for one task being counted for the next one as well, which then waits
+// for it in vain. Services that may preempt were delayed by a second or two this way, some of them several
+// times.
 TEST(Preemption, CapacityFreedForOneTaskIsNotReservedTwice) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
@@ -128,7 +135,7 @@
   EXPECT_EQ(started, (std::set{JobId("run-2"), JobId("run-3")}));
 }
 
-TEST(Gang, IsPlacedAsAWholeOrNotAtAll) {
+TEST(Gang, AllTasksOfAGangArePlacedOrNone) {
   for (std::uint32_t tasks : {4u, 5u}) {
     ShardFixture fixture;
     fixture.add_ready_workers({"m1"});
@@ -141,13 +148,13 @@
   }
 }
 
-TEST(Gang, ALostTaskEndsTheAttempt) {
+TEST(Gang, LosingATaskStopsAndReleasesTheWholeGang) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1", "m2"});
   fixture.grant_gang("run-1", 6, 0);
   fixture.tick(0);
   EXPECT_EQ(fixture.execute_commands(0).size(), 6u);
-  // All wait for an image still; one machine is deleted.
+  // All tasks still wait for their image when one machine is deleted.
   auto& rest = fixture.worker("m2");
   for (auto& task : rest.tasks) task.state = TaskState::kWaiting;
   fixture.heartbeat("m2", 1);
@@ -156,14 +163,14 @@
   auto commands = fixture.execute_commands(1.6);
   EXPECT_EQ(commands.size(), rest.tasks.size());
   for (auto& command : commands) EXPECT_EQ(command.op, protocol::Command::Op::kStop);
-  // It isn't started again under this attempt, but released as a whole.
+  // The gang is not started again under this attempt, but released as a whole.
   fixture.tick(3);
   for (auto& command : fixture.execute_commands(3)) EXPECT_NE(command.op, protocol::Command::Op::kStart);
   fixture.record(3);
   EXPECT_TRUE(fixture.jobs["run-1"].outstanding().empty());
 }
 
-TEST(Gang, ARevocationStopsAllOfItWithTimeToSave) {
+TEST(Gang, ARevocationStopsAllTasksWithTimeToSave) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant_gang("run-1", 3, 0);
@@ -182,13 +189,14 @@
   EXPECT_TRUE(fixture.jobs["run-1"].outstanding().empty());
 }
 
-// A step of a pipeline has the priority of the jobs that need it: by its own it could preempt nothing, and
-// what was started under the inherited one isn't stopped for less.
-TEST(Placement, AnInheritedPriorityCountsInTheShard) {
+// A step of a pipeline has the priority of the jobs that depend on it. With its own lower priority it could
+// preempt nothing; and a task that was started under the inherited priority is not stopped for one of lower
+// priority.
+TEST(Placement, AnInheritedPriorityAllowsPreemption) {
   for (bool inherited : {false, true}) {
     ShardFixture fixture;
     fixture.add_ready_workers({"m1"});
-    fixture.grant("run-1", 4, 5, 0);  // normal, fills the machine
+    fixture.grant("run-1", 4, 5, 0);  // normal priority, fills the machine
     fixture.tick(0);
     fixture.execute_commands(0);
     fixture.heartbeat("m1", 0.5);
--- a/tests/placer_test.cpp
+++ b/tests/placer_test.cpp
@@ -1,4 +1,4 @@
-// Which waiting tasks are placed in one pass, and on which machines.
+// Tests which waiting tasks are placed in one pass, and on which machines.
 #include "shard/placer.h"
 
 #include "shard_state_fixture.h"
@@ -21,7 +21,7 @@
   }
 };
 
-TEST_F(PlacerTest, TheHigherPriorityGoesFirstThenTheEarlierDeadline) {
+TEST_F(PlacerTest, JobsArePlacedByPriorityThenByDeadline) {
   struct Case {
     const char* what;
     Priority first_priority, second_priority;
@@ -33,7 +33,7 @@
       {"a lower priority", Priority::kLow, Priority::kNormal, 100, 900, false},
       {"an earlier deadline", Priority::kNormal, Priority::kNormal, 100, 900, true},
       {"a later deadline", Priority::kNormal, Priority::kNormal, 900, 100, false},
-      {"equals by name", Priority::kNormal, Priority::kNormal, 100, 100, true},
+      {"equal, ordered by job id", Priority::kNormal, Priority::kNormal, 100, 100, true},
   };
   for (const auto& entry : cases) {
     reset();
@@ -52,29 +52,29 @@
   }
 }
 
-TEST_F(PlacerTest, OfEqualPriorityTasksThatFindTheirImageGoFirst) {
+TEST_F(PlacerTest, TasksWithACachedImageArePlacedFirstAmongEqualPriorities) {
   auto& machine = add_machine("m1");
   machine.total = {1, 0, 16};
   machine.images.use(ImageName("cached"), 1, at(0));
-  auto fetches = job_spec("run-1", 1);
-  fetches.deadline_s = 100;
+  auto uncached = job_spec("run-1", 1);
+  uncached.deadline_s = 100;
   auto cached = job_spec("run-2", 1);
   cached.image = ImageName("cached");
   cached.deadline_s = 900;
-  grant(fetches);
+  grant(uncached);
   grant(cached);
   place_all();
   EXPECT_FALSE(is_placed("run-1"));
   EXPECT_TRUE(is_placed("run-2"));
 }
 
-TEST_F(PlacerTest, TheFullestMachineThatFitsIsTaken) {
+TEST_F(PlacerTest, TheFullestMachineWithCapacityIsChosen) {
   auto& fuller = add_machine("m2");
   add_machine("m1");
   grant(job_spec("run-1", 2));
   run(fuller, "run-1", 0);
   run(fuller, "run-1", 1);
-  // Cached on both, so that the image doesn't decide.
+  // The image is cached on both machines, so that it does not determine the choice.
   for (auto& [name, machine] : state.machines) machine.images.use(ImageName("img"), 1, at(0));
   grant(job_spec("run-2", 3));
   place_all();
@@ -83,7 +83,7 @@
   EXPECT_EQ(granted_task("run-2", 2).machine, MachineName("m1"));
 }
 
-TEST_F(PlacerTest, ATaskBoundToAZoneIsPlacedThereOnly) {
+TEST_F(PlacerTest, ATaskRestrictedToAZoneIsPlacedOnlyThere) {
   add_machine("m1", "a");
   grant(job_spec("run-1", 1), Zone("b"));
   place_all();
@@ -93,7 +93,7 @@
   EXPECT_EQ(granted_task("run-1").machine, MachineName("m2"));
 }
 
-TEST_F(PlacerTest, ATaskThatAnyMachineStillListsIsNotStarted) {
+TEST_F(PlacerTest, ATaskThatIsLiveOnAnyMachineIsNotStarted) {
   for (bool ended : {false, true}) {
     reset();
     auto& machine = add_machine("m1");
@@ -107,14 +107,14 @@
   }
 }
 
-TEST_F(PlacerTest, NothingOfAJobThatHasEndedIsPlaced) {
+TEST_F(PlacerTest, TasksOfACancelledJobAreNotPlaced) {
   add_machine("m1");
   grant(job_spec("run-1", 1)).terminal_state = state_store::TerminalState::kCancelled;
   place_all();
   EXPECT_FALSE(is_placed("run-1"));
 }
 
-TEST_F(PlacerTest, MachinesOnWhichAJobFailedLatelyAreAvoidedByIt) {
+TEST_F(PlacerTest, AJobIsNotPlacedOnMachinesOnWhichItFailedRecently) {
   add_machine("m1");
   grant(job_spec("run-1", 1));
   grant(job_spec("run-2", 1));
@@ -124,7 +124,7 @@
   EXPECT_TRUE(is_placed("run-2"));
 }
 
-TEST_F(PlacerTest, AJobThatFailsEverywhereIsTriedByOneTaskAfterItsBackoff) {
+TEST_F(PlacerTest, AJobThatFailsOnAllMachinesIsRetriedWithOneTaskAfterItsBackoff) {
   add_machine("m3");
   grant(job_spec("run-1", 3));
   for (const char* machine : {"m1", "m2"})
@@ -133,11 +133,11 @@
   EXPECT_EQ(placed_tasks("run-1"), 0u);
   place_all(kNowSeconds + 1);
   EXPECT_EQ(placed_tasks("run-1"), 1u);
-  place_all(kNowSeconds + 1);  // that one is under way
+  place_all(kNowSeconds + 1);  // the task that was placed is still live
   EXPECT_EQ(placed_tasks("run-1"), 1u);
 }
 
-TEST_F(PlacerTest, ATaskThatMayPreemptWaitsForTheCapacityFreedForIt) {
+TEST_F(PlacerTest, ATaskIsPlacedOnTheMachineOnWhichCapacityWasFreedForIt) {
   auto& machine = add_machine("m1");
   grant(job_spec("run-1", 4));
   for (std::uint32_t index = 0; index < 4; ++index) run(machine, "run-1", index);
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -1,4 +1,4 @@
-// Which work is preempted for a task, and what is reserved for it meanwhile.
+// Tests which tasks are preempted for a task of higher priority, and the reservation of the freed capacity.
 #include "shard/preemption.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   return std::make_shared<const protocol::JobSpec>(out);
 }
 
-// A shard of machines with two CPUs each, and a granted task of high priority. Now is 100 s.
+// A shard whose machines have two CPUs each, with one granted task of high priority. The time is 100 s.
 struct PreemptionTest : testing::Test {
   PreemptionTest() { grant(kUrgentJob); }
 
@@ -54,31 +54,31 @@
     return task;
   }
   GrantedTask& task_of(const JobId& id) { return state.jobs.at(id).granted_tasks.at(0); }
-  bool make_room_for(Preemption& preemption, const JobId& id) {
-    return preemption.make_room_for(state.jobs.at(id), task_of(id), ImagePolicy::kMayFetch);
+  bool free_capacity_for(Preemption& preemption, const JobId& id) {
+    return preemption.free_capacity_for(state.jobs.at(id), task_of(id), ImagePolicy::kMayFetch);
   }
 
   ShardState state{ShardId(0), Term(5), params(), at(0)};
 };
 
-TEST_F(PreemptionTest, TheWorkThatLosesLeastIsStopped) {
+TEST_F(PreemptionTest, TheTaskThatLosesTheLeastWorkIsStopped) {
   add_machine("m1");
   add_machine("m2");
   const auto& longest = run("m1", "run-1", 10);
-  const auto& longer = run("m1", "run-2", 50);
+  const auto& second_longest = run("m1", "run-2", 50);
   const auto& shortest = run("m2", "run-3", 90);
-  const auto& short_one = run("m2", "run-4", 80);
+  const auto& second_shortest = run("m2", "run-4", 80);
   Preemption preemption(state, at(100));
-  EXPECT_TRUE(make_room_for(preemption, kUrgentJob));
+  EXPECT_TRUE(free_capacity_for(preemption, kUrgentJob));
   EXPECT_TRUE(shortest.stop_grace);
-  EXPECT_FALSE(longest.stop_grace || longer.stop_grace || short_one.stop_grace);
+  EXPECT_FALSE(longest.stop_grace || second_longest.stop_grace || second_shortest.stop_grace);
   EXPECT_EQ(task_of(kUrgentJob).preemption_target, MachineName("m2"));
   EXPECT_FALSE(task_of(kUrgentJob).preempt);
   EXPECT_TRUE(awaits_preemption(task_of(kUrgentJob), params().heartbeat_period, at(100.9)));
   EXPECT_FALSE(awaits_preemption(task_of(kUrgentJob), params().heartbeat_period, at(101)));
 }
 
-TEST_F(PreemptionTest, NothingIsStoppedWhereItIsNotAllowed) {
+TEST_F(PreemptionTest, OnlyTasksOfLowerPriorityOutsideGangsAreStopped) {
   struct Case {
     const char* what;
     Priority priority;
@@ -89,7 +89,7 @@
       {"lower priority", Priority::kNormal, JobKind::kArray, true},
       {"the same priority", Priority::kHigh, JobKind::kArray, false},
       {"higher priority", Priority::kProduction, JobKind::kArray, false},
-      {"a gang: one task less stops them all", Priority::kNormal, JobKind::kGang, false},
+      {"a gang, which losing a task would stop as a whole", Priority::kNormal, JobKind::kGang, false},
   };
   for (const auto& entry : cases) {
     state = ShardState(ShardId(0), Term(5), params(), at(0));
@@ -98,27 +98,27 @@
     const auto& first = run("m1", "run-1", 10, entry.priority, entry.kind);
     const auto& second = run("m1", "run-2", 10, entry.priority, entry.kind);
     Preemption preemption(state, at(100));
-    EXPECT_EQ(make_room_for(preemption, kUrgentJob), entry.preempted) << entry.what;
+    EXPECT_EQ(free_capacity_for(preemption, kUrgentJob), entry.preempted) << entry.what;
     EXPECT_EQ(first.stop_grace || second.stop_grace, entry.preempted) << entry.what;
   }
 }
 
-TEST_F(PreemptionTest, WhatIsFreedForOneTaskIsNotCountedForAnother) {
+TEST_F(PreemptionTest, CapacityFreedForOneTaskIsNotCountedForAnother) {
   const JobId second_job("run-urgent-2");
   grant(second_job);
   add_machine("m1");
   const auto& first = run("m1", "run-1", 10);
   const auto& second = run("m1", "run-2", 20);
   Preemption preemption(state, at(100));
-  EXPECT_TRUE(make_room_for(preemption, kUrgentJob));
+  EXPECT_TRUE(free_capacity_for(preemption, kUrgentJob));
   EXPECT_TRUE(second.stop_grace);
   EXPECT_FALSE(first.stop_grace);
-  EXPECT_TRUE(make_room_for(preemption, second_job));
+  EXPECT_TRUE(free_capacity_for(preemption, second_job));
   EXPECT_TRUE(first.stop_grace);
-  // In a later pass as well, from the targets of the waiting tasks.
+  // A later pass computes the same reservations from the preemption targets of the waiting tasks.
   grant(JobId("run-urgent-3"));
   Preemption later(state, at(100.5));
-  EXPECT_FALSE(make_room_for(later, JobId("run-urgent-3")));
+  EXPECT_FALSE(free_capacity_for(later, JobId("run-urgent-3")));
 }
 
 }  // namespace
--- a/tests/sim/heartbeats.cpp
+++ b/tests/sim/heartbeats.cpp
@@ -27,9 +27,9 @@
 protocol::Heartbeat Heartbeats::next(int to, const Known& known, Instant now) {
   protocol::Heartbeat heartbeat;
   heartbeat.sequence = ++sequence_;
-  heartbeat.echo = cancellation_barrier_.received(controller_name(to));
+  heartbeat.echo = cancellation_barrier_.last_received_sequence(controller_name(to));
   heartbeat.cancellation_sync =
-      cancellation_barrier_.outgoing(controller_name(to), heartbeat.sequence, known, now);
+      cancellation_barrier_.prepare_sync(controller_name(to), heartbeat.sequence, known, now);
   return heartbeat;
 }
 
@@ -40,12 +40,12 @@
     if (shard_term.term > leader.term) leader = {from, shard_term.term};
   }
   return cancellation_barrier_.on_heartbeat(controller_name(from), heartbeat, known, now) ==
-         shard::CancellationBarrier::NextHeartbeat::kAtOnce;
+         shard::CancellationBarrier::NextHeartbeat::kImmediate;
 }
 
 bool Heartbeats::reachable(int controller, Instant now) const {
   if (controller == controller_) return true;
-  auto echoed = cancellation_barrier_.echoed(controller_name(controller));
+  auto echoed = cancellation_barrier_.last_echoed_sent_at(controller_name(controller));
   return echoed && now - *echoed < kFresh;
 }
 
--- a/tests/sim/heartbeats.h
+++ b/tests/sim/heartbeats.h
@@ -12,7 +12,7 @@
 
 class Heartbeats {
  public:
-  using Known = shard::CancellationBarrier::Known;
+  using Known = shard::CancellationBarrier::LocalView;
   Heartbeats(int controller, WallMs began, Instant now);
 
   // The next heartbeat for that controller. The sender adds the shards that it leads.
--- a/tests/task_locations_test.cpp
+++ b/tests/task_locations_test.cpp
@@ -1,4 +1,4 @@
-// The index of tasks by machine stays consistent with the machines' tasks.
+// Tests that the index of task locations stays consistent with the tasks of each machine.
 #include "shard/task_locations.h"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
   EXPECT_EQ(first.tasks.size(), 1u);
 }
 
-TEST_F(TaskLocationsTest, AJobIsVisitedOnAllMachinesAndNoOtherJobIs) {
+TEST_F(TaskLocationsTest, VisitsTheTasksOfOneJobOnAllMachines) {
   locations.put(first, key("run-1", 0, 1));
   locations.put(first, key("run-1", 7, 2));
   locations.put(second, key("run-1", 3, 3));
@@ -52,7 +52,7 @@
   EXPECT_TRUE(visits_of("run-2").empty());
 }
 
-TEST_F(TaskLocationsTest, AMachineThatListsTwoAttemptsIsVisitedOnceForEach) {
+TEST_F(TaskLocationsTest, VisitsEachOfTwoAttemptsOnAMachineOnce) {
   locations.put(first, key("run-1", 0, 1));
   locations.put(first, key("run-1", 0, 2));
   EXPECT_EQ(visits_of("run-1"), (Visits{{"m1", key("run-1", 0, 1)}, {"m1", key("run-1", 0, 2)}}));
