--- a/src/controller/registry_sync.cpp
+++ b/src/controller/registry_sync.cpp
@@ -28,7 +28,7 @@
 
 void RegistrySync::on_view(ShardId id, LedShard& shard) const {
   if (!shard.registry_read) return;
-  shard.manager->on_registry(state_store::registered_machines(ctx_.view(), id), ctx_.now());
+  shard.manager->on_registry_read(state_store::registered_machines(ctx_.view(), id), ctx_.now());
 }
 
 void RegistrySync::write(ShardId id, LedShard& shard) {
--- a/src/shard/command_delivery.cpp
+++ b/src/shard/command_delivery.cpp
@@ -37,8 +37,8 @@
 CommandBatch CommandDelivery::probe_batch(Machine& machine) {
   machine.probe_at.reset();
   machine.last_probe_at = now_;
-  machine.probe_under_way = true;
-  machine.on_sent(now_);
+  machine.probe_in_flight = true;
+  machine.on_command_sent(now_);
   return {machine.name, machine.address, std::max(machine.incarnation, Incarnation(1)), machine.token, {}};
 }
 
@@ -55,7 +55,7 @@
   machine.token = machine.token.raised();
   batch.token = machine.token;
   machine.channel = Machine::Channel::kBusy;
-  machine.on_sent(now_);
+  machine.on_command_sent(now_);
   return batch;
 }
 
@@ -92,12 +92,12 @@
   if (result == CommandResult::kNoAnswer) {
     if (machine.unanswered_since) ++machine.unanswered;
   } else {
-    machine.forget_unanswered();
+    machine.reset_unanswered();
     machine.last_command_answer_at = now_;
     state_.failure_detector.on_commands_answered(machine.zone, now_);
   }
   if (batch.commands.empty()) {
-    machine.probe_under_way = false;
+    machine.probe_in_flight = false;
     return;
   }
   // The tasks of an earlier incarnation have been dropped already.
--- a/src/shard/estimator.cpp
+++ b/src/shard/estimator.cpp
@@ -50,8 +50,8 @@
 std::uint32_t available_tasks(const Machine& machine, const protocol::ResourceRequest& request,
                               const PackingRules& rules, LowerPriorityWork lower) {
   bool preempt = lower == LowerPriorityWork::kPreempted;
-  Resources idle = machine.total - (preempt ? machine.used_from(request.priority) : machine.used());
-  auto tasks = preempt ? machine.tasks_from(request.priority) : machine.live_tasks();
+  Resources idle = machine.total - (preempt ? machine.used_at_or_above(request.priority) : machine.used());
+  auto tasks = preempt ? machine.task_count_at_or_above(request.priority) : machine.live_task_count();
   auto by_resources = tasks_that_fit(without_reserve(idle, machine.total, request, rules), request.each);
   auto by_cap = tasks >= rules.task_cap ? 0 : rules.task_cap - static_cast<std::uint32_t>(tasks);
   return std::min(by_resources, by_cap);
@@ -103,7 +103,7 @@
 
 bool has_capacity(const Machine& machine, const PackingRules& rules) {
   auto idle = machine.total - machine.used();
-  return idle.cpus > 0 && idle.memory_gb > 0 && machine.live_tasks() < rules.task_cap;
+  return idle.cpus > 0 && idle.memory_gb > 0 && machine.live_task_count() < rules.task_cap;
 }
 
 std::vector<Machine*> choose_machines(const std::vector<Machine*>& machines,
--- a/src/shard/failure_attribution.cpp
+++ b/src/shard/failure_attribution.cpp
@@ -5,48 +5,50 @@
 namespace beaconsill::shard {
 namespace {
 
-// A failure counts for so long.
+// How long a failure counts.
 constexpr Duration kFailureRetention = std::chrono::seconds(60);
-// Jobs known to work that fail on one machine: it is the machine.
-constexpr std::size_t kWorkingJobs = 2;
-// The same of jobs of which nothing is known: too many to be submitted with a mistake each.
-constexpr std::size_t kUnknownJobs = 5;
-// Of these, so many are reason enough to use other machines first.
-constexpr std::size_t kSuspectedFromJobs = 2;
+// If this many jobs that are known to work fail on one machine, the machine is faulty.
+constexpr std::size_t kFaultyAfterWorkingJobs = 2;
+// If this many jobs fail on one machine, none of which fails everywhere, the machine is faulty: it is
+// unlikely that each of them was submitted with a mistake.
+constexpr std::size_t kFaultyAfterUnexplainedJobs = 5;
+// If this many such jobs fail on one machine, other machines are preferred for kSuspicionPeriod.
+constexpr std::size_t kSuspectedAfterJobs = 2;
 constexpr Duration kSuspicionPeriod = std::chrono::seconds(10);
-// Machines on which a job fails while it works on none: it is the job.
-constexpr std::size_t kFailsOnMachines = 2;
-constexpr Duration kFirstBackoff = std::chrono::seconds(1);
-constexpr Duration kLongestBackoff = std::chrono::seconds(30);
+// If a job fails on this many machines and works on none, the failure is attributed to the job.
+constexpr std::size_t kJobFailsAfterMachines = 2;
+constexpr Duration kInitialBackoff = std::chrono::seconds(1);
+constexpr Duration kMaxBackoff = std::chrono::seconds(30);
 
 }  // namespace
 
-void FailureAttribution::on_failed(const MachineName& machine, const JobId& id, bool works, Instant now) {
-  forget_old(now);
+void FailureAttribution::on_task_failed(const MachineName& machine, const JobId& id, bool works,
+                                        Instant now) {
+  erase_expired(now);
   failures_by_machine_[machine][id] = now;
   auto& job = jobs_[id];
   job.failed_on[machine] = job.last_failure = now;
   job.works = job.works || works;
-  // All tasks of a large array fail within moments: that counts once.
+  // All tasks of a large array can fail almost simultaneously. These failures extend the backoff only once.
   if (!fails_everywhere(job) || (job.retry_at && now < *job.retry_at)) return;
-  job.backoff = std::clamp(2 * job.backoff, kFirstBackoff, kLongestBackoff);
+  job.backoff = std::clamp(2 * job.backoff, kInitialBackoff, kMaxBackoff);
   job.retry_at = now + job.backoff;
 }
 
-void FailureAttribution::on_worked(const MachineName& machine, const JobId& job, Instant placed) {
+void FailureAttribution::on_task_succeeded(const MachineName& machine, const JobId& job, Instant placed) {
   if (auto failures = failures_by_machine_.find(machine); failures != failures_by_machine_.end()) {
     std::erase_if(failures->second, [&](const auto& failure) { return failure.second <= placed; });
     if (failures->second.empty()) failures_by_machine_.erase(failures);
   }
-  on_job_works(job);
+  mark_job_working(job);
 }
 
-void FailureAttribution::on_job_works(const JobId& id) {
+void FailureAttribution::mark_job_working(const JobId& id) {
   if (auto job = jobs_.find(id); job != jobs_.end()) job->second.works = true;
 }
 
 bool FailureAttribution::fails_everywhere(const Job& job) {
-  return !job.works && job.failed_on.size() >= kFailsOnMachines;
+  return !job.works && job.failed_on.size() >= kJobFailsAfterMachines;
 }
 
 bool FailureAttribution::is_machine_faulty(const MachineName& machine) const {
@@ -62,10 +64,10 @@
       ++unknown;
     }
   }
-  return working >= kWorkingJobs || working + unknown >= kUnknownJobs;
+  return working >= kFaultyAfterWorkingJobs || working + unknown >= kFaultyAfterUnexplainedJobs;
 }
 
-std::optional<Instant> FailureAttribution::suspect_until(const MachineName& machine) const {
+std::optional<Instant> FailureAttribution::suspected_until(const MachineName& machine) const {
   auto failures = failures_by_machine_.find(machine);
   if (failures == failures_by_machine_.end()) return std::nullopt;
   std::size_t unexplained = 0;
@@ -75,11 +77,11 @@
     ++unexplained;
     last_failure = last_failure ? std::max(*last_failure, when) : when;
   }
-  if (!last_failure || unexplained < kSuspectedFromJobs) return std::nullopt;
+  if (!last_failure || unexplained < kSuspectedAfterJobs) return std::nullopt;
   return *last_failure + kSuspicionPeriod;
 }
 
-bool FailureAttribution::job_fails(const JobId& id, Instant now) const {
+bool FailureAttribution::is_job_failing(const JobId& id, Instant now) const {
   auto job = jobs_.find(id);
   return job != jobs_.end() && now - job->second.last_failure < kFailureRetention &&
          fails_everywhere(job->second);
@@ -100,9 +102,10 @@
   return out;
 }
 
-// All entries of a job are erased together, so that each failure on a machine has its job.
-void FailureAttribution::forget_old(Instant now) {
-  // Hundreds of tasks of an array fail within moments, and hardly ever has anything become old.
+// All entries of a job are erased together, so that the job of each failure on a machine remains in `jobs_`.
+void FailureAttribution::erase_expired(Instant now) {
+  // Skips the pass over all machines if no job has expired, which is the common case when hundreds of tasks
+  // of an array fail almost simultaneously.
   if (std::erase_if(jobs_,
                     [&](const auto& job) { return now - job.second.last_failure >= kFailureRetention; }) == 0)
     return;
--- a/src/shard/failure_detector.cpp
+++ b/src/shard/failure_detector.cpp
@@ -7,20 +7,23 @@
 namespace beaconsill::shard {
 namespace {
 
-// In heartbeat periods: one that takes longer is late.
+// A machine is suspected if its next heartbeat takes longer than this many heartbeat periods.
 constexpr double kSuspicionPeriods = 1.6;
-// After so many heartbeat periods without contact a machine gets no new tasks.
+// A machine without contact for this many heartbeat periods gets no new tasks.
 constexpr int kContactTimeoutPeriods = 3;
-// So many commands or probes in a row without an answer count; a single one may have been lost.
-constexpr std::size_t kUnansweredProbes = 2;
-// From so many suspected machines of a zone on, if they are more than one in kManySuspectedOneIn of it,
-// single failures don't explain it.
-constexpr std::size_t kManySuspected = 3;
-constexpr std::size_t kManySuspectedOneIn = 4;
-// The same of unreachable machines, for a zone that counts as partitioned.
-constexpr std::size_t kManyUnreachable = 3;
-constexpr std::size_t kManyUnreachableOneIn = 2;
-// Allowed to a machine after a failover: it is probed at once, but may be there and not reachable yet.
+// A machine can count as hung after this many commands or probes in a row without an answer: a single one may
+// have been lost.
+constexpr std::size_t kHungAfterUnanswered = 2;
+// If at least kMassSuspicionMinMachines machines of a zone, and more than one in kMassSuspicionDivisor, are
+// suspected at the same time, independent failures of machines don't explain it.
+constexpr std::size_t kMassSuspicionMinMachines = 3;
+constexpr std::size_t kMassSuspicionDivisor = 4;
+// A zone counts as partitioned if at least kPartitionMinMachines of its machines, and more than one in
+// kPartitionDivisor, are unreachable.
+constexpr std::size_t kPartitionMinMachines = 3;
+constexpr std::size_t kPartitionDivisor = 2;
+// Additional time for a machine after a failover: it is probed at once, but may be alive and not reachable
+// yet.
 constexpr Duration kFailoverGracePeriod = std::chrono::seconds(2);
 
 }  // namespace
@@ -51,12 +54,12 @@
 
 void FailureDetector::set_timeouts(Machine& machine) const {
   machine.contact_timeout = params_.heartbeat_period * kContactTimeoutPeriods;
-  machine.own_heartbeat_timeout = std::max(machine.contact_timeout, params_.lease / 2);
+  machine.unsolicited_heartbeat_timeout = std::max(machine.contact_timeout, params_.lease / 2);
 }
 
 void FailureDetector::on_process_pause(Machines& machines, Instant now) {
   observing_since_ = now;
-  for (auto& [name, machine] : machines) machine.forget_unanswered();
+  for (auto& [name, machine] : machines) machine.reset_unanswered();
 }
 
 bool FailureDetector::is_suspected(const Machine& machine, Instant now) const {
@@ -64,15 +67,15 @@
          (machine.suspected_since && now - *machine.suspected_since > suspicion_timeout());
 }
 
-// A late machine is probed at its own address, since a heartbeat can be late for reasons that are not its
-// own: a worker that waited in vain for another controller's answer takes seconds to come here.
+// A late machine is probed at its own address, since a heartbeat can be late although the machine is healthy:
+// a worker that waits in vain for the answer of another controller needs seconds before it contacts this one.
 std::vector<Machine*> FailureDetector::machines_to_probe(Machines& machines, Instant now) const {
   struct ZoneCount {
     std::size_t all = 0;
     std::size_t suspected = 0;
     bool probing = false;
-    Machine* witness =
-        nullptr;  // of those that are not late and can be probed, the one with the last contact
+    // Of the machines that are not late and can be probed, the one with the latest contact.
+    Machine* reference = nullptr;
   };
   std::map<Zone, ZoneCount> zones;
   for (auto& [name, machine] : machines) {
@@ -83,15 +86,15 @@
   std::vector<Machine*> to_probe;
   for (auto& [name, machine] : machines) {
     auto& zone = zones.at(machine.zone);
-    if (now - machine.last_own_heartbeat <= suspicion_timeout()) {
-      if (machine.can_be_probed() && (!zone.witness || machine.last_contact > zone.witness->last_contact))
-        zone.witness = &machine;
+    if (now - machine.last_unsolicited_heartbeat <= suspicion_timeout()) {
+      if (machine.can_be_probed() && (!zone.reference || machine.last_contact > zone.reference->last_contact))
+        zone.reference = &machine;
       continue;
     }
-    if (zone.suspected >= kManySuspected && zone.suspected * kManySuspectedOneIn > zone.all) {
-      // This controller or its network is at fault, rather than so many machines. What had no answer
-      // meanwhile proves nothing, and hundreds of probes would only add to the load.
-      machine.forget_unanswered();
+    if (zone.suspected >= kMassSuspicionMinMachines && zone.suspected * kMassSuspicionDivisor > zone.all) {
+      // This controller or its network is more likely to be at fault than so many machines. Commands that
+      // were not answered in this time prove nothing, and hundreds of probes would only add to the load.
+      machine.reset_unanswered();
       continue;
     }
     zone.probing = true;
@@ -100,8 +103,8 @@
   }
   for (auto& [name, zone] : zones) {
     auto answered = commands_answered(name);
-    if (zone.probing && zone.witness && (!answered || now - *answered > kProbeInterval))
-      to_probe.push_back(zone.witness);
+    if (zone.probing && zone.reference && (!answered || now - *answered > kProbeInterval))
+      to_probe.push_back(zone.reference);
   }
   return to_probe;
 }
@@ -112,10 +115,11 @@
   return it->second;
 }
 
-// No contact beyond what a late heartbeat and a worker's own timeout with a controller explain, while neither
-// commands nor probes were answered, and commands to other machines of its zone were.
+// A machine is hung if it has been without contact for longer than a late heartbeat and a worker's timeout
+// for an answer explain, and answered neither commands nor probes while other machines of its zone did.
 bool FailureDetector::is_hung(const Machine& machine, Instant now) const {
-  if (!machine.confirmed || !machine.unanswered_since || machine.unanswered < kUnansweredProbes) return false;
+  if (!machine.confirmed || !machine.unanswered_since || machine.unanswered < kHungAfterUnanswered)
+    return false;
   auto answered = commands_answered(machine.zone);
   return now - machine.last_contact > suspicion_timeout() + kHeartbeatAnswerTimeout &&
          now - *machine.unanswered_since > kHeartbeatAnswerTimeout && answered &&
@@ -124,13 +128,14 @@
 
 bool FailureDetector::is_unreachable(const Machine& machine, Duration timeout, Instant now) {
   auto unconfirmed_since = machine.unconfirmed_since();
-  return now - machine.last_own_heartbeat > timeout ||
+  return now - machine.last_unsolicited_heartbeat > timeout ||
          (unconfirmed_since && now - *unconfirmed_since > timeout);
 }
 
-// Rather than so many machines, this controller has lost the zone. So it is when heartbeats come by way of
-// other controllers only, while commands don't get through: found on a recorded day when a shard leader that
-// had lost its workers deleted some sixty sound ones, one after the other.
+// If many machines of a zone are unreachable, it is more likely that this controller is partitioned from the
+// zone than that so many machines failed. Machines whose heartbeats arrive only through other controllers, so
+// that commands probably don't reach them, count as unreachable: in a replay of recorded operation, a shard
+// leader that had lost contact with its workers deleted about sixty healthy machines one after the other.
 std::set<Zone> FailureDetector::update_partitioned_zones(const Machines& machines, Instant now) {
   struct ZoneCount {
     std::size_t all = 0;
@@ -146,7 +151,7 @@
   std::set<Zone> zones;
   for (const auto& [zone, count] : counts) {
     bool many =
-        count.unreachable >= kManyUnreachable && count.unreachable * kManyUnreachableOneIn > count.all;
+        count.unreachable >= kPartitionMinMachines && count.unreachable * kPartitionDivisor > count.all;
     if (!many) continue;
     zones.insert(zone);
     partitioned_[zone] = now;
@@ -162,19 +167,22 @@
 
 std::optional<DeletionReason> FailureDetector::reason_to_delete(const Machine& machine, bool partitioned,
                                                                 Instant now) const {
-  // What ran on those that have obeyed this leader ends with their leases, and they may come back.
+  // The tasks on machines that have confirmed this leader's term end when the leases expire, and the machines
+  // may become reachable again.
   if (partitioned && machine.confirmed) return std::nullopt;
-  // After a failover nothing is known to be there until the machine's first heartbeat, but something may run.
+  // After a failover the tasks on a machine are unknown until its first heartbeat, so an unconfirmed machine
+  // without known tasks may still run some.
   bool empty = machine.confirmed && machine.tasks.empty() && machine.channel == Machine::Channel::kIdle;
   if (machine.quarantined && empty) return DeletionReason::kQuarantined;
   if (machine.draining && empty) return DeletionReason::kReleased;
   if (is_hung(machine, now)) return DeletionReason::kHung;
   auto timeout = machine.confirmed ? params_.grace : params_.grace + kFailoverGracePeriod;
-  // The unconfirmed ones hold up the reconciliation, though not without end: an earlier leader that is
+  // Unconfirmed machines delay the reconciliation, so they can't be exempt forever. An earlier leader that is
   // partitioned together with them keeps their tasks running until its knowledge of cancellations is too old.
   if (partitioned) timeout = std::max(timeout, params_.cancel_limit);
-  // After a partition, or a pause of this controller, half of the machines send a heartbeat before the
-  // others do, and those would pass for failed.
+  // After a partition or a pause of this controller, time without contact counts from its end. Otherwise,
+  // once half of the machines have sent a heartbeat, the zone no longer counts as partitioned and the other
+  // half would be taken for failed.
   auto observing_since = partitioned ? observing_since_ : reachable_since(machine.zone);
   return reason_if_no_contact(machine, timeout, observing_since, now);
 }
@@ -189,9 +197,9 @@
   if (auto since = machine.unconfirmed_since(); since && exceeded(*since, timeout))
     return DeletionReason::kReceivesNothing;
   if (exceeded(machine.last_contact, timeout)) return DeletionReason::kNoContact;
-  // A machine that answers probes is alive. What runs there goes on until its lease ends, which answers to
-  // commands don't renew; after that it is of no use unless it sends heartbeats.
-  if (exceeded(machine.last_own_heartbeat, std::max(timeout, params_.lease)))
+  // A machine that answers probes is alive, and its tasks run until its lease expires, which answers to
+  // commands don't renew. After that the machine is useless unless it sends heartbeats.
+  if (exceeded(machine.last_unsolicited_heartbeat, std::max(timeout, params_.lease)))
     return DeletionReason::kAnswersWithoutHeartbeat;
   return std::nullopt;
 }
--- a/src/shard/heartbeat_reconciler.cpp
+++ b/src/shard/heartbeat_reconciler.cpp
@@ -10,8 +10,8 @@
 using protocol::EndCause;
 using protocol::TaskState;
 
-// A task that has run for so long shows that its job doesn't fail wherever it's started.
-constexpr Duration kRunsWellAfter = std::chrono::seconds(10);
+// A task that has run for this long shows that its job doesn't fail on every machine.
+constexpr Duration kStableAfter = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -51,7 +51,7 @@
   if (lease_expired) on_new_incarnation(machine);
   update_contact(machine, heartbeat, origin, lease_expired);
   update_reclaim_notice(machine, heartbeat);
-  // The worker obeys nothing older than the fencing token any more.
+  // The worker no longer obeys commands with a token lower than the fencing token.
   if (machine.channel == Machine::Channel::kFencing && heartbeat.token >= machine.token)
     resolve_in_flight(machine, state_.dispatch_queue);
   state_.dispatch_queue.push(machine);
@@ -67,7 +67,7 @@
   state_.drop_all_tasks(machine, now_);
 }
 
-// Not so if a pause like that lies within what heartbeats vary by.
+// A pause within the normal variation of heartbeats doesn't count.
 bool HeartbeatReconciler::likely_missed_answer(const Machine& machine) const {
   auto timeout = std::max(kHeartbeatAnswerTimeout, state_.failure_detector.suspicion_timeout());
   return machine.last_answered >= machine.last_contact && now_ - machine.last_contact >= timeout;
@@ -79,11 +79,11 @@
   machine.incarnation = heartbeat.incarnation;
   machine.sequence = heartbeat.sequence;
   machine.last_contact = now_;
-  if (origin == HeartbeatOrigin::kOwnAccord) machine.last_own_heartbeat = now_;
-  machine.forget_unanswered();
+  if (origin == HeartbeatOrigin::kUnsolicited) machine.last_unsolicited_heartbeat = now_;
+  machine.reset_unanswered();
   machine.token = std::max(machine.token, heartbeat.token);
-  // It sends heartbeats, but may receive nothing.
-  if (machine.confirmed && origin == HeartbeatOrigin::kOwnAccord && (lease_expired || missed_answer))
+  // The machine sends heartbeats, but may not receive anything.
+  if (machine.confirmed && origin == HeartbeatOrigin::kUnsolicited && (lease_expired || missed_answer))
     begin_fencing(machine, state_.dispatch_queue, now_);
   if (!machine.confirmed && heartbeat.token >= FencingToken::first_of(state_.term)) {
     machine.confirmed = true;
@@ -95,13 +95,13 @@
 void HeartbeatReconciler::update_reclaim_notice(Machine& machine,
                                                 const protocol::WorkerHeartbeat& heartbeat) const {
   if (!heartbeat.notice_s) {
-    machine.reclaimed_at.reset();
+    machine.reclaim_at.reset();
     return;
   }
-  if (!machine.reclaimed_at)
+  if (!machine.reclaim_at)
     spdlog::info("spot_reclaim_notice shard={} machine={} seconds={:.1f}", state_.id.value(),
                  machine.name.value(), *heartbeat.notice_s);
-  machine.reclaimed_at = now_ + from_seconds(*heartbeat.notice_s);
+  machine.reclaim_at = now_ + from_seconds(*heartbeat.notice_s);
 }
 
 void HeartbeatReconciler::update_tasks(Machine& machine, const protocol::WorkerHeartbeat& heartbeat) {
@@ -117,7 +117,7 @@
     task.last_listed = state_.heartbeat_count;
     update_task(machine, key, task, status);
   }
-  // A start in flight may still be executed: its absence from a heartbeat proves nothing.
+  // A start in flight may still be executed, so the absence of its task from a heartbeat proves nothing.
   state_.drop_tasks_if(
       machine,
       [&](const TaskKey&, const MachineTask& task) {
@@ -125,7 +125,7 @@
       },
       now_);
   machine.invalidate_load();
-  if (machine.live_tasks() > 0) machine.idle_since = now_;
+  if (machine.live_task_count() > 0) machine.idle_since = now_;
 }
 
 void HeartbeatReconciler::update_task(Machine& machine, const TaskKey& key, MachineTask& task,
@@ -140,10 +140,10 @@
     spdlog::debug("task_running shard={} machine={} task={} seconds={:.2f}", state_.id.value(),
                   machine.name.value(), protocol::task_name(key.task), to_seconds(now_ - task.since));
   }
-  if (task.running_since && !task.runs_well && is_live(task) &&
-      now_ - *task.running_since >= kRunsWellAfter) {
-    task.runs_well = true;
-    on_task_worked(machine, key.task.job, task.since);
+  if (task.running_since && !task.is_proven_stable && is_live(task) &&
+      now_ - *task.running_since >= kStableAfter) {
+    task.is_proven_stable = true;
+    on_task_succeeded(machine, key.task.job, task.since);
   }
   if (task.spec && (status.state == TaskState::kRunning || status.state == TaskState::kWaiting))
     machine.images.use(task.spec->image, task.spec->image_gb, now_);
@@ -154,7 +154,7 @@
   }
 }
 
-// After a failover, or since the grant of the task wasn't known yet.
+// A listed task needs adoption after a failover, or if its grant became known only after it was listed.
 void HeartbeatReconciler::adopt(Machine& machine, const TaskKey& key, MachineTask& task) {
   using Status = GrantedTask::Status;
   auto* granted_task = state_.jobs.find_task(key.task);
@@ -178,9 +178,9 @@
   state_.stop(machine, task, 0);
 }
 
-// Whether the placement of a granted task rests on an old heartbeat. A new leader can't tell an old one from
-// a new one until the machine sends one under its term: a copy that came late, from a terminated machine
-// say, would have the sound task stopped for a second one.
+// Whether the recorded placement of a granted task is based on an old heartbeat. A new leader can't tell an
+// old heartbeat from a new one until the machine sends one under the new term. Otherwise a copy that arrived
+// late, for example from a terminated machine, would cause the running task to be stopped as a duplicate.
 bool HeartbeatReconciler::is_outdated(const GrantedTask& granted_task, const TaskId& id,
                                       const Machine& machine, const MachineTask& task) {
   const auto* placed_on = state_.find_machine(granted_task.machine);
@@ -194,7 +194,7 @@
 
 void HeartbeatReconciler::on_ended(Machine& machine, const TaskKey& key, MachineTask& task) {
   if (task.cause == EndCause::kDone) {
-    on_task_worked(machine, key.task.job, task.since);
+    on_task_succeeded(machine, key.task.job, task.since);
     if (auto* granted_task = state_.jobs.find_task(key.task)) {
       if (granted_task->status != GrantedTask::Status::kReleased)
         granted_task->status = GrantedTask::Status::kDone;
@@ -211,20 +211,20 @@
 void HeartbeatReconciler::on_task_failed(Machine& machine, const JobId& id) {
   auto& attribution = state_.failure_attribution;
   auto* job = state_.jobs.find(id);
-  attribution.on_failed(machine.name, id, job && job->works, now_);
-  machine.avoided_until = attribution.suspect_until(machine.name);
+  attribution.on_task_failed(machine.name, id, job && job->works, now_);
+  machine.avoided_until = attribution.suspected_until(machine.name);
   quarantine_if_faulty(machine);
-  if (job && attribution.job_fails(id, now_)) job->report_health(protocol::JobHealth::kFails);
+  if (job && attribution.is_job_failing(id, now_)) job->report_health(protocol::JobHealth::kFails);
 }
 
-void HeartbeatReconciler::on_task_worked(Machine& machine, const JobId& id, Instant placed) {
+void HeartbeatReconciler::on_task_succeeded(Machine& machine, const JobId& id, Instant placed) {
   auto& attribution = state_.failure_attribution;
   auto* job = state_.jobs.find(id);
   if (job) job->works = true;
-  if (!attribution.concerns(machine.name, id)) return;
-  if (job && attribution.job_fails(id, now_)) job->report_health(protocol::JobHealth::kWorks);
-  attribution.on_worked(machine.name, id, placed);
-  machine.avoided_until = attribution.suspect_until(machine.name);
+  if (!attribution.has_recent_failures(machine.name, id)) return;
+  if (job && attribution.is_job_failing(id, now_)) job->report_health(protocol::JobHealth::kWorks);
+  attribution.on_task_succeeded(machine.name, id, placed);
+  machine.avoided_until = attribution.suspected_until(machine.name);
   for (const auto& name : attribution.failed_on(id, now_))
     if (auto* other = state_.find_machine(name)) quarantine_if_faulty(*other);
 }
--- a/src/shard/heartbeat_reconciler.h
+++ b/src/shard/heartbeat_reconciler.h
@@ -1,4 +1,4 @@
-// Reconciliation of workers' heartbeats with what the shard is granted and has placed.
+// Reconciles workers' heartbeats with the tasks that are granted to the shard and placed on its machines.
 #pragma once
 
 #include "protocol/worker.h"
@@ -6,10 +6,10 @@
 
 namespace beaconsill::shard {
 
-// How a heartbeat came, which tells what it proves.
+// How a heartbeat was triggered, which determines what it proves.
 enum class HeartbeatOrigin {
-  kOwnAccord,     // sent by the worker without being asked: it may receive nothing
-  kCommandAnswer  // the answer to commands or a probe, so these have reached the worker
+  kUnsolicited,   // sent by the worker by itself: does not prove that the worker receives anything
+  kCommandAnswer  // the answer to commands or a probe: proves that these have reached the worker
 };
 
 enum class HeartbeatResult {
@@ -17,23 +17,25 @@
   kDropped  // stale, of a later term, or of a terminated machine
 };
 
-// Works on a shard's state for the time of one event.
+// Applies one heartbeat or job update to a shard's state. Create one per event; it refers to the state.
 class HeartbeatReconciler {
  public:
   HeartbeatReconciler(ShardState& state, Instant now) : state_(state), now_(now) {}
 
   HeartbeatResult reconcile(const protocol::WorkerHeartbeat& heartbeat, HeartbeatOrigin origin);
 
-  // Assigns a live task on the machine to its grant, if that is on no machine yet or only by an outdated
-  // heartbeat; stops it if it runs elsewhere.
+  // Records the machine as the place of the granted task, given a live task that it lists, if the granted
+  // task is on no machine yet or was placed by an outdated heartbeat only. Stops the listed task if the
+  // granted task runs on another machine.
   void adopt(Machine& machine, const TaskKey& key, MachineTask& task);
 
  private:
   Machine& find_or_add_machine(const protocol::WorkerHeartbeat& heartbeat);
   bool is_of_later_term(const protocol::WorkerHeartbeat& heartbeat);
-  // The heartbeat is of an incarnation that runs nothing of the earlier one's tasks.
+  // Drops all tasks known of the machine: a new incarnation runs none of the tasks of the previous one.
   void on_new_incarnation(Machine& machine);
-  // Whether the worker made a pause before this heartbeat as one does that waits for an answer in vain.
+  // Whether the pause before this heartbeat suggests that the worker waited in vain for the answer to its
+  // previous one.
   bool likely_missed_answer(const Machine& machine) const;
   void update_contact(Machine& machine, const protocol::WorkerHeartbeat& heartbeat, HeartbeatOrigin origin,
                       bool lease_expired);
@@ -45,8 +47,8 @@
                    const MachineTask& task);
   void on_ended(Machine& machine, const TaskKey& key, MachineTask& task);
   void on_task_failed(Machine& machine, const JobId& id);
-  // A task placed on the machine at `placed` has completed, or runs well.
-  void on_task_worked(Machine& machine, const JobId& id, Instant placed);
+  // Records that a task placed on the machine at `placed` has completed, or has run for kStableAfter.
+  void on_task_succeeded(Machine& machine, const JobId& id, Instant placed);
   void quarantine_if_faulty(Machine& machine);
 
   ShardState& state_;
--- a/src/shard/machine.cpp
+++ b/src/shard/machine.cpp
@@ -29,11 +29,11 @@
     if (!is_live(task)) continue;
     if (task.state == protocol::TaskState::kFetching && task.spec && !images.has(task.spec->image))
       load_->fetching.insert(task.spec->image);
-    // A task of an unknown job can't be preempted by any.
+    // A task of an unknown job counts at the highest priority, so that no task preempts it.
     auto priority = task.spec ? task.spec->priority : Priority::kProduction;
     for (std::size_t level = 0; level <= static_cast<std::size_t>(priority); ++level) {
-      ++load_->tasks_from[level];
-      if (task.spec) load_->used_from[level] += task.spec->each;
+      ++load_->task_count_at_or_above[level];
+      if (task.spec) load_->used_at_or_above[level] += task.spec->each;
     }
   }
   return *load_;
--- a/src/shard/machine.h
+++ b/src/shard/machine.h
@@ -1,4 +1,5 @@
-// What a shard's leader knows of one machine and of the tasks on it.
+// The state that a shard's leader tracks for one machine: its tasks, image cache, load, command channel and
+// lifecycle.
 #pragma once
 
 #include <array>
@@ -18,48 +19,50 @@
 namespace beaconsill::shard {
 
 constexpr std::size_t kMaxCommands = 128;  // in one message to a worker
-// A worker waits 4 s for an answer to its heartbeat (the protocol). A worker is given as long to answer.
+// By the protocol a worker waits 4 s for the answer to its heartbeat. The leader allows a worker about the
+// same time to answer commands and probes.
 constexpr Duration kHeartbeatAnswerTimeout = std::chrono::milliseconds(3900);
 
-// One attempt of a task: a machine may still list an ended attempt while it runs the next one.
+// Identifies one attempt of a task. A machine may still list an ended attempt while it runs the next one.
 struct TaskKey {
   TaskId task;
   Attempt attempt;
   auto operator<=>(const TaskKey&) const = default;
 };
 
-// A task that is, or may be, on the machine.
+// A task attempt that is on the machine, or may be there because its start command is queued or in flight.
 struct MachineTask {
   enum class Start {
-    kQueued,       // to be sent with the next commands
-    kSent,         // in flight: it may or may not be there
-    kAcknowledged  // the worker has listed it, or answered the command
+    kQueued,       // the start command will be sent with the next batch
+    kSent,         // the start command is in flight: the worker may or may not have executed it
+    kAcknowledged  // the worker has listed the task in a heartbeat, or answered the start command
   };
   Start start = Start::kAcknowledged;
   protocol::TaskState state = protocol::TaskState::kFetching;
   protocol::EndCause cause = protocol::EndCause::kDone;
   bool saved = false;
-  std::shared_ptr<const protocol::JobSpec> spec;  // none if the job isn't known
-  Instant since{};                                // placed or first listed
+  std::shared_ptr<const protocol::JobSpec> spec;  // null if the job isn't known
+  Instant since{};                                // when the task was placed or first listed
   std::optional<Instant> running_since;
-  bool runs_well = false;            // for so long that its job doesn't fail by itself
-  std::optional<double> stop_grace;  // to be stopped, within so many seconds
+  bool is_proven_stable = false;     // has run long enough to show that its job doesn't fail on every machine
+  std::optional<double> stop_grace;  // if set, the task is to be stopped within this many seconds
   bool stop_sent = false;
-  bool is_disposable = false;  // ended, and what it ended with is durable or of no use
+  bool is_disposable = false;  // ended, and its result is recorded durably or not needed
   bool forget_sent = false;
-  std::uint64_t last_listed = 0;  // number of the last heartbeat that listed it, see HeartbeatReconciler
+  // Number of the last heartbeat that listed the task, see ShardState::heartbeat_count.
+  std::uint64_t last_listed = 0;
 };
-// Whether the task has not ended.
+// Returns whether the task has not ended.
 inline bool is_live(const MachineTask& task) {
   return task.state != protocol::TaskState::kEnded;
 }
 
-// The images a machine is thought to hold, the least recently used dropped first as the machine does. Sizes
-// are in GB.
+// Estimates which images are cached on a machine. Evicts the least recently used image first, as the machine
+// itself does. Sizes are in GB.
 class ImageCache {
  public:
   void set_capacity(double size_gb) { capacity_gb_ = size_gb; }
-  // The image is in use on the machine, and so is cached there.
+  // Records that the image is in use on the machine, and therefore cached there.
   void use(const ImageName& image, double size_gb, Instant now);
   bool has(const ImageName& image) const { return images_.contains(image); }
 
@@ -74,17 +77,18 @@
   double capacity_gb_ = 0;
 };
 
-// What the live tasks on a machine use, in sums.
+// Totals over the live tasks on a machine. The arrays are indexed by priority.
 struct MachineLoad {
-  std::array<Resources, kPriorities> used_from;  // by tasks of at least this priority
-  std::array<std::size_t, kPriorities> tasks_from{};
+  std::array<Resources, kPriorities> used_at_or_above;            // by tasks of at least this priority
+  std::array<std::size_t, kPriorities> task_count_at_or_above{};  // tasks of at least this priority
   std::set<ImageName> fetching;
 };
 
-// Written by the components of the shard. `tasks` is changed through TaskLocations only.
+// One machine of the shard. The components of the shard update its fields directly, except that entries of
+// `tasks` are added and removed through TaskLocations only.
 struct Machine {
   MachineName name;
-  std::string address;  // of its worker; empty if not known
+  std::string address;  // of the machine's worker; empty if not known
   MachineType type;
   Zone zone;
   bool spot = false;
@@ -94,93 +98,102 @@
   // ---- From heartbeats
   Incarnation incarnation;
   Sequence sequence;
-  bool confirmed = false;  // has shown this leader's term: no earlier leader is obeyed any more
-  Instant first_seen{};    // when this leader first knew of it
-  // Last heartbeat, also as an answer to commands, or when the leader began to wait for one.
+  // The worker has reported this leader's term in a heartbeat, so it no longer obeys any earlier leader.
+  bool confirmed = false;
+  Instant first_seen{};  // when this leader learned of the machine
+  // Time of the last heartbeat, whether unsolicited or sent as an answer to commands. Before the first
+  // heartbeat: the time at which the leader began to wait for one.
   Instant last_contact{};
-  Instant last_own_heartbeat{};  // last one of its own accord: only these renew its lease
-  // Last answer to a heartbeat; whether it reached the worker is another matter, see `suspected_since`.
+  // The last heartbeat that the worker sent by itself, not as an answer to commands or a probe. Only the
+  // answers to these renew the worker's lease.
+  Instant last_unsolicited_heartbeat{};
+  // When this controller last answered a heartbeat. The answer may not have reached the worker, see
+  // `suspected_since`.
   std::optional<Instant> last_answered;
-  std::optional<Instant> relayed_since;  // since when heartbeats have come by way of other controllers only
-  std::optional<Instant> last_redirect_at;        // when the worker was last redirected here
-  std::optional<Instant> last_command_answer_at;  // when it last answered commands or a probe
-  std::optional<Instant> reclaimed_at;            // by the cloud, as notified (spot machines)
+  std::optional<Instant> relayed_since;  // since when heartbeats have arrived through other controllers only
+  std::optional<Instant> last_redirect_at;        // when the worker was last redirected to this controller
+  std::optional<Instant> last_command_answer_at;  // when the worker last answered commands or a probe
+  std::optional<Instant> reclaim_at;  // when the cloud will reclaim the machine, as announced (spot machines)
   std::map<TaskKey, MachineTask> tasks;
   bool may_have_orphans = false;  // some tasks may not be granted to this shard, see stop_orphaned_tasks
   ImageCache images;
 
-  // ---- Commands: at most one batch is in flight, each under a token of its own
+  // ---- Commands: at most one batch is in flight, and each batch has its own fencing token
   enum class Channel {
     kIdle,
     kBusy,    // a batch is in flight
-    kFencing  // may receive nothing: what is in flight is resolved once the worker shows a higher token
+    kFencing  // the worker may be unable to receive; commands in flight are resolved by a higher token
   };
   Channel channel = Channel::kIdle;
-  FencingToken token;               // the highest issued; heartbeats are answered with it
+  FencingToken token;               // the highest one issued; heartbeats are answered with it
   std::optional<Instant> probe_at;  // when to send the next probe
-  // Heartbeats from a machine don't show that it receives anything: since when it is suspected not to, until
-  // it shows a raised token.
+  // Heartbeats from a machine don't prove that it receives anything. Set while the machine is suspected of
+  // receiving nothing, until its worker reports a raised token.
   std::optional<Instant> suspected_since;
-  // A machine that has yet to show this leader's token is suspected from the start: it may send heartbeats
-  // and receive nothing, and the reconciliation would wait for it without end.
+  // Since when it is unconfirmed that the machine receives messages from this leader. A machine that has not
+  // yet reported this leader's token is suspected from the start: it might send heartbeats and receive
+  // nothing, and the reconciliation would wait for it forever.
   std::optional<Instant> unconfirmed_since() const {
     return confirmed ? suspected_since : std::optional(first_seen);
   }
 
-  // Commands and probes without an answer since the last contact: when the first was sent, and how many have
-  // timed out.
+  // Commands and probes that have not been answered since the last contact: `unanswered_since` is when the
+  // first of them was sent, `unanswered` is the number that timed out.
   std::optional<Instant> unanswered_since;
   std::size_t unanswered = 0;
   std::optional<Instant> last_probe_at;
-  bool probe_under_way = false;
-  void on_sent(Instant now) {
+  bool probe_in_flight = false;
+  void on_command_sent(Instant now) {
     if (!unanswered_since) unanswered_since = now;
   }
-  void forget_unanswered() {
+  void reset_unanswered() {
     unanswered_since.reset();
     unanswered = 0;
   }
-  // No batch, probe or deletion is under way that would tell as much.
+  // Whether a probe would yield new information: false while a batch, a probe or a deletion that would show
+  // the same is in progress.
   bool can_be_probed() const {
     return confirmed && !deleting && !address.empty() && channel == Channel::kIdle && !probe_at &&
-           !probe_under_way;
+           !probe_in_flight;
   }
 
-  bool dispatch_pending = false;  // there may be something to send, see DispatchQueue
+  bool dispatch_pending = false;  // the machine is in the DispatchQueue: there may be something to send to it
 
   // ---- Lifecycle
-  bool registered = false;   // in the state store, so that a successor waits for it
-  bool draining = false;     // takes no more tasks: to be deleted
-  bool quarantined = false;  // tasks of jobs that work elsewhere failed here: takes no more
+  bool registered = false;   // recorded in the state store, so that the next leader waits for this machine
+  bool draining = false;     // gets no more tasks and will be deleted
+  bool quarantined = false;  // gets no more tasks, because tasks failed here whose jobs work elsewhere
   bool deleting = false;
-  std::optional<Instant> retry_deletion_at;  // after a deletion that failed
+  std::optional<Instant> retry_deletion_at;  // set after a failed deletion
   Instant idle_since{};
-  std::optional<Instant> avoided_until;  // see FailureAttribution::suspect_until
-  // Without contact for this long it gets no new tasks.
+  std::optional<Instant> avoided_until;  // see FailureAttribution::suspected_until
+  // A machine without contact for this long gets no new tasks.
   Duration contact_timeout = std::chrono::seconds(4);
-  // The same without a heartbeat of its own accord: what is started then would end with the lease.
-  Duration own_heartbeat_timeout = std::chrono::seconds(5);
+  // A machine without an unsolicited heartbeat for this long gets no new tasks: they would be ended when the
+  // lease expires.
+  Duration unsolicited_heartbeat_timeout = std::chrono::seconds(5);
 
-  // Whether tasks may be started on it now.
+  // Whether tasks may be started on the machine now.
   bool usable(Instant now) const {
-    return confirmed && registered && type_known && !draining && !quarantined && !deleting && !reclaimed_at &&
-           now - last_contact < contact_timeout && now - last_own_heartbeat < own_heartbeat_timeout &&
-           unanswered == 0 && channel != Channel::kFencing && (!avoided_until || now >= *avoided_until);
+    return confirmed && registered && type_known && !draining && !quarantined && !deleting && !reclaim_at &&
+           now - last_contact < contact_timeout &&
+           now - last_unsolicited_heartbeat < unsolicited_heartbeat_timeout && unanswered == 0 &&
+           channel != Channel::kFencing && (!avoided_until || now >= *avoided_until);
   }
 
-  // ---- Load: asked for far more often than it changes, and so kept. Whoever changes `tasks`, or what in
-  // them counts here, calls invalidate_load.
-  const Resources& used() const { return load().used_from[0]; }
-  // Used by tasks of at least this priority: what preempting lower ones can't free.
-  const Resources& used_from(Priority priority) const {
-    return load().used_from[static_cast<std::size_t>(priority)];
+  // ---- Load: cached, because it is read far more often than it changes. Code that changes `tasks`, or
+  // fields of a task that count towards the load, must call invalidate_load.
+  const Resources& used() const { return load().used_at_or_above[0]; }
+  // Resources used by tasks of at least this priority, which preempting tasks of lower priorities can't free.
+  const Resources& used_at_or_above(Priority priority) const {
+    return load().used_at_or_above[static_cast<std::size_t>(priority)];
   }
-  std::size_t live_tasks() const { return load().tasks_from[0]; }
-  std::size_t tasks_from(Priority priority) const {
-    return load().tasks_from[static_cast<std::size_t>(priority)];
+  std::size_t live_task_count() const { return load().task_count_at_or_above[0]; }
+  std::size_t task_count_at_or_above(Priority priority) const {
+    return load().task_count_at_or_above[static_cast<std::size_t>(priority)];
   }
-  // Images that tasks here wait for. Several fetched at a time share the machine's rate: each would come as
-  // late as the last.
+  // Images that tasks on this machine are waiting for. Images fetched at the same time share the machine's
+  // download rate, so each of them arrives as late as the last one.
   bool is_fetching(const ImageName& image) const { return load().fetching.contains(image); }
   std::size_t fetch_count() const { return load().fetching.size(); }
   void invalidate_load() { load_.reset(); }
--- a/src/shard/partitioning.cpp
+++ b/src/shard/partitioning.cpp
@@ -6,7 +6,8 @@
 namespace beaconsill::shard {
 
 Partitioning::Partitioning(const config::Settings& settings) {
-  // The order of peers differs from controller to controller; names sort the same everywhere.
+  // The order of the peers in the settings differs between controllers, so shards are numbered in the order
+  // of the controllers' names.
   std::map<ControllerName, Zone> controllers{{settings.controller, settings.zone}};
   for (const auto& peer : settings.peers) controllers[peer.controller] = peer.zone;
   for (const auto& [name, zone] : controllers) {
@@ -17,7 +18,7 @@
 }
 
 void Partitioning::assign_other_zones(const std::vector<Zone>& zones) {
-  // In zones: the controllers of a zone share its machines.
+  // Load of each shard in zones. The shards of a zone's controllers share its machines.
   std::vector<double> load(shard_count());
   for (const auto& [zone, zone_shards] : by_zone_)
     for (auto shard : zone_shards) load[shard.value()] = 1.0 / static_cast<double>(zone_shards.size());
@@ -31,7 +32,7 @@
 
 ShardId Partitioning::shard_of(const Zone& zone, const MachineName& machine) const {
   auto it = by_zone_.find(zone);
-  // A zone that the settings don't name still belongs to a shard.
+  // Machines of a zone that the settings don't list must belong to a shard as well.
   if (it == by_zone_.end())
     return ShardId(static_cast<std::uint32_t>(stable_hash(zone.value()) % shard_count()));
   return it->second[stable_hash(machine.value()) % it->second.size()];
--- a/src/shard/partitioning.h
+++ b/src/shard/partitioning.h
@@ -1,4 +1,4 @@
-// Which shard a machine belongs to: a pure function of its zone and name, the same at every controller.
+// Assigns machines to shards by a pure function of a machine's zone and name, so that all controllers agree.
 #pragma once
 
 #include <map>
@@ -9,24 +9,22 @@
 
 namespace beaconsill::shard {
 
-// One shard for each controller. Machines of a zone with controllers are divided among these; each other zone
-// belongs to one shard as a whole.
+// There is one shard for each controller. Machines of a zone with controllers are divided among the shards of
+// these controllers. Each other zone belongs as a whole to one shard.
 class Partitioning {
  public:
   explicit Partitioning(const config::Settings& settings);
-  // Number of shards.
   std::uint32_t shard_count() const { return static_cast<std::uint32_t>(controllers_.size()); }
-  // The shard of a machine.
   ShardId shard_of(const Zone& zone, const MachineName& machine) const;
-  // The controller that should lead the shard while it runs.
+  // Returns the controller that should lead the shard whenever that controller is running.
   const ControllerName& preferred_controller(ShardId shard) const { return controllers_[shard.value()]; }
-  // The reverse. The controller has to be one of the settings.
+  // Returns the shard whose preferred controller this is. The settings must name the controller.
   ShardId preferred_shard(const ControllerName& controller) const;
-  // All controllers, by name.
+  // Returns all controllers, sorted by name.
   const std::vector<ControllerName>& controllers() const { return controllers_; }
 
  private:
-  // Each zone without a controller goes to the shard with the least load.
+  // Assigns each zone without a controller to the shard with the least load.
   void assign_other_zones(const std::vector<Zone>& zones);
 
   std::vector<ControllerName> controllers_;
--- a/src/shard/periodic_checks.cpp
+++ b/src/shard/periodic_checks.cpp
@@ -5,21 +5,22 @@
 namespace beaconsill::shard {
 namespace {
 
-// Clocks drift apart by 0.05%; a lease has expired for sure after this much more, and a margin for steps of
-// timers.
+// Clocks drift apart by up to 0.05%. A lease has certainly expired after its duration times this factor, plus
+// a margin for the resolution of timers.
 constexpr double kClockDriftFactor = 1.002;
 constexpr Duration kLeaseMargin = std::chrono::milliseconds(500);
-// A task's grant may be on its way to this controller: it is judged by what was read so long after the task
-// was seen.
+// The grant of a task may not have reached this controller yet. A task is an orphan only if it isn't granted
+// in a state that was read at least this long after the task was first seen.
 constexpr Duration kOrphanGracePeriod = std::chrono::seconds(2);
 
-// Whether the task should complete before the machine is reclaimed: stopped, it would only lose work.
+// Whether the task is expected to complete within `seconds`, before the machine is reclaimed. Stopping such a
+// task would only lose work.
 bool completes_within(const MachineTask& task, double seconds, Instant now) {
   return task.spec->kind == JobKind::kArray && task.running_since &&
          task.spec->estimate_s - to_seconds(now - *task.running_since) < seconds;
 }
 
-void abandon(ShardState& state, Machine& machine, MachineTask& task) {
+void stop_or_discard(ShardState& state, Machine& machine, MachineTask& task) {
   if (is_live(task)) {
     if (task.stop_grace != 0.0) state.stop(machine, task, 0);
   } else if (!task.is_disposable) {
@@ -34,7 +35,7 @@
     const auto* job = state.jobs.find(key.task.job);
     if (job && job->terminal_state) {
       machine.may_have_orphans = true;
-      abandon(state, machine, task);
+      stop_or_discard(state, machine, task);
       continue;
     }
     if (job && job->granted_tasks.contains(key.task.index)) continue;
@@ -43,7 +44,7 @@
     if (is_live(task) && !task.stop_grace)
       spdlog::info("orphaned_task_stopped shard={} machine={} task={} reason=not_granted", state.id.value(),
                    machine.name.value(), protocol::task_name(key.task));
-    abandon(state, machine, task);
+    stop_or_discard(state, machine, task);
   }
 }
 
@@ -52,17 +53,18 @@
 void expire_leases(ShardState& state, Instant up_to_date_at, Instant now) {
   state.visited_count += state.machines.size();
   for (auto& [name, machine] : state.machines) {
-    // A confirmed worker has seen this leader's term, and obeys no earlier leader.
+    // Only a confirmed worker has seen this leader's term and obeys no earlier leader, which could have
+    // renewed its lease.
     if (!machine.confirmed || machine.tasks.empty()) continue;
-    // Any heartbeat that was answered was sent before the newest one came: the lease can't last longer than
-    // from then on. (Answers to late copies of older heartbeats don't lengthen it.)
+    // The worker sent every heartbeat that was answered before the newest one arrived, so the lease can't be
+    // counted from later than that. Answers to late copies of older heartbeats don't extend it.
     auto expiry = machine.last_contact +
                   std::chrono::duration_cast<Duration>(state.params.lease * kClockDriftFactor) + kLeaseMargin;
     if (now <= expiry || up_to_date_at <= expiry || state.superseded) continue;
     spdlog::info("lease_expired shard={} machine={} count={} reason=no_contact", state.id.value(),
                  name.value(), machine.tasks.size());
     state.drop_all_tasks(machine, now);
-    // A heartbeat of that incarnation can only be a late one.
+    // From now on a heartbeat of the old incarnation can only be a late copy.
     machine.incarnation = Incarnation(machine.incarnation.value() + 1);
     machine.sequence = Sequence();
   }
@@ -70,13 +72,13 @@
 
 void stop_tasks_before_reclaim(ShardState& state, Instant now) {
   for (auto& [name, machine] : state.machines) {
-    if (!machine.reclaimed_at || !machine.confirmed) continue;
-    double seconds_left = to_seconds(*machine.reclaimed_at - now);
+    if (!machine.reclaim_at || !machine.confirmed) continue;
+    double seconds_left = to_seconds(*machine.reclaim_at - now);
     for (auto& [key, task] : machine.tasks) {
       if (!is_live(task) || !task.spec || task.stop_grace) continue;
       if (completes_within(task, seconds_left, now)) continue;
       state.stop(machine, task, task.spec->checkpoint_s > 0 ? task.spec->save_s : 0);
-      // A gang saves only if all of its tasks are stopped within a short time.
+      // A gang saves its checkpoint only if all of its tasks are stopped within a short time.
       if (task.spec->kind == JobKind::kGang) state.stop_job(key.task.job, task.spec->save_s);
     }
   }
--- a/src/shard/placer.cpp
+++ b/src/shard/placer.cpp
@@ -63,7 +63,7 @@
 // Found on recorded days with jobs submitted with a mistake: each of their hundreds of tasks was started
 // again and again. One task at a time shows as much.
 bool Placer::in_crash_loop_backoff(const JobId& id) const {
-  if (!state_.failure_attribution.job_fails(id, now_)) return false;
+  if (!state_.failure_attribution.is_job_failing(id, now_)) return false;
   auto retry_at = state_.failure_attribution.retry_at(id);
   if (retry_at && now_ < *retry_at) return true;
   bool being_tried = false;
@@ -83,7 +83,7 @@
                          image_policy,
                          request_of(*job.record.spec, 1),
                          state_.failure_attribution.failed_on(id, now_),
-                         state_.failure_attribution.job_fails(id, now_),
+                         state_.failure_attribution.is_job_failing(id, now_),
                          {}};
   for (auto& [index, task] : job.granted_tasks) {
     if (task.status != GrantedTask::Status::kWaiting) continue;
--- a/src/shard/registry_state.h
+++ b/src/shard/registry_state.h
@@ -1,4 +1,4 @@
-// What the state store records of the shard's machines, compared with what it should record.
+// Compares the machine registry of a shard in the state store with what it should contain.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,25 @@
 
 namespace beaconsill::shard {
 
-// A successor waits for every registered machine, so nothing is started on one before it is registered.
+// A new leader of the shard waits for every registered machine, so no task may be started on a machine before
+// it is registered.
 class RegistryState {
  public:
   using RecordsByBucket = std::map<std::uint32_t, std::vector<state_store::MachineRecord>>;
 
-  // All records of the shard as read from the state store.
+  // Replaces the known content of the registry by all records of the shard as read from the state store.
   void on_read(const std::vector<state_store::MachineRecord>& records);
-  // Whether on_read has been called: before, the machines of an earlier leader are not known.
-  bool is_known() const { return known_; }
-  // What should be registered may have changed.
+  // Whether on_read has been called. Before that, the machines that an earlier leader registered are unknown.
+  bool is_loaded() const { return loaded_; }
+  // Records that the content that the registry should have may have changed.
   void mark_dirty() { dirty_ = true; }
-  // Buckets to be written with their new content. Returned by each call until they are read back.
+  // Returns the buckets to be written, with their new content. Each call returns a changed bucket again until
+  // its new content has been read back with on_read.
   RecordsByBucket buckets_to_write(const std::map<MachineName, Machine>& machines);
 
  private:
   RecordsByBucket recorded_;
-  bool known_ = false;
+  bool loaded_ = false;
   bool dirty_ = true;
 };
 
--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -13,15 +13,16 @@
 
 using protocol::TaskState;
 
-// What only the passing of time brings about is looked for so often: some hundred events a second would
-// otherwise go through all machines each.
+// The periodic checks run no more often than this. Otherwise each of some hundred events a second would cause
+// a pass over all machines.
 constexpr Duration kPeriodicCheckPeriod = std::chrono::milliseconds(100);
 constexpr Duration kOrphanCheckPeriod = std::chrono::milliseconds(500);
-// A worker is redirected here no more often than this.
+// A worker is redirected to this controller no more often than this.
 constexpr Duration kRedirectInterval = std::chrono::seconds(20);
-constexpr Duration kRetryDeletionAfter = std::chrono::seconds(2);
-// Of waiting tasks, in divisions that should come out even.
-constexpr double kRoundingSlack = 1e-9;
+constexpr Duration kDeletionRetryDelay = std::chrono::seconds(2);
+// Tolerance in tasks for rounding errors, when the CPUs of waiting tasks are divided by the CPUs of one task
+// and the exact quotient is an integer.
+constexpr double kRoundingTolerance = 1e-9;
 
 }  // namespace
 
@@ -46,7 +47,7 @@
 
 // ---------------------------------------------------------------- events
 
-void ShardManager::on_registry(const std::vector<state_store::MachineRecord>& records, Instant now) {
+void ShardManager::on_registry_read(const std::vector<state_store::MachineRecord>& records, Instant now) {
   std::set<MachineName> registered;
   for (const auto& record : records) {
     registered.insert(record.name);
@@ -69,18 +70,19 @@
 }
 
 HeartbeatResult ShardManager::on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat, Instant now) {
-  return HeartbeatReconciler(state_, now).reconcile(heartbeat, HeartbeatOrigin::kOwnAccord);
+  return HeartbeatReconciler(state_, now).reconcile(heartbeat, HeartbeatOrigin::kUnsolicited);
 }
 
 HeartbeatResponse ShardManager::heartbeat_response(const MachineName& name, Instant now) {
   return CommandDelivery(state_, now).heartbeat_response(state_.machines.at(name));
 }
 
-// A worker with running tasks that comes by way of another controller may be partitioned from this one.
-// Redirected here in vain it waits for an answer, then goes to the next controller, and its lease may have
-// expired by then: on a recorded day whole shards lost their tasks in a controller's second partition, since
-// each machine had been redirected in the first one and so wasn't answered at once in the second. So it is
-// redirected only if it has answered commands of this controller lately, and otherwise answered and probed.
+// A worker with running tasks whose heartbeat arrives through another controller may be partitioned from this
+// one. If such a worker is redirected here, it waits in vain for an answer and then contacts the next
+// controller, and its lease may have expired by then. In a replay of recorded operation whole shards lost
+// their tasks that way in a controller's second partition: since each machine had been redirected in the
+// first partition, it wasn't answered at once in the second one. Therefore a worker is redirected only if it
+// has answered commands of this controller recently; otherwise it is answered and probed.
 bool ShardManager::should_redirect_here(const protocol::WorkerHeartbeat& heartbeat, Instant now) {
   auto* machine = state_.find_machine(heartbeat.machine);
   bool has_live_tasks = std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
@@ -112,7 +114,7 @@
   }
   auto* shard_job = state_.jobs.apply(id, *job, terminal_state, state_.reconciled, now);
   if (!shard_job) return;
-  if (shard_job->works) state_.failure_attribution.on_job_works(id);
+  if (shard_job->works) state_.failure_attribution.mark_job_working(id);
   apply_to_listed_tasks(id, *shard_job, now);
   shard_job->unwritten = true;
   if (shard_job->granted_tasks.empty() && shard_job->generations.empty()) state_.erase_job(id);
@@ -121,7 +123,7 @@
 void ShardManager::apply_to_listed_tasks(const JobId& id, ShardJob& job, Instant now) {
   HeartbeatReconciler reconciler(state_, now);
   state_.locations.for_each_of_job(id, [&](Machine& machine, const TaskKey& key, MachineTask& task) {
-    state_.dispatch_queue.push(machine);  // what it ended with may be recorded now, or the job have ended
+    state_.dispatch_queue.push(machine);  // the task's result may be recorded now, or its job may have ended
     machine.may_have_orphans = true;
     if (!task.spec) {
       task.spec = job.record.spec;
@@ -143,7 +145,8 @@
 void ShardManager::tick(Instant now, Instant cancellations_known_until, Instant up_to_date_at) {
   state_.check_reconciled(now);
   run_periodic_checks(now, up_to_date_at);
-  // Starting a task needs recent knowledge of cancellations, well inside the time limit that they have.
+  // Tasks may be started only while the knowledge of cancellations is recent, compared with the time limit
+  // within which a cancellation must take effect.
   if (now - cancellations_known_until < state_.params.cancel_limit / 4) Placer(state_, now).place_all();
   state_.jobs.release_unplaced(state_.params.heartbeat_period, now);
 }
@@ -193,13 +196,14 @@
   std::vector<MachineName> names;
   if (state_.superseded) return names;
   auto partitioned_zones = state_.failure_detector.update_partitioned_zones(state_.machines, now);
-  // A zone that becomes reachable after all must not find hundreds marked, by this request or by others that
-  // are not answered yet: what is being deleted gets no commands but the stops in answers to its heartbeats.
-  auto under_way =
+  // At most kMaxDelete machines are marked at a time, including those of earlier requests that are not
+  // answered yet. A machine that is being deleted gets no commands except stops in the answers to its
+  // heartbeats, so hundreds of marked machines would be unusable if their zone became reachable again.
+  auto pending_deletions =
       static_cast<std::size_t>(std::count_if(state_.machines.begin(), state_.machines.end(),
                                              [](const auto& entry) { return entry.second.deleting; }));
   for (auto& [name, machine] : state_.machines) {
-    if (names.size() + under_way >= protocol::kMaxDelete) break;
+    if (names.size() + pending_deletions >= protocol::kMaxDelete) break;
     if (machine.deleting || (machine.retry_deletion_at && now < *machine.retry_deletion_at)) continue;
     bool partitioned = partitioned_zones.contains(machine.zone);
     auto reason = state_.failure_detector.reason_to_delete(machine, partitioned, now);
@@ -229,7 +233,7 @@
   if (!machine) return;
   machine->deleting = false;
   state_.dispatch_queue.push(*machine);
-  machine->retry_deletion_at = now + kRetryDeletionAfter;
+  machine->retry_deletion_at = now + kDeletionRetryDelay;
 }
 
 void ShardManager::release(const MachineName& name) {
@@ -243,9 +247,10 @@
   state_.visited_count += state_.machines.size();
   auto zones = shard::estimate(state_.machines, request, state_.params.rules, now);
   if (request.each.cpus <= 0) return zones;
-  // Tasks that wait here already will take their capacity first.
+  // Tasks that are already waiting here will use their share of the capacity first.
   auto waiting_cpus = state_.jobs.waiting_cpus(request.priority);
-  auto reserved = static_cast<std::uint32_t>(std::ceil(waiting_cpus / request.each.cpus - kRoundingSlack));
+  auto reserved =
+      static_cast<std::uint32_t>(std::ceil(waiting_cpus / request.each.cpus - kRoundingTolerance));
   for (auto& zone : zones) {
     auto count = std::min(reserved, zone.free);
     zone.free -= count;
--- a/src/shard/shard_params.h
+++ b/src/shard/shard_params.h
@@ -1,4 +1,4 @@
-// Settings of one shard that its components share.
+// Timing and packing settings that the components of one shard share.
 #pragma once
 
 #include "base/types.h"
@@ -9,7 +9,7 @@
 struct ShardParams {
   Duration heartbeat_period{};
   Duration lease{};
-  Duration cancel_limit{};  // by when a cancelled task has ended, also while nobody can reach its machine
+  Duration cancel_limit{};  // a cancelled task has ended within this time, even if its machine is unreachable
   Duration grace{};         // time without contact after which a machine is deleted
   PackingRules rules;
 };
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -23,7 +23,7 @@
   auto& machine = it->second;
   if (added) {
     machine.name = name;
-    machine.first_seen = machine.last_own_heartbeat = machine.idle_since = now;
+    machine.first_seen = machine.last_unsolicited_heartbeat = machine.idle_since = now;
     machine.token = FencingToken::first_of(term);
     failure_detector.set_timeouts(machine);
   }
@@ -55,7 +55,8 @@
   if (!granted_task || granted_task->status != GrantedTask::Status::kPlaced ||
       granted_task->attempt != key.attempt)
     return;
-  // A gang's task has the same attempt wherever it was started under it: another machine may list it.
+  // All starts of a gang's task under one grant have the same attempt number, so the attempt may be live on
+  // the machine where it is placed although it has left another one.
   if (auto* machine = find_machine(granted_task->machine)) {
     auto task = machine->tasks.find(key);
     if (task != machine->tasks.end() && is_live(task->second)) return;
@@ -99,7 +100,7 @@
 }
 
 void ShardState::check_reconciled(Instant now) {
-  if (reconciled || !registry.is_known()) return;
+  if (reconciled || !registry.is_loaded()) return;
   for (const auto& [name, machine] : machines)
     if (machine.registered && !machine.confirmed) return;
   reconciled = true;
--- a/src/shard/shard_state.h
+++ b/src/shard/shard_state.h
@@ -1,4 +1,4 @@
-// The state of a shard that its components share, and the operations that keep its indexes consistent.
+// Holds the state of a shard that its components share, and the operations that keep its indexes consistent.
 #pragma once
 
 #include <algorithm>
@@ -17,42 +17,44 @@
 
 namespace beaconsill::shard {
 
-// Owned by ShardManager, which passes it to the components by reference for the time of a call.
+// Owned by ShardManager, which passes it to the components by reference for the duration of a call.
 struct ShardState {
   ShardState(ShardId shard, Term shard_term, const ShardParams& shard_params, Instant now);
 
   Machine* find_machine(const MachineName& name);
   struct FoundMachine {
     Machine& machine;
-    bool added;  // it wasn't known before
+    bool added;  // whether the machine was added by this call
   };
-  // A machine that is added has its name, its first fencing token, and the times of one just seen.
+  // A new machine is initialized with its name, the first fencing token of the term and `now` as the time at
+  // which it was first seen.
   FoundMachine find_or_add_machine(const MachineName& name, Instant now);
-  // Sets what the catalogue says of the machine's type.
+  // Sets the resources and image cache size of the machine from the catalogue entry of its type, if there is
+  // one.
   void apply_catalogue(Machine& machine) const;
 
-  // Requests that the task be stopped within `grace` seconds, or sooner if that was requested before.
+  // Requests that the task be stopped within `grace` seconds, or sooner if an earlier request said so.
   void stop(Machine& machine, MachineTask& task, double grace);
-  // The same for all tasks of the job.
+  // Requests that all live tasks of the job be stopped within `grace` seconds.
   void stop_job(const JobId& id, double grace);
-  // The attempt has left its machine: its task may be started anew.
+  // To be called when the attempt is no longer on its machine. The granted task can then be placed again.
   void requeue(const TaskKey& key, Instant now);
-  // Drops the tasks of the machine for which drops(key, task) holds, and requeues them.
+  // Drops and requeues the tasks of the machine for which drops(key, task) returns true.
   template <class Predicate>
   void drop_tasks_if(Machine& machine, Predicate drops, Instant now);
-  // The machine is known to run nothing any more.
+  // To be called when the machine is known to run no tasks any more. Drops and requeues all of them.
   void drop_all_tasks(Machine& machine, Instant now);
   // Assigns the granted task to the machine, to be started with the next commands.
   void place(Machine& machine, const TaskId& id, const ShardJob& job, GrantedTask& granted_task, Instant now);
 
-  // What is known of the job has changed: tasks of it may be orphaned now.
+  // Has the next orphan check visit all machines with tasks of the job, whose grants or state have changed.
   void mark_possible_orphans(const JobId& id);
   void erase_job(const JobId& id);
 
   // Ends the reconciliation once every registered machine has sent a heartbeat under this term or is
   // terminated.
   void check_reconciled(Instant now);
-  // A later term of the shard exists: its leader is another controller.
+  // Records that a later term of the shard exists, so that its leader is another controller.
   void supersede() { superseded = true; }
 
   ShardId id;
@@ -61,7 +63,7 @@
   Instant acquired_at;
   std::shared_ptr<const protocol::Catalogue> catalogue;
   std::map<MachineName, Machine> machines;
-  std::set<MachineName> terminated;  // proved to be; their late heartbeats are dropped
+  std::set<MachineName> terminated;  // proven to be terminated: late heartbeats of these are dropped
   GrantedJobs jobs;
   TaskLocations locations;
   DispatchQueue dispatch_queue;
@@ -72,7 +74,7 @@
   bool superseded = false;
   std::uint64_t heartbeat_count = 0;
   std::uint64_t next_attempt;
-  // Machines and tasks visited so far, other than by `locations`.
+  // Number of machines and tasks visited so far, except those that `locations` counts.
   mutable std::uint64_t visited_count = 0;
 };
 
--- a/tests/command_delivery_test.cpp
+++ b/tests/command_delivery_test.cpp
@@ -135,7 +135,7 @@
     EXPECT_EQ(machine.probe_at.has_value(), entry.batches == 0) << entry.what;
     if (batches.empty()) continue;
     EXPECT_EQ(batches[0].commands.size(), entry.commands) << entry.what;
-    EXPECT_EQ(machine.probe_under_way, !entry.has_command) << entry.what;
+    EXPECT_EQ(machine.probe_in_flight, !entry.has_command) << entry.what;
     // A probe raises no token: the one that the machine has to show is the fencing token.
     EXPECT_EQ(batches[0].token > FencingToken::first_of(kTerm), entry.has_command) << entry.what;
   }
--- a/tests/concurrent_faults_shard_fixture.h
+++ b/tests/concurrent_faults_shard_fixture.h
@@ -1,4 +1,5 @@
-// A shard leader whose workers and messages the test controls one by one, for faults that coincide.
+// Fixture for tests of concurrent faults: a shard leader whose workers and messages the test controls one by
+// one.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -26,7 +27,7 @@
 // A shard with machines `a` and `b` in zone "east" and `c` in zone "west". The test composes the heartbeats.
 struct ShardLeader {
   using Names = std::vector<const char*>;
-  // `registered`: none if the registry hasn't been read yet.
+  // `registered`: the registered machines, or std::nullopt if the registry hasn't been read yet.
   explicit ShardLeader(const std::optional<Names>& registered = Names{"a", "b", "c"})
       : shard(ShardId(0), Term(kTerm), fixture::params(), at(0)) {
     shard.set_catalogue(fixture::catalogue({Zone("east"), Zone("west")}));
@@ -42,13 +43,14 @@
   void read_registry(const std::vector<const char*>& names, double time_s = 0) {
     std::vector<state_store::MachineRecord> all;
     for (const char* name : names) all.push_back(fixture::machine_record(workers.at(name)));
-    shard.on_registry(all, at(time_s));
+    shard.on_registry_read(all, at(time_s));
   }
   static protocol::TaskStatus task(std::uint32_t index, std::uint64_t attempt,
                                    TaskState state = TaskState::kRunning) {
     return {{kJob, index}, Attempt(attempt), state, EndCause::kDone, false};
   }
-  // A copy of a heartbeat that was sent before this leader's term.
+  // Delivers a late copy of a heartbeat that was sent before this leader's term. Returns whether it was
+  // applied.
   bool deliver_late_copy(const char* name, std::vector<protocol::TaskStatus> tasks, double time_s,
                          std::uint64_t incarnation = 1) {
     auto sender = workers.at(name);
@@ -57,7 +59,7 @@
     sender.tasks = std::move(tasks);
     return shard.on_worker_heartbeat(sender, at(time_s)) == HeartbeatResult::kApplied;
   }
-  // The worker has seen this leader's term and sends a heartbeat.
+  // Delivers a heartbeat of the worker, which has seen this leader's term. Returns whether it was applied.
   bool heartbeat(const char* name, double time_s) {
     auto& sender = workers.at(name);
     sender.token = std::max(sender.token, FencingToken::first_of(shard.term()));
@@ -81,7 +83,7 @@
   void cancel(double time_s) { shard.on_job(kJob, &job, TerminalState::kCancelled, at(time_s)); }
   void tick(double time_s) { shard.tick(at(time_s), at(time_s), at(time_s)); }
   std::vector<ShardManager::Batch> batches(double time_s) { return shard.take_command_batches(at(time_s)); }
-  // Of these batches, the commands of one kind, as "machine task".
+  // Returns the commands of one kind in these batches, each as "MACHINE TASK_INDEX".
   static std::vector<std::string> commands(const std::vector<ShardManager::Batch>& batches, Command::Op op) {
     std::vector<std::string> out;
     for (const auto& batch : batches)
@@ -89,7 +91,7 @@
         if (command.op == op) out.push_back(batch.machine.value() + " " + std::to_string(command.task.index));
     return out;
   }
-  // The worker executes a batch; its answer is returned, not delivered.
+  // Has the worker execute a batch. Its answer is returned, not delivered.
   protocol::WorkerHeartbeat execute(const ShardManager::Batch& batch) {
     auto& worker = workers.at(batch.machine.value());
     worker.token = std::max(worker.token, batch.token);
@@ -108,14 +110,14 @@
     }
     return worker;
   }
-  // All batches that can be sent are executed, and the answers delivered.
+  // Has the workers execute all batches that can be sent, and delivers the answers.
   void execute_all(double time_s) {
     for (auto& batch : batches(time_s)) {
       auto answer = execute(batch);
       shard.on_command_result(batch, CommandResult::kExecuted, answer, at(time_s));
     }
   }
-  // All machines send a heartbeat under this term, and get what is to be sent to them.
+  // Delivers a heartbeat of every machine under this term, and executes the commands for all of them.
   void confirm_all(double time_s) {
     for (auto& [name, sender] : workers) heartbeat(name.c_str(), time_s);
     execute_all(time_s);
--- a/tests/concurrent_faults_shard_test.cpp
+++ b/tests/concurrent_faults_shard_test.cpp
@@ -1,29 +1,29 @@
-// Concurrent faults at a shard leader: late copies of heartbeats, failovers, one-way partitions of machines,
-// and cancellations in between. See docs/fault-scenarios.md.
+// Tests concurrent faults at a shard leader: late copies of heartbeats, failovers, one-way partitions of
+// machines and cancellations during these. See docs/fault-scenarios.md.
 #include "concurrent_faults_shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
 
-// An old heartbeat arrives after newer ones, also from an earlier incarnation or attempt, here at a new
-// leader, which can't know that it's old. Found by reading the code: the task of the old heartbeat was taken
-// for placed there, and the sound one was stopped as a second copy of it.
-TEST(StaleHeartbeatAfterFailover, NeverStopsATaskThatRunsElsewhere) {
+// An old heartbeat, of an earlier attempt, arrives at a new leader, which can't know that it is old. Guards
+// against a fault found by reading the code: the task in the old heartbeat was recorded as placed on that
+// machine, and the running task was stopped as a duplicate.
+TEST(StaleHeartbeatAfterFailover, NeitherStopsNorRestartsATaskThatRunsElsewhere) {
   struct Case {
     const char* what;
     std::vector<const char*> registered;
     bool copy_first;
   };
   const Case cases[] = {
-      {"of a terminated machine, before the true one", {"b"}, true},
-      {"of a terminated machine, after the true one", {"b"}, false},
-      {"of a machine that is still there, before the true one", {"a", "b"}, true},
-      {"of a machine that is still there, after the true one", {"a", "b"}, false},
+      {"from a terminated machine, before the heartbeat of b", {"b"}, true},
+      {"from a terminated machine, after the heartbeat of b", {"b"}, false},
+      {"from a machine that still exists, before the heartbeat of b", {"a", "b"}, true},
+      {"from a machine that still exists, after the heartbeat of b", {"a", "b"}, false},
   };
   for (const auto& entry : cases) {
     ShardLeader leader(entry.registered);
     leader.grant(1, kTerm - 1, 0);
-    // It ran on a, was started anew on b since.
+    // The task ran on a and has been started again on b since.
     leader.workers["b"].tasks = {ShardLeader::task(0, 12)};
     auto deliver_copy = [&] { leader.deliver_late_copy("a", {ShardLeader::task(0, 11)}, 0.5); };
     if (entry.copy_first) deliver_copy();
@@ -43,7 +43,7 @@
     }
     EXPECT_EQ(stops, std::vector<std::string>{}) << entry.what;
     EXPECT_EQ(starts, std::vector<std::string>{}) << entry.what;
-    // The old machine's end frees nothing that b holds.
+    // The termination of the old machine must not cause the task on b to be started again.
     leader.shard.on_machine_terminated(MachineName("a"), at(5));
     leader.tick(5.2);
     EXPECT_EQ(ShardLeader::commands(leader.batches(5.2), Command::Op::kStart), std::vector<std::string>{})
@@ -51,8 +51,8 @@
   }
 }
 
-// Two machines that both list it under this leader's term do run it twice: one is stopped.
-TEST(StaleHeartbeatAfterFailover, DuplicateExecutionIsStillReducedToOne) {
+// If two machines both list the task under this leader's term, it does run twice, and one of them is stopped.
+TEST(StaleHeartbeatAfterFailover, DuplicateExecutionUnderThisTermIsStoppedOnOneMachine) {
   ShardLeader leader(ShardLeader::Names{"a", "b"});
   leader.grant(1, kTerm - 1, 0);
   leader.workers["a"].tasks = {ShardLeader::task(0, 11)};
@@ -63,9 +63,9 @@
   EXPECT_EQ(ShardLeader::commands(leader.batches(0.7), Command::Op::kStop).size(), 1u);
 }
 
-// Workers can't open connections to any controller, while direct commands still reach them: what is stopped
-// there is stopped by command, and nothing new is started on a machine that sends no heartbeats.
-TEST(OutboundPartition, StopsAreSentAsCommandsAndNothingStarts) {
+// A worker can't open connections to any controller, while commands still reach it. Cancelled tasks are then
+// stopped by commands.
+TEST(OutboundPartition, CancelledTasksAreStoppedByCommands) {
   ShardLeader leader;
   leader.confirm_all(0.1);
   leader.grant(2, kTerm, 0.2);
@@ -75,7 +75,7 @@
   for (auto& [name, worker] : leader.workers)
     if (!worker.tasks.empty()) silent_worker = name;
   ASSERT_FALSE(silent_worker.empty());
-  // From 1 s on its heartbeats are lost; the others' arrive.
+  // From 1 s on the heartbeats of this worker are lost, and those of the others arrive.
   for (double time_s = 1; time_s < 4.6; time_s += 0.5) {
     for (auto& [name, worker] : leader.workers)
       if (name != silent_worker) leader.heartbeat(name.c_str(), time_s);
@@ -95,7 +95,8 @@
   EXPECT_EQ(leader.shard.running(kJob), 0u);
 }
 
-TEST(OutboundPartition, GetsNoNewTasks) {
+// No new tasks are started on a machine whose heartbeats don't arrive.
+TEST(OutboundPartition, AMachineGetsNoNewTasksUntilItsHeartbeatsArriveAgain) {
   ShardLeader leader(ShardLeader::Names{"a"});
   leader.heartbeat("a", 0.1);
   leader.tick(4.5);
@@ -105,16 +106,16 @@
   leader.heartbeat("a", 4.7);
   leader.heartbeat("a", 4.8);
   leader.tick(4.9);
-  leader.execute_all(4.9);  // its task was stopped by a command, and it responds
+  leader.execute_all(4.9);  // executes the commands that are due, and delivers the worker's answer
   leader.tick(5.0);
   EXPECT_EQ(ShardLeader::commands(leader.batches(5.0), Command::Op::kStart).size(), 1u);
 }
 
-// New machines are up within two seconds and get work at once while writes lag, and the leader ends: nothing
-// starts on a machine that a successor wouldn't wait for.
-TEST(FastBoot, NothingStartsBeforeTheMachineIsRegistered) {
+// New machines boot within two seconds, while writes to the state store are slow. No task may be started on a
+// machine before it is registered, because a successor waits for registered machines only.
+TEST(FastBoot, NoTaskIsStartedBeforeTheMachineIsRegistered) {
   ShardLeader leader(ShardLeader::Names{});
-  leader.heartbeat("a", 0.5);  // up before anything was written of it
+  leader.heartbeat("a", 0.5);  // the machine is up before its record is written
   leader.grant(1, kTerm, 0.6);
   for (double time_s = 0.7; time_s < 1.5; time_s += 0.2) {
     leader.heartbeat("a", time_s);
@@ -129,8 +130,8 @@
   EXPECT_EQ(ShardLeader::commands(leader.batches(1.7), Command::Op::kStart).size(), 1u);
 }
 
-// The successor waits for each machine that is registered, and for no other.
-TEST(FastBoot, ANewLeaderWaitsForTheRegisteredMachines) {
+// A new leader waits for every registered machine, and for no other.
+TEST(FastBoot, ANewLeaderWaitsForRegisteredMachinesOnly) {
   ShardLeader leader(ShardLeader::Names{"a", "b"});
   leader.grant(1, kTerm - 1, 0);
   leader.heartbeat("a", 0.5);
@@ -144,8 +145,9 @@
   EXPECT_EQ(ShardLeader::commands(leader.batches(0.8), Command::Op::kStart).size(), 1u);
 }
 
-// All controllers are down for longer than a lease: every machine is in its next incarnation; copies of
-// heartbeats of the one before may come first, last or in between. Everything is started anew, once.
+// All controllers are down for longer than a lease, so every machine has a new incarnation. Copies of
+// heartbeats of the previous incarnation may arrive first, last or in between. Every task must be started
+// again exactly once.
 TEST(AllControllersDown, EveryTaskIsRestartedOnceDespiteStaleHeartbeats) {
   for (int copy_at = 0; copy_at < 4; ++copy_at) {
     ShardLeader leader(ShardLeader::Names{"a", "b"});
@@ -158,7 +160,7 @@
         leader.deliver_late_copy("a", {ShardLeader::task(0, 11)}, time_s);
         leader.deliver_late_copy("b", {ShardLeader::task(1, 12)}, time_s);
       }
-      // The first probes are sent to an incarnation that has ended.
+      // The first probes are sent to the previous incarnation.
       if (step > 0)
         for (const char* name : {"a", "b"}) leader.heartbeat(name, time_s + 0.1);
       leader.tick(time_s + 0.2);
@@ -175,8 +177,8 @@
   }
 }
 
-// A start without an answer is resolved by the worker's next incarnation: the task is placed anew at once.
-TEST(AllControllersDown, ANewIncarnationResolvesAnIndeterminateStart) {
+// A start without an answer is resolved by a new incarnation of the worker: the task is placed again at once.
+TEST(AllControllersDown, ANewIncarnationResolvesAnUnansweredStart) {
   ShardLeader leader(ShardLeader::Names{"a", "b"});
   leader.confirm_all(0.1);
   leader.grant(1, kTerm, 0.2);
@@ -184,7 +186,7 @@
   auto sent = leader.batches(0.3);
   ASSERT_EQ(sent.size(), 1u);
   leader.shard.on_command_result(sent[0], CommandResult::kNoAnswer, std::nullopt, at(0.4));
-  // Until then it may be there.
+  // Until then the task may be running on the machine.
   for (const char* name : {"a", "b"}) leader.heartbeat(name, 0.5);
   leader.tick(0.6);
   EXPECT_EQ(ShardLeader::commands(leader.batches(0.6), Command::Op::kStart), std::vector<std::string>{});
@@ -194,8 +196,9 @@
   EXPECT_EQ(ShardLeader::commands(leader.batches(0.8), Command::Op::kStart).size(), 1u);
 }
 
-// Jobs are cancelled in the seconds of a failover.
-TEST(CancellationDuringFailover, NothingIsStartedWhateverTheOrderOfEvents) {
+// A job is cancelled during a failover. No task of it may be started after the cancellation is known, in
+// whatever order the events arrive.
+TEST(CancellationDuringFailover, NoTaskIsStartedAfterACancellationInAnyOrderOfEvents) {
   enum class Event { kGrant, kCancel, kHeartbeat, kRegistry };
   const std::map<Event, const char*> names{{Event::kGrant, "grant"},
                                            {Event::kCancel, "cancel"},
@@ -205,7 +208,7 @@
   do {
     if (std::find(order.begin(), order.end(), Event::kCancel) <
         std::find(order.begin(), order.end(), Event::kGrant))
-      continue;  // a view that has read the end has read the grant
+      continue;  // impossible: a view that has read the cancellation has read the earlier grant
     std::string what;
     ShardLeader leader(std::nullopt);
     leader.workers["a"].tasks = {ShardLeader::task(0, 11)};
@@ -241,8 +244,9 @@
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-// A cancellation that falls between placing a task and sending its command: it never leaves the controller.
-TEST(CancellationDuringFailover, APlacedTaskThatWasNotSentIsNotStarted) {
+// The job is cancelled after its tasks were placed and before their start commands were sent: these must not
+// be sent.
+TEST(CancellationDuringFailover, APlacedTaskIsNotStartedIfItsJobIsCancelledBeforeTheStartIsSent) {
   ShardLeader leader;
   leader.confirm_all(0.1);
   leader.grant(2, kTerm, 0.2);
@@ -253,13 +257,14 @@
   EXPECT_TRUE(leader.shard.holds_no_tasks_of(kJob));
 }
 
-// The shard fails over and back: delayed commands of the previous leader are rejected by a worker that has
-// seen this leader's token, and what they started before is listed.
-TEST(RepeatedFailover, ALateCommandOfThePreviousLeaderIsObservedOrRejected) {
+// The shard fails over and back. A delayed command of the previous leader is rejected by a worker that has
+// seen this leader's token, and if it was executed before that, the worker's heartbeat lists its task.
+TEST(RepeatedFailover, ATaskIsNotStartedTwiceByALateCommandOfThePreviousLeader) {
   for (bool before : {true, false}) {
     ShardLeader leader(ShardLeader::Names{"a"});
     leader.grant(1, kTerm - 1, 0);
-    auto late = [&] {
+    // Returns whether the worker executes the late command.
+    auto execute_late_command = [&] {
       auto& worker = leader.workers["a"];
       auto token = FencingToken::first_of(Term(kTerm - 1)).raised();
       if (token < worker.token) return false;
@@ -268,11 +273,11 @@
       return true;
     };
     if (before) {
-      EXPECT_TRUE(late());
+      EXPECT_TRUE(execute_late_command());
     }
     leader.heartbeat("a", 0.5);
     if (!before) {
-      EXPECT_FALSE(late());
+      EXPECT_FALSE(execute_late_command());
     }
     leader.tick(0.6);
     EXPECT_EQ(ShardLeader::commands(leader.batches(0.6), Command::Op::kStart).size(), before ? 0u : 1u);
--- a/tests/failover_shard_test.cpp
+++ b/tests/failover_shard_test.cpp
@@ -1,5 +1,5 @@
-// Failover of a shard leader: late copies of heartbeats, lost responses, commands of earlier leaders,
-// machines that receive nothing. See docs/fault-scenarios.md.
+// Tests the failover of a shard leader under late copies of heartbeats, lost responses, commands of earlier
+// leaders and machines that receive nothing. See docs/fault-scenarios.md.
 #include <gtest/gtest.h>
 
 #include "shard_test_data.h"
@@ -27,16 +27,16 @@
   void register_machines(std::initializer_list<const char*> names) {
     std::vector<state_store::MachineRecord> records;
     for (auto* name : names) records.push_back(fixture::machine_record(worker(name)));
-    shard.on_registry(records, at(0));
+    shard.on_registry_read(records, at(0));
   }
   void run_task(const std::string& name, const char* job, std::uint32_t index, std::uint64_t attempt) {
     worker(name).tasks.push_back(
         {TaskId{JobId(job), index}, Attempt(attempt), TaskState::kRunning, EndCause::kDone, false});
   }
-  // The worker's next heartbeat. `obeys`: it has seen this leader's term.
-  protocol::WorkerHeartbeat next_heartbeat(const std::string& name, bool obeys) {
+  // Returns the worker's next heartbeat. `has_seen_term`: whether the worker has seen this leader's term.
+  protocol::WorkerHeartbeat next_heartbeat(const std::string& name, bool has_seen_term) {
     auto& sender = worker(name);
-    if (obeys) sender.token = std::max(sender.token, FencingToken::first_of(kTerm));
+    if (has_seen_term) sender.token = std::max(sender.token, FencingToken::first_of(kTerm));
     sender.sequence = Sequence(sender.sequence.value() + 1);
     return sender;
   }
@@ -44,8 +44,8 @@
     if (shard.on_worker_heartbeat(heartbeat, at(time_s)) == HeartbeatResult::kApplied)
       shard.heartbeat_response(heartbeat.machine, at(time_s));
   }
-  void heartbeat(const std::string& name, double time_s, bool obeys = true) {
-    deliver(next_heartbeat(name, obeys), time_s);
+  void heartbeat(const std::string& name, double time_s, bool has_seen_term = true) {
+    deliver(next_heartbeat(name, has_seen_term), time_s);
   }
   void grant(const char* id, std::uint32_t tasks, Term term, double time_s) {
     auto spec = fixture::job_spec(JobId(id), tasks);
@@ -77,24 +77,24 @@
   std::map<std::string, state_store::Job> jobs;
 };
 
-// A heartbeat is delayed until a new shard leader has begun, or copies of old ones reach every controller
-// then: a task that has since moved from m1 to m2 must neither be stopped on m2 nor started once more, in
-// whatever order the copy and the true heartbeats come.
-TEST(ShardFailover, AStaleHeartbeatDoesNotStopTheRunningTask) {
+// An old heartbeat of m1, or a copy of one, arrives after a new shard leader has begun, although the task has
+// moved from m1 to m2 since. The task must neither be stopped on m2 nor started again, in whatever order the
+// copy and the current heartbeats arrive.
+TEST(ShardFailover, AStaleHeartbeatNeitherStopsNorRestartsTheRunningTask) {
   struct Case {
     const char* what;
     bool copy_first;
-    bool m1_registered;              // false: it was deleted, and its copy is all that is left of it
-    bool m2_confirmed_before;        // under this leader's term, before its task is known here
-    std::uint64_t copy_incarnation;  // of m1, whose true incarnation is 2
+    bool m1_registered;              // false: m1 was deleted, and the copy is its only heartbeat
+    bool m2_confirmed_before;        // m2's first heartbeat is already under this leader's term
+    std::uint64_t copy_incarnation;  // incarnation in the copy; the current one of m1 is 2
   };
   const Case cases[] = {
       {"copy of an earlier incarnation first", true, true, false, 1},
       {"copy of the same incarnation first", true, true, false, 2},
-      {"copy of a machine that is terminated first", true, false, false, 1},
-      {"copy of a machine that is terminated last", false, false, false, 1},
+      {"copy from a terminated machine first", true, false, false, 1},
+      {"copy from a terminated machine last", false, false, false, 1},
       {"copy last", false, true, true, 1},
-      {"copy first, the other obeys at once", true, true, true, 1},
+      {"copy first, the other machine confirmed at once", true, true, true, 1},
   };
   for (const auto& entry : cases) {
     ShardLeader leader;
@@ -129,7 +129,7 @@
   }
 }
 
-// When two machines that obey this leader both list the task, one of the two is stopped all the same.
+// If two machines that have confirmed this leader's term both list the task, it is stopped on one of them.
 TEST(ShardFailover, DuplicateExecutionIsStoppedOnOneMachine) {
   ShardLeader leader;
   leader.register_machines({"m1", "m2"});
@@ -142,18 +142,18 @@
   EXPECT_EQ(ShardLeader::count(leader.shard.take_command_batches(at(2)), Command::Op::kStop), 1u);
 }
 
-// A shard leader crashes while a machine receives nothing of its successor but sends heartbeats all the same:
-// the reconciliation, and with it every task that was lost in the change, must not wait for as long as that
-// lasts.
-TEST(ShardFailover, AMachineThatTheNewLeaderNeverReachesDoesNotDelayReconciliation) {
+// A shard leader crashes, and a machine sends heartbeats to its successor but receives nothing from it. The
+// reconciliation, and with it the restart of every task lost in the failover, must not wait until the machine
+// is reachable.
+TEST(ShardFailover, AMachineThatTheNewLeaderCannotReachDelaysReconciliationOnlyForTheGracePeriod) {
   struct Case {
     const char* what;
     double reachable_from;
     bool deleted;
   };
   const Case cases[] = {
-      {"it is reachable within the grace period", 4, false},
-      {"it is never reachable", 1e9, true},
+      {"the machine becomes reachable within the grace period", 4, false},
+      {"the machine never becomes reachable", 1e9, true},
   };
   for (const auto& entry : cases) {
     ShardLeader leader;
@@ -179,13 +179,13 @@
     EXPECT_EQ(deleted.size(), entry.deleted ? 1u : 0u) << entry.what;
     EXPECT_GT(reconciled_at, 0) << entry.what;
     EXPECT_LT(reconciled_at, kGraceSeconds + 4) << entry.what;
-    EXPECT_EQ(starts, 1u) << entry.what << ": the task that no machine has";
+    EXPECT_EQ(starts, 1u) << entry.what << ": the task that no machine runs is started once";
   }
 }
 
-// The same for half a zone and more: then it's rather this controller that is partitioned, and nothing is
-// deleted before the time limit of a cancellation.
-TEST(ShardFailover, AnUnreachableZoneIsNotDeleted) {
+// If most machines of a zone receive nothing, it is more likely that this controller is partitioned, so none
+// is deleted before the time limit of a cancellation.
+TEST(ShardFailover, MachinesOfAnUnreachableZoneAreNotDeletedBeforeTheCancellationLimit) {
   ShardLeader leader;
   leader.register_machines({"m1", "m2", "m3", "m4", "m5"});
   for (double time_s = 0.5; time_s < kCancelLimitSeconds - 1; time_s += 0.5) {
@@ -195,10 +195,10 @@
   }
 }
 
-// A command of an earlier leader reaches its machine late, before that has seen the new term: nothing that
-// was granted before may start anywhere until the machine has shown the new term, and what it then runs is
-// kept.
-TEST(ShardFailover, ACommandOfAnEarlierLeaderArrivesBeforeTheNewTerm) {
+// A late command of an earlier leader reaches a machine before the machine has seen the new term. Tasks
+// granted earlier must not be started anywhere until the machine has reported the new term, and the task that
+// it then runs must be kept.
+TEST(ShardFailover, ATaskStartedByALateCommandOfAnEarlierLeaderIsAdopted) {
   ShardLeader leader;
   leader.register_machines({"m1", "m2"});
   leader.grant("run-1", 1, Term(4), 0);
@@ -214,9 +214,9 @@
   EXPECT_EQ(leader.shard.running(JobId("run-1")), 1u);
 }
 
-// A command or its answer is delayed for seconds. Until the worker shows a raised token the task is started
-// nowhere else, whatever older heartbeats list.
-TEST(ShardFailover, AnIndeterminateCommandIsResolvedByAHigherTokenOnly) {
+// A command or its answer is delayed for seconds. Until the worker reports a raised token, the task must not
+// be started on another machine, regardless of what older heartbeats list.
+TEST(ShardFailover, AnUnansweredStartIsResolvedOnlyByAHigherToken) {
   ShardLeader leader;
   leader.register_machines({"m1"});
   leader.heartbeat("m1", 0.1);
@@ -233,8 +233,8 @@
     leader.heartbeat("m2", time_s);
     EXPECT_EQ(leader.starts(time_s), 0u) << time_s;
   }
-  // It has seen the command's own token: the command may have been rejected or executed, and only a heartbeat
-  // with a raised one tells which.
+  // The worker has seen the command's own token. The command may have been rejected or executed, and only a
+  // heartbeat with a raised token shows which.
   leader.worker("m1").token = sent[0].token;
   leader.heartbeat("m1", 5.1);
   EXPECT_EQ(leader.starts(5.2), 0u);
@@ -243,9 +243,9 @@
   EXPECT_EQ(leader.starts(5.8), 1u);
 }
 
-// The cancellation comes at the moment at which the last task ends. The record stands, whichever was written:
-// the leader has nothing left to do for the job, and never starts the task again.
-TEST(ShardFailover, ACancellationAtTheCompletionOfTheLastTask) {
+// A job is cancelled at the moment at which its last task ends. Whichever of the two is recorded first, the
+// leader has no tasks of the job left and never starts the task again.
+TEST(ShardFailover, ATaskThatEndsWhileItsJobIsCancelledIsNotStartedAgain) {
   struct Case {
     const char* what;
     bool cancelled_first;
@@ -282,9 +282,10 @@
   }
 }
 
-// A leader that is partitioned from the state store and from its peers still leads its workers: it starts
-// nothing without recent knowledge of cancellations, and stops for good when a worker shows a higher term.
-TEST(ShardFailover, ALeaderWithoutNewsOfCancellationsStartsNothing) {
+// A leader that is partitioned from the state store and from its peers still leads its workers. It must start
+// nothing without recent knowledge of cancellations, and send nothing more once a worker reports a higher
+// term.
+TEST(ShardFailover, APartitionedLeaderStartsNothingWithoutRecentCancellationsOrUnderALaterTerm) {
   struct Case {
     double knowledge_age_s;
     std::size_t starts;
@@ -310,12 +311,12 @@
   EXPECT_TRUE(leader.shard.take_machines_to_delete(at(30)).empty());
 }
 
-// A zone is partitioned for longer than a lease. Tasks of its machines count as ended only once a read, begun
-// after the lease had expired, shows that no successor has answered them.
-TEST(ShardFailover, AnExpiredLeaseCountsOnlyWithALaterRead) {
+// A zone is partitioned for longer than a lease. Tasks of its machines count as ended only after a read of
+// the state store, begun after the lease had expired, shows that no successor can have renewed the lease.
+TEST(ShardFailover, TasksAreRestartedOnlyIfTheStateStoreWasReadAfterTheLeaseExpired) {
   struct Case {
     const char* what;
-    double read;
+    double up_to_date_at;
     std::size_t starts;
   };
   const double expiry = 1 + kLeaseSeconds * 1.002 + 0.5;
@@ -335,15 +336,15 @@
     for (double time_s = 2; time_s < expiry; time_s += 1) leader.heartbeat("m2", time_s);
     double now = expiry + 0.3;
     leader.heartbeat("m2", now);
-    leader.shard.tick(at(now), at(now), at(entry.read));
+    leader.shard.tick(at(now), at(now), at(entry.up_to_date_at));
     EXPECT_EQ(ShardLeader::count(leader.shard.take_command_batches(at(now)), Command::Op::kStart),
               entry.starts)
         << entry.what;
   }
 }
 
-// Tasks of one job end far apart and the leader changes in between: a new leader gets all that isn't
-// recorded, not only what is new.
+// Tasks of one job end at very different times, and the scheduler leader changes in between. The new
+// scheduler leader must get all unrecorded progress, not only progress that is new since the last report.
 TEST(ShardFailover, ANewSchedulerLeaderGetsAllUnrecordedProgress) {
   ShardLeader leader;
   leader.register_machines({"m1"});
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -1,4 +1,4 @@
-// Whether failures of tasks are put down to their job or to their machine.
+// Tests whether task failures are attributed to the job or to the machine.
 #include "shard/failure_attribution.h"
 
 #include <gtest/gtest.h>
@@ -21,39 +21,39 @@
   return JobId("run-" + std::to_string(number));
 }
 
-TEST(FailureAttributionTest, OneFailureIsPutDownToNeither) {
+TEST(FailureAttributionTest, ASingleFailureIsAttributedToNeitherJobNorMachine) {
   FailureAttribution attribution;
-  attribution.on_failed(kFirst, kJob, false, at(0));
+  attribution.on_task_failed(kFirst, kJob, false, at(0));
   EXPECT_FALSE(attribution.is_machine_faulty(kFirst));
-  EXPECT_FALSE(attribution.suspect_until(kFirst));
-  EXPECT_FALSE(attribution.job_fails(kJob, at(0)));
+  EXPECT_FALSE(attribution.suspected_until(kFirst));
+  EXPECT_FALSE(attribution.is_job_failing(kJob, at(0)));
   EXPECT_FALSE(attribution.retry_at(kJob));
-  EXPECT_TRUE(attribution.concerns(kFirst, JobId("other")));
-  EXPECT_TRUE(attribution.concerns(kSecond, kJob));
-  EXPECT_FALSE(attribution.concerns(kSecond, JobId("other")));
+  EXPECT_TRUE(attribution.has_recent_failures(kFirst, JobId("other")));
+  EXPECT_TRUE(attribution.has_recent_failures(kSecond, kJob));
+  EXPECT_FALSE(attribution.has_recent_failures(kSecond, JobId("other")));
 }
 
-TEST(FailureAttributionTest, AJobFailsIfItFailedOnTwoMachinesAndWorksNowhere) {
+TEST(FailureAttributionTest, AJobIsFailingIfItFailedOnTwoMachinesAndWorksOnNone) {
   struct Case {
     const char* what;
     std::vector<MachineName> failed_on;
     bool works;
-    bool job_fails;
+    bool failing;
   };
   const Case cases[] = {
-      {"on one machine, twice", {kFirst, kFirst}, false, false},
-      {"on two machines", {kFirst, kSecond}, false, true},
-      {"on two machines, but it works on another", {kFirst, kSecond}, true, false},
+      {"failed twice on one machine", {kFirst, kFirst}, false, false},
+      {"failed on two machines", {kFirst, kSecond}, false, true},
+      {"failed on two machines, but works on another one", {kFirst, kSecond}, true, false},
   };
   for (const auto& entry : cases) {
     FailureAttribution attribution;
-    for (const auto& machine : entry.failed_on) attribution.on_failed(machine, kJob, false, at(0));
-    if (entry.works) attribution.on_job_works(kJob);
-    EXPECT_EQ(attribution.job_fails(kJob, at(1)), entry.job_fails) << entry.what;
+    for (const auto& machine : entry.failed_on) attribution.on_task_failed(machine, kJob, false, at(0));
+    if (entry.works) attribution.mark_job_working(kJob);
+    EXPECT_EQ(attribution.is_job_failing(kJob, at(1)), entry.failing) << entry.what;
   }
 }
 
-TEST(FailureAttributionTest, AMachineIsFaultyIfJobsFailThereThatTheJobsDoNotExplain) {
+TEST(FailureAttributionTest, AMachineIsFaultyIfMoreJobsFailThereThanMistakesInJobsExplain) {
   struct Case {
     const char* what;
     int working, unknown, failing_everywhere;  // jobs that failed on the machine
@@ -62,19 +62,21 @@
   const Case cases[] = {
       {"one job that works", 1, 0, 0, false},
       {"two jobs that work", 2, 0, 0, true},
-      {"four jobs of which nothing is known", 0, 4, 0, false},
-      {"five of them", 0, 5, 0, true},
-      {"together with one that works", 1, 4, 0, true},
-      {"jobs that fail everywhere explain their failures", 1, 3, 5, false},
+      {"four jobs not known to work or to fail elsewhere", 0, 4, 0, false},
+      {"five such jobs", 0, 5, 0, true},
+      {"four such jobs and one that works", 1, 4, 0, true},
+      {"failures of jobs that fail everywhere don't count", 1, 3, 5, false},
   };
   for (const auto& entry : cases) {
     FailureAttribution attribution;
     int number = 0;
-    for (int i = 0; i < entry.working; ++i) attribution.on_failed(kFirst, job_number(++number), true, at(0));
-    for (int i = 0; i < entry.unknown; ++i) attribution.on_failed(kFirst, job_number(++number), false, at(0));
+    for (int i = 0; i < entry.working; ++i)
+      attribution.on_task_failed(kFirst, job_number(++number), true, at(0));
+    for (int i = 0; i < entry.unknown; ++i)
+      attribution.on_task_failed(kFirst, job_number(++number), false, at(0));
     for (int i = 0; i < entry.failing_everywhere; ++i) {
-      attribution.on_failed(kFirst, job_number(++number), false, at(0));
-      attribution.on_failed(kSecond, job_number(number), false, at(0));
+      attribution.on_task_failed(kFirst, job_number(++number), false, at(0));
+      attribution.on_task_failed(kSecond, job_number(number), false, at(0));
     }
     EXPECT_EQ(attribution.is_machine_faulty(kFirst), entry.faulty) << entry.what;
   }
@@ -82,29 +84,29 @@
 
 TEST(FailureAttributionTest, AMachineIsSuspectedForTenSecondsAfterTwoUnexplainedFailures) {
   FailureAttribution attribution;
-  attribution.on_failed(kFirst, job_number(1), false, at(0));
-  attribution.on_failed(kFirst, job_number(2), false, at(3));
-  EXPECT_EQ(attribution.suspect_until(kFirst), at(13));
+  attribution.on_task_failed(kFirst, job_number(1), false, at(0));
+  attribution.on_task_failed(kFirst, job_number(2), false, at(3));
+  EXPECT_EQ(attribution.suspected_until(kFirst), at(13));
   // The first job fails elsewhere as well, which explains one of the two.
-  attribution.on_failed(kSecond, job_number(1), false, at(4));
-  EXPECT_FALSE(attribution.suspect_until(kFirst));
+  attribution.on_task_failed(kSecond, job_number(1), false, at(4));
+  EXPECT_FALSE(attribution.suspected_until(kFirst));
 }
 
 TEST(FailureAttributionTest, TheBackoffOfAFailingJobDoublesUpToThirtySeconds) {
   FailureAttribution attribution;
-  attribution.on_failed(kFirst, kJob, false, at(0));
+  attribution.on_task_failed(kFirst, kJob, false, at(0));
   double failed_at = 0;
   for (double backoff : {1, 2, 4, 8, 16, 30, 30}) {
-    attribution.on_failed(kSecond, kJob, false, at(failed_at));
+    attribution.on_task_failed(kSecond, kJob, false, at(failed_at));
     EXPECT_EQ(attribution.retry_at(kJob), at(failed_at + backoff));
-    // Further failures before that count once.
-    attribution.on_failed(kFirst, kJob, false, at(failed_at + backoff / 2));
+    // Further failures before the retry don't extend the backoff.
+    attribution.on_task_failed(kFirst, kJob, false, at(failed_at + backoff / 2));
     EXPECT_EQ(attribution.retry_at(kJob), at(failed_at + backoff));
     failed_at += backoff;
   }
 }
 
-TEST(FailureAttributionTest, WhatWorksClearsTheFailuresBeforeItWasPlaced) {
+TEST(FailureAttributionTest, ASuccessClearsTheFailuresOnItsMachineUpToThePlacement) {
   struct Case {
     const char* what;
     double placed;
@@ -117,30 +119,30 @@
   };
   for (const auto& entry : cases) {
     FailureAttribution attribution;
-    attribution.on_failed(kFirst, job_number(1), true, at(1));
-    attribution.on_failed(kFirst, job_number(2), true, at(2));
-    attribution.on_worked(kFirst, job_number(3), at(entry.placed));
+    attribution.on_task_failed(kFirst, job_number(1), true, at(1));
+    attribution.on_task_failed(kFirst, job_number(2), true, at(2));
+    attribution.on_task_succeeded(kFirst, job_number(3), at(entry.placed));
     EXPECT_EQ(attribution.is_machine_faulty(kFirst), entry.faulty) << entry.what;
   }
 }
 
-TEST(FailureAttributionTest, FailuresAreForgottenAfterAMinute) {
+TEST(FailureAttributionTest, FailuresExpireAfterAMinute) {
   FailureAttribution attribution;
-  attribution.on_failed(kFirst, kJob, false, at(0));
-  attribution.on_failed(kSecond, kJob, false, at(10));
+  attribution.on_task_failed(kFirst, kJob, false, at(0));
+  attribution.on_task_failed(kSecond, kJob, false, at(10));
   EXPECT_EQ(attribution.failed_on(kJob, at(59.9)), (std::set{kFirst, kSecond}));
   EXPECT_EQ(attribution.failed_on(kJob, at(60)), std::set{kSecond});
-  EXPECT_TRUE(attribution.job_fails(kJob, at(69.9)));
-  EXPECT_FALSE(attribution.job_fails(kJob, at(70)));
-  // The next failure, of whatever job, drops the entries.
-  attribution.on_failed(kFirst, job_number(2), false, at(70));
-  EXPECT_FALSE(attribution.concerns(kSecond, kJob));
+  EXPECT_TRUE(attribution.is_job_failing(kJob, at(69.9)));
+  EXPECT_FALSE(attribution.is_job_failing(kJob, at(70)));
+  // The next failure of any job erases the expired entries.
+  attribution.on_task_failed(kFirst, job_number(2), false, at(70));
+  EXPECT_FALSE(attribution.has_recent_failures(kSecond, kJob));
 }
 
-TEST(FailureAttributionTest, ATerminatedMachineIsNoLongerFaulty) {
+TEST(FailureAttributionTest, FailuresOnAMachineAreErasedWhenItIsTerminated) {
   FailureAttribution attribution;
-  attribution.on_failed(kFirst, job_number(1), true, at(0));
-  attribution.on_failed(kFirst, job_number(2), true, at(0));
+  attribution.on_task_failed(kFirst, job_number(1), true, at(0));
+  attribution.on_task_failed(kFirst, job_number(2), true, at(0));
   attribution.on_machine_terminated(kFirst);
   EXPECT_FALSE(attribution.is_machine_faulty(kFirst));
 }
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -1,4 +1,5 @@
-// The failure detector in a running shard: who is probed, and how soon a hung machine is deleted.
+// Tests the failure detector in a simulated shard over time: which machines are probed, and how soon a hung
+// machine is deleted.
 #include <gtest/gtest.h>
 
 #include "shard/shard_manager.h"
@@ -9,8 +10,9 @@
 using protocol::EndCause;
 using protocol::TaskState;
 
+// In seconds.
 constexpr double kHeartbeatPeriod = 3, kLease = 17.5, kGrace = 12, kStep = 0.1, kTimeout = 2;
-// A heartbeat is late after 1.6 periods; a late machine has 3.9 s to answer, and the probes need some steps.
+// A heartbeat is late after 1.6 periods, a late machine has 3.9 s to answer, and the probes need some steps.
 constexpr double kHungDeletedBy = 1.6 * kHeartbeatPeriod + 3.9 + 0.6;
 
 Instant at(double time_s) {
@@ -19,10 +21,10 @@
 
 enum class Fault {
   kNone,
-  kHung,             // neither heartbeats nor answers
-  kHeartbeatsLost,   // no heartbeat arrives, commands get through
-  kReceivesNothing,  // sends heartbeats, but neither answers nor commands reach it
-  kCommandsLost      // late heartbeats arrive by way of other controllers; commands get no answer
+  kHung,             // sends neither heartbeats nor answers
+  kHeartbeatsLost,   // heartbeats don't arrive, commands reach the worker
+  kReceivesNothing,  // heartbeats arrive, but neither answers nor commands reach the worker
+  kCommandsLost      // late heartbeats arrive through other controllers, commands get no answer
 };
 
 struct Worker {
@@ -33,9 +35,9 @@
   Fault fault = Fault::kNone;
 };
 
-// A shard leader with some machines of a zone, in steps of simulated time.
-struct Fleet {
-  explicit Fleet(int machines) : shard(ShardId(0), Term(5), params(), at(0)) {
+// A shard leader and the machines of one zone, run in steps of simulated time.
+struct SimulatedShard {
+  explicit SimulatedShard(int machines) : shard(ShardId(0), Term(5), params(), at(0)) {
     auto catalogue = std::make_shared<protocol::Catalogue>();
     (*catalogue)[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, {Zone("a")}};
     shard.set_catalogue(catalogue);
@@ -53,7 +55,7 @@
                          worker.heartbeat.address, false});
       workers[worker.heartbeat.machine] = worker;
     }
-    shard.on_registry(records, at(0));
+    shard.on_registry_read(records, at(0));
   }
 
   static ShardParams params() {
@@ -129,7 +131,7 @@
       shard.on_machine_terminated(name, at(now));
     }
   }
-  // So many tasks that every machine gets some.
+  // Grants four tasks per machine, so that every machine gets some.
   void grant_tasks() {
     protocol::JobSpec spec;
     spec.id = JobId("run-1");
@@ -146,7 +148,7 @@
   void run_until(double time_s) {
     while (now < time_s) step();
   }
-  // The fault of machines m`first` to, and without, m`last`.
+  // Sets the fault of the machines from m`first` up to, but not including, m`last`.
   void set_fault(int first, int last, Fault kind) {
     for (int i = first; i < last; ++i) workers.at(MachineName("m" + std::to_string(i))).fault = kind;
   }
@@ -157,133 +159,139 @@
   std::map<MachineName, Worker> workers;
   std::map<MachineName, int> probes;
   std::multimap<double, ShardManager::Batch> timeouts;
-  std::map<MachineName, double> deleted;  // how long after the last heartbeat
+  std::map<MachineName, double> deleted;  // seconds from the last heartbeat to the deletion
 };
 
-// When the first machine is deleted after a fault that begins with the heartbeat at 30 s. Healthy ones never
-// are.
-TEST(FailureDetection, AHungMachineIsDeletedBeforeTheGracePeriodEnds) {
+// Each fault begins at 30 s. Faulty machines are deleted within the given bounds, healthy machines never.
+TEST(FailureDetection, FaultyMachinesAreDeletedWithinTheExpectedTimeAndHealthyMachinesAreKept) {
   struct Case {
     const char* what;
     int machines, faulty;
     Fault fault;
-    double lasts;
-    std::optional<double> from, until;  // since its last heartbeat; none: nothing is deleted
-    bool work = false;                  // it begins as work is sent
+    double duration_s;
+    // Bounds of the deletion in seconds since the last heartbeat; std::nullopt if no machine is deleted.
+    std::optional<double> earliest, latest;
+    bool grant_at_start = false;  // tasks are granted, and so sent, when the fault begins
   };
   const Case cases[] = {
-      {"one hangs", 12, 1, Fault::kHung, 60, 1.6 * kHeartbeatPeriod + 3.9, kHungDeletedBy},
-      {"one hangs as work is sent", 12, 1, Fault::kHung, 60, 1.6 * kHeartbeatPeriod + 3.9, kHungDeletedBy,
-       true},
-      {"some hang at once", 40, 9, Fault::kHung, 60, 1.6 * kHeartbeatPeriod + 3.9, kHungDeletedBy},
-      {"it goes on after a while", 12, 1, Fault::kHung, 5, {}, {}},
-      {"so many that it's rather the path to them", 12, 4, Fault::kHung, 60, kGrace, kGrace + 1},
-      {"all of them", 12, 12, Fault::kHung, 60, {}, {}},
-      {"it's the only one of its zone", 1, 1, Fault::kHung, 60, kGrace, kGrace + 1},
+      {"one machine hangs", 12, 1, Fault::kHung, 60, 1.6 * kHeartbeatPeriod + 3.9, kHungDeletedBy},
+      {"one machine hangs when tasks are sent", 12, 1, Fault::kHung, 60, 1.6 * kHeartbeatPeriod + 3.9,
+       kHungDeletedBy, true},
+      {"several machines hang at the same time", 40, 9, Fault::kHung, 60, 1.6 * kHeartbeatPeriod + 3.9,
+       kHungDeletedBy},
+      {"the machine recovers after 5 s", 12, 1, Fault::kHung, 5, {}, {}},
+      {"so many machines that the network is the likelier cause", 12, 4, Fault::kHung, 60, kGrace,
+       kGrace + 1},
+      {"all machines of the zone", 12, 12, Fault::kHung, 60, {}, {}},
+      {"the only machine of its zone", 1, 1, Fault::kHung, 60, kGrace, kGrace + 1},
       {"heartbeats lost for less than a lease", 12, 1, Fault::kHeartbeatsLost, 14, {}, {}},
-      {"heartbeats lost for longer", 12, 1, Fault::kHeartbeatsLost, 60, kLease, kLease + 1},
-      {"receives nothing", 12, 1, Fault::kReceivesNothing, 60, 0, 5},
-      {"no command gets through, one hangs", 12, 12, Fault::kCommandsLost, 30, kGrace, kGrace + 1},
+      {"heartbeats lost for longer than a lease", 12, 1, Fault::kHeartbeatsLost, 60, kLease, kLease + 1},
+      {"the machine receives nothing", 12, 1, Fault::kReceivesNothing, 60, 0, 5},
+      {"commands reach no machine, and one hangs", 12, 12, Fault::kCommandsLost, 30, kGrace, kGrace + 1},
   };
   for (const auto& entry : cases) {
-    Fleet fleet(entry.machines);
-    fleet.run_until(30);
-    fleet.set_fault(0, entry.faulty, entry.fault);
-    if (entry.work) fleet.grant_tasks();
-    if (entry.fault == Fault::kCommandsLost) fleet.set_fault(0, 1, Fault::kHung);
-    fleet.run_until(30 + entry.lasts);
-    fleet.set_fault(0, entry.faulty, Fault::kNone);
-    fleet.run_until(100);
-    for (const auto& [name, seconds] : fleet.deleted) {
+    SimulatedShard simulation(entry.machines);
+    simulation.run_until(30);
+    simulation.set_fault(0, entry.faulty, entry.fault);
+    if (entry.grant_at_start) simulation.grant_tasks();
+    if (entry.fault == Fault::kCommandsLost) simulation.set_fault(0, 1, Fault::kHung);
+    simulation.run_until(30 + entry.duration_s);
+    simulation.set_fault(0, entry.faulty, Fault::kNone);
+    simulation.run_until(100);
+    for (const auto& [name, seconds] : simulation.deleted) {
       int index = std::stoi(name.value().substr(1));
       EXPECT_LT(index, entry.fault == Fault::kCommandsLost ? 1 : entry.faulty) << entry.what;
     }
-    EXPECT_EQ(!fleet.deleted.empty(), entry.from.has_value()) << entry.what;
-    if (fleet.deleted.empty() || !entry.from) continue;
-    for (const auto& [name, seconds] : fleet.deleted) {
-      EXPECT_GE(seconds, *entry.from) << entry.what;
-      EXPECT_LE(seconds, *entry.until) << entry.what;
+    EXPECT_EQ(!simulation.deleted.empty(), entry.earliest.has_value()) << entry.what;
+    if (simulation.deleted.empty() || !entry.earliest) continue;
+    for (const auto& [name, seconds] : simulation.deleted) {
+      EXPECT_GE(seconds, *entry.earliest) << entry.what;
+      EXPECT_LE(seconds, *entry.latest) << entry.what;
     }
   }
 }
 
-// A machine whose heartbeats are in time is not probed; a late one is, and one healthy machine of its zone as
-// well, which shows that the way there is open.
-TEST(FailureDetection, OnlyLateMachinesAndOneWitnessAreProbed) {
-  Fleet fleet(12);
-  fleet.run_until(30);
-  EXPECT_TRUE(fleet.probes.size() <= 12 && fleet.probes[MachineName("m0")] <= 1);  // once, at the failover
-  auto before = fleet.probes;
-  fleet.set_fault(0, 1, Fault::kHung);
-  fleet.run_until(35);
-  EXPECT_GE(fleet.probes[MachineName("m0")] - before[MachineName("m0")], 1);
+// A machine whose heartbeats arrive in time is not probed. A late machine is probed, and one healthy machine
+// of its zone as well, whose answer shows that the network path to the zone works.
+TEST(FailureDetection, OnlyLateMachinesAndOneHealthyMachineAreProbed) {
+  SimulatedShard simulation(12);
+  simulation.run_until(30);
+  EXPECT_TRUE(simulation.probes.size() <= 12 &&
+              simulation.probes[MachineName("m0")] <= 1);  // once, at the failover
+  auto before = simulation.probes;
+  simulation.set_fault(0, 1, Fault::kHung);
+  simulation.run_until(35);
+  EXPECT_GE(simulation.probes[MachineName("m0")] - before[MachineName("m0")], 1);
   int others = 0;
-  for (const auto& [name, count] : fleet.probes)
+  for (const auto& [name, count] : simulation.probes)
     if (name != MachineName("m0")) others += count - before[name];
   EXPECT_GE(others, 1);
   EXPECT_LE(others, 5);
-  EXPECT_FALSE(fleet.shard.machines().at(MachineName("m0")).usable(at(35)));
+  EXPECT_FALSE(simulation.shard.machines().at(MachineName("m0")).usable(at(35)));
 }
 
-// What had no answer while this controller was paused proves nothing: the machine has its time to answer
-// anew.
-TEST(FailureDetection, AProcessPauseIsNotHeldAgainstAMachine) {
-  Fleet fleet(12);
-  fleet.run_until(30);
-  fleet.set_fault(0, 1, Fault::kHung);
-  fleet.run_until(36);
-  fleet.now = 44;  // the controller's, not the workers': they have waited meanwhile
-  fleet.shard.on_process_pause(at(fleet.now));
-  fleet.set_fault(0, 1, Fault::kNone);
-  for (auto& [name, worker] : fleet.workers) {
-    worker.next_heartbeat_at = worker.lease_from = fleet.now;
-    worker.last_contact_at = fleet.now;
+// Commands that were not answered while this controller was paused prove nothing: after the pause the machine
+// gets the full time to answer again.
+TEST(FailureDetection, NoMachineIsDeletedBecauseOfAPauseOfTheController) {
+  SimulatedShard simulation(12);
+  simulation.run_until(30);
+  simulation.set_fault(0, 1, Fault::kHung);
+  simulation.run_until(36);
+  simulation.now = 44;  // only the controller was paused; the workers were waiting for it
+  simulation.shard.on_process_pause(at(simulation.now));
+  simulation.set_fault(0, 1, Fault::kNone);
+  for (auto& [name, worker] : simulation.workers) {
+    worker.next_heartbeat_at = worker.lease_from = simulation.now;
+    worker.last_contact_at = simulation.now;
   }
-  fleet.workers.at(MachineName("m0")).next_heartbeat_at = fleet.now + 3;
-  fleet.run_until(80);
-  EXPECT_TRUE(fleet.deleted.empty());
+  simulation.workers.at(MachineName("m0")).next_heartbeat_at = simulation.now + 3;
+  simulation.run_until(80);
+  EXPECT_TRUE(simulation.deleted.empty());
 }
 
-// A machine may go on between the request for its deletion and the answer to that, which can take seconds, or
-// fail: what is cancelled there is stopped by the answer to its heartbeat, since it gets no batches.
-TEST(FailureDetection, AMachineThatGoesOnWhileItIsBeingDeletedIsSentStops) {
-  Fleet fleet(12);
-  fleet.run_until(30);
-  fleet.grant_tasks();
-  fleet.run_until(31);
-  auto& hung = fleet.workers.at(MachineName("m0"));
+// A machine may recover between the request for its deletion and the cloud's answer, which can take seconds
+// or report a failure. Cancelled tasks on it are stopped by the answer to its heartbeat, since a machine that
+// is being deleted gets no batches.
+TEST(FailureDetection, AMachineThatRecoversWhileBeingDeletedGetsStopsInHeartbeatAnswers) {
+  SimulatedShard simulation(12);
+  simulation.run_until(30);
+  simulation.grant_tasks();
+  simulation.run_until(31);
+  auto& hung = simulation.workers.at(MachineName("m0"));
   ASSERT_FALSE(hung.heartbeat.tasks.empty());
-  fleet.run_until(35);
-  fleet.set_fault(0, 1, Fault::kHung);
+  simulation.run_until(35);
+  simulation.set_fault(0, 1, Fault::kHung);
   double time_s = 35;
   std::vector<MachineName> marked;
   for (; marked.empty() && time_s < 60; time_s += kStep) {
-    for (auto& [name, worker] : fleet.workers)
+    for (auto& [name, worker] : simulation.workers)
       if (name != MachineName("m0"))
-        fleet.shard.on_worker_heartbeat(fleet.next_heartbeat(worker), at(time_s));
-    marked = fleet.shard.take_machines_to_delete(at(time_s));
+        simulation.shard.on_worker_heartbeat(simulation.next_heartbeat(worker), at(time_s));
+    marked = simulation.shard.take_machines_to_delete(at(time_s));
   }
   ASSERT_EQ(marked, std::vector{MachineName("m0")});
-  fleet.shard.on_job(JobId("run-1"), &fleet.job, state_store::TerminalState::kCancelled, at(time_s));
-  for (const auto& batch : fleet.shard.take_command_batches(at(time_s)))
+  simulation.shard.on_job(JobId("run-1"), &simulation.job, state_store::TerminalState::kCancelled,
+                          at(time_s));
+  for (const auto& batch : simulation.shard.take_command_batches(at(time_s)))
     EXPECT_NE(batch.machine, MachineName("m0"));
-  // The answer to a probe comes first, so that its heartbeat is none that ends a long pause.
+  // The answer to a probe arrives first, so that the heartbeat doesn't count as the end of a long pause.
   ShardManager::Batch probe{
       MachineName("m0"), hung.heartbeat.address, Incarnation(1), hung.heartbeat.token, {}};
-  fleet.shard.on_command_result(probe, ShardManager::CommandResult::kExecuted, fleet.next_heartbeat(hung),
-                                at(time_s));
-  fleet.shard.on_worker_heartbeat(fleet.next_heartbeat(hung), at(time_s + 0.1));
-  auto answer = fleet.shard.heartbeat_response(MachineName("m0"), at(time_s + 0.1));
+  simulation.shard.on_command_result(probe, ShardManager::CommandResult::kExecuted,
+                                     simulation.next_heartbeat(hung), at(time_s));
+  simulation.shard.on_worker_heartbeat(simulation.next_heartbeat(hung), at(time_s + 0.1));
+  auto answer = simulation.shard.heartbeat_response(MachineName("m0"), at(time_s + 0.1));
   EXPECT_EQ(answer.commands.size(), hung.heartbeat.tasks.size());
   for (const auto& command : answer.commands) EXPECT_EQ(command.op, protocol::Command::Op::kStop);
 }
 
-// A machine recorded as quarantined keeps what runs there through a failover as well: before its first
-// heartbeat to the new leader it is not known to be empty.
-TEST(FailureDetection, AQuarantinedMachineIsNotTakenForEmptyBeforeItsFirstHeartbeat) {
-  for (bool runs : {true, false}) {
-    ShardManager shard(ShardId(0), Term(5), Fleet::params(), at(0));
-    shard.on_registry({{MachineName("m1"), MachineType("t4"), Zone("a"), false, "127.0.0.1:1", true}}, at(0));
+// Tasks on a machine that is recorded as quarantined must survive a failover: before its first heartbeat to
+// the new leader the machine is not known to be empty, so it must not be deleted.
+TEST(FailureDetection, AQuarantinedMachineIsNotDeletedBeforeAHeartbeatShowsThatItIsEmpty) {
+  for (bool has_task : {true, false}) {
+    ShardManager shard(ShardId(0), Term(5), SimulatedShard::params(), at(0));
+    shard.on_registry_read({{MachineName("m1"), MachineType("t4"), Zone("a"), false, "127.0.0.1:1", true}},
+                           at(0));
     EXPECT_TRUE(shard.take_machines_to_delete(at(0.1)).empty());
     protocol::WorkerHeartbeat heartbeat;
     heartbeat.machine = MachineName("m1");
@@ -292,26 +300,26 @@
     heartbeat.incarnation = Incarnation(1);
     heartbeat.sequence = Sequence(1);
     heartbeat.token = FencingToken::first_of(Term(5));
-    if (runs)
+    if (has_task)
       heartbeat.tasks.push_back(
           {{JobId("run-1"), 0}, Attempt(1), TaskState::kRunning, EndCause::kDone, false});
     shard.on_worker_heartbeat(heartbeat, at(0.2));
-    EXPECT_EQ(shard.take_machines_to_delete(at(0.3)).empty(), runs);
+    EXPECT_EQ(shard.take_machines_to_delete(at(0.3)).empty(), has_task);
   }
 }
 
-// What is being deleted gets no commands: no more machines are so marked than one request holds, however many
-// requests the cloud leaves unanswered for a while.
-TEST(FailureDetection, NoMoreAreMarkedForDeletionWhileARequestIsUnanswered) {
-  Fleet fleet(250);
-  fleet.run_until(kHeartbeatPeriod + 1);
-  for (const auto& [name, worker] : fleet.workers) fleet.shard.release(name);
-  auto first = fleet.shard.take_machines_to_delete(at(5));
+// A machine that is being deleted gets no commands, so no more machines are marked for deletion than fit into
+// one request, even if the cloud doesn't answer requests for a while.
+TEST(FailureDetection, NoMoreMachinesAreMarkedForDeletionWhileARequestIsUnanswered) {
+  SimulatedShard simulation(250);
+  simulation.run_until(kHeartbeatPeriod + 1);
+  for (const auto& [name, worker] : simulation.workers) simulation.shard.release(name);
+  auto first = simulation.shard.take_machines_to_delete(at(5));
   EXPECT_EQ(first.size(), protocol::kMaxDelete);
-  EXPECT_TRUE(fleet.shard.take_machines_to_delete(at(5.1)).empty());
-  for (std::size_t i = 0; i < 30; ++i) fleet.shard.on_machine_terminated(first[i], at(5.2));
-  fleet.shard.on_delete_failed(first[30], at(5.2));
-  EXPECT_EQ(fleet.shard.take_machines_to_delete(at(5.3)).size(), 31u);
+  EXPECT_TRUE(simulation.shard.take_machines_to_delete(at(5.1)).empty());
+  for (std::size_t i = 0; i < 30; ++i) simulation.shard.on_machine_terminated(first[i], at(5.2));
+  simulation.shard.on_delete_failed(first[30], at(5.2));
+  EXPECT_EQ(simulation.shard.take_machines_to_delete(at(5.3)).size(), 31u);
 }
 
 }  // namespace
--- a/tests/heartbeat_reconciler_test.cpp
+++ b/tests/heartbeat_reconciler_test.cpp
@@ -1,4 +1,4 @@
-// What one heartbeat of a worker changes.
+// Tests the effects of a single heartbeat on the state of a shard.
 #include "shard/heartbeat_reconciler.h"
 
 #include "shard_state_fixture.h"
@@ -12,7 +12,7 @@
 using protocol::TaskState;
 
 struct HeartbeatReconcilerTest : ShardStateFixture {
-  // The next heartbeat of a machine, which lists what it is thought to run.
+  // Returns the next heartbeat of a machine, which lists the tasks that the shard has recorded there.
   static protocol::WorkerHeartbeat next_heartbeat(const Machine& machine) {
     auto heartbeat = fixture::new_worker(machine.name.value(), machine.zone);
     heartbeat.incarnation = machine.incarnation;
@@ -23,12 +23,12 @@
     return heartbeat;
   }
   HeartbeatResult reconcile(const protocol::WorkerHeartbeat& heartbeat, double now = kNowSeconds + 1,
-                            HeartbeatOrigin origin = HeartbeatOrigin::kOwnAccord) {
+                            HeartbeatOrigin origin = HeartbeatOrigin::kUnsolicited) {
     return HeartbeatReconciler(state, at(now)).reconcile(heartbeat, origin);
   }
 };
 
-TEST_F(HeartbeatReconcilerTest, DropsWhatIsStaleOrOfALaterTermOrATerminatedMachine) {
+TEST_F(HeartbeatReconcilerTest, HeartbeatsAreDroppedIfStaleOrFromALaterTermOrFromATerminatedMachine) {
   struct Case {
     const char* what;
     void (*change)(ShardState&, protocol::WorkerHeartbeat&);
@@ -36,19 +36,20 @@
     bool superseded;
   };
   const Case cases[] = {
-      {"the next one", [](ShardState&, protocol::WorkerHeartbeat&) {}, HeartbeatResult::kApplied, false},
-      {"repeated",
+      {"the machine's next heartbeat", [](ShardState&, protocol::WorkerHeartbeat&) {},
+       HeartbeatResult::kApplied, false},
+      {"a repeated heartbeat",
        [](ShardState&, protocol::WorkerHeartbeat& heartbeat) { heartbeat.sequence = Sequence(1); },
        HeartbeatResult::kDropped, false},
-      {"of an earlier incarnation",
+      {"from an earlier incarnation",
        [](ShardState&, protocol::WorkerHeartbeat& heartbeat) { heartbeat.incarnation = Incarnation(0); },
        HeartbeatResult::kDropped, false},
-      {"of a later term",
+      {"from a later term",
        [](ShardState&, protocol::WorkerHeartbeat& heartbeat) {
          heartbeat.token = FencingToken::first_of(Term(6));
        },
        HeartbeatResult::kDropped, true},
-      {"of a terminated machine",
+      {"from a terminated machine",
        [](ShardState& shard, protocol::WorkerHeartbeat& heartbeat) {
          shard.terminated.insert(heartbeat.machine);
        },
@@ -67,16 +68,16 @@
   }
 }
 
-TEST_F(HeartbeatReconcilerTest, AMachineIsConfirmedOnceItShowsATokenOfThisTerm) {
+TEST_F(HeartbeatReconcilerTest, AMachineIsConfirmedOnceItReportsATokenOfThisTerm) {
   struct Case {
     const char* what;
     FencingToken token;
     bool confirmed;
   };
   const Case cases[] = {
-      {"none yet", FencingToken(), false},
-      {"of an earlier term", FencingToken::first_of(Term(4)).raised(), false},
-      {"of this term", FencingToken::first_of(kTerm), true},
+      {"no token yet", FencingToken(), false},
+      {"token of an earlier term", FencingToken::first_of(Term(4)).raised(), false},
+      {"token of this term", FencingToken::first_of(kTerm), true},
   };
   for (const auto& entry : cases) {
     reset();
@@ -91,22 +92,22 @@
   }
 }
 
-TEST_F(HeartbeatReconcilerTest, AnAnswerToCommandsIsContactButNoHeartbeatOfItsOwn) {
-  for (auto origin : {HeartbeatOrigin::kOwnAccord, HeartbeatOrigin::kCommandAnswer}) {
+TEST_F(HeartbeatReconcilerTest, AnAnswerToCommandsCountsAsContactButNotAsUnsolicitedHeartbeat) {
+  for (auto origin : {HeartbeatOrigin::kUnsolicited, HeartbeatOrigin::kCommandAnswer}) {
     reset();
     auto& machine = add_machine("m1");
-    machine.on_sent(at(kNowSeconds));
+    machine.on_command_sent(at(kNowSeconds));
     machine.unanswered = 1;
     reconcile(next_heartbeat(machine), kNowSeconds + 1, origin);
-    bool own = origin == HeartbeatOrigin::kOwnAccord;
+    bool unsolicited = origin == HeartbeatOrigin::kUnsolicited;
     EXPECT_EQ(machine.last_contact, at(kNowSeconds + 1));
-    EXPECT_EQ(machine.last_own_heartbeat, at(own ? kNowSeconds + 1 : kNowSeconds));
+    EXPECT_EQ(machine.last_unsolicited_heartbeat, at(unsolicited ? kNowSeconds + 1 : kNowSeconds));
     EXPECT_EQ(machine.unanswered, 0u);
     EXPECT_FALSE(machine.unanswered_since);
   }
 }
 
-TEST_F(HeartbeatReconcilerTest, ANewIncarnationRunsNothingOfTheEarlierOne) {
+TEST_F(HeartbeatReconcilerTest, TasksOfTheEarlierIncarnationAreDroppedWhenANewOneAppears) {
   auto& machine = add_machine("m1");
   grant(job_spec("run-1", 1));
   run(machine, "run-1");
@@ -117,23 +118,25 @@
   reconcile(heartbeat);
   EXPECT_TRUE(machine.tasks.empty());
   EXPECT_EQ(granted_task("run-1").status, Status::kWaiting);
-  // Its lease expired although its heartbeats were answered: it may receive nothing.
+  // The worker's lease expired although its heartbeats were answered, so it may not receive anything.
   EXPECT_EQ(machine.channel, Machine::Channel::kFencing);
 }
 
-TEST_F(HeartbeatReconcilerTest, APauseAsOfAWorkerThatWaitedInVainRaisesTheToken) {
+TEST_F(HeartbeatReconcilerTest, FencingBeginsAfterAPauseThatSuggestsAMissedAnswer) {
   struct Case {
     const char* what;
-    double answered;  // when its last heartbeat was
-    double pause;
+    double answered;  // when the last heartbeat was answered
+    double pause;     // seconds before the next heartbeat
     HeartbeatOrigin origin;
     bool fenced;
   };
   const Case cases[] = {
-      {"no pause", kNowSeconds, 1, HeartbeatOrigin::kOwnAccord, false},
-      {"answered, then a pause", kNowSeconds, 3.9, HeartbeatOrigin::kOwnAccord, true},
-      {"not answered: it waited with reason", kNowSeconds - 1, 3.9, HeartbeatOrigin::kOwnAccord, false},
-      {"it answers commands", kNowSeconds, 3.9, HeartbeatOrigin::kCommandAnswer, false},
+      {"no pause", kNowSeconds, 1, HeartbeatOrigin::kUnsolicited, false},
+      {"an answered heartbeat, then a pause", kNowSeconds, 3.9, HeartbeatOrigin::kUnsolicited, true},
+      {"the heartbeat was not answered, which explains the pause", kNowSeconds - 1, 3.9,
+       HeartbeatOrigin::kUnsolicited, false},
+      {"the worker answers commands after the pause", kNowSeconds, 3.9, HeartbeatOrigin::kCommandAnswer,
+       false},
   };
   for (const auto& entry : cases) {
     reset();
@@ -145,29 +148,29 @@
   }
 }
 
-TEST_F(HeartbeatReconcilerTest, TheFencingTokenResolvesWhatIsInFlight) {
-  for (bool shows_token : {true, false}) {
+TEST_F(HeartbeatReconcilerTest, AHeartbeatWithTheFencingTokenEndsFencing) {
+  for (bool reports_token : {true, false}) {
     reset();
     auto& machine = add_machine("m1");
     auto heartbeat = next_heartbeat(machine);
     begin_fencing(machine, state.dispatch_queue, at(kNowSeconds));
-    if (shows_token) heartbeat.token = machine.token;
+    if (reports_token) heartbeat.token = machine.token;
     reconcile(heartbeat);
-    EXPECT_EQ(machine.channel == Machine::Channel::kIdle, shows_token);
-    EXPECT_EQ(machine.suspected_since.has_value(), !shows_token);
+    EXPECT_EQ(machine.channel == Machine::Channel::kIdle, reports_token);
+    EXPECT_EQ(machine.suspected_since.has_value(), !reports_token);
   }
 }
 
-TEST_F(HeartbeatReconcilerTest, ATaskThatIsNotListedIsGoneUnlessItsStartIsInFlight) {
+TEST_F(HeartbeatReconcilerTest, ATaskThatIsNotListedIsDroppedUnlessItsStartIsQueuedOrInFlight) {
   struct Case {
     const char* what;
     Start start;
     bool kept;
   };
   const Case cases[] = {
-      {"to be sent", Start::kQueued, true},
-      {"in flight", Start::kSent, true},
-      {"acknowledged", Start::kAcknowledged, false},
+      {"start queued", Start::kQueued, true},
+      {"start in flight", Start::kSent, true},
+      {"start acknowledged", Start::kAcknowledged, false},
   };
   for (const auto& entry : cases) {
     reset();
@@ -182,7 +185,7 @@
   }
 }
 
-TEST_F(HeartbeatReconcilerTest, TheCauseDecidesWhatBecomesOfAnEndedTask) {
+TEST_F(HeartbeatReconcilerTest, AnEndedTaskIsDoneOrWaitsAgainDependingOnItsEndCause) {
   struct Case {
     const char* what;
     EndCause cause;
@@ -193,7 +196,7 @@
       {"done", EndCause::kDone, Status::kDone, false, false},
       {"stopped", EndCause::kStopped, Status::kWaiting, true, false},
       {"failed", EndCause::kError, Status::kWaiting, true, true},
-      {"not known", EndCause::kUnknown, Status::kWaiting, true, true},
+      {"cause unknown", EndCause::kUnknown, Status::kWaiting, true, true},
   };
   for (const auto& entry : cases) {
     reset();
@@ -206,13 +209,14 @@
     reconcile(heartbeat);
     EXPECT_EQ(granted_task("run-1").status, entry.status) << entry.what;
     EXPECT_EQ(task.is_disposable, entry.disposable) << entry.what;
-    EXPECT_EQ(state.failure_attribution.concerns(machine.name, JobId("run-1")), entry.counts_as_failure)
+    EXPECT_EQ(state.failure_attribution.has_recent_failures(machine.name, JobId("run-1")),
+              entry.counts_as_failure)
         << entry.what;
     EXPECT_EQ(state.jobs.at(JobId("run-1")).works, entry.cause == EndCause::kDone) << entry.what;
   }
 }
 
-TEST_F(HeartbeatReconcilerTest, AListedTaskTakesTheGrantThatIsOnNoMachine) {
+TEST_F(HeartbeatReconcilerTest, AListedTaskIsAdoptedIfItsGrantIsNotPlaced) {
   auto& machine = add_machine("m1");
   grant(job_spec("run-1", 1));
   auto heartbeat = next_heartbeat(machine);
@@ -223,7 +227,7 @@
   EXPECT_EQ(granted_task("run-1").attempt, Attempt(7));
 }
 
-TEST_F(HeartbeatReconcilerTest, ASecondExecutionIsStoppedUnlessTheFirstRestsOnAnOldHeartbeat) {
+TEST_F(HeartbeatReconcilerTest, ADuplicateExecutionIsStoppedUnlessTheFirstIsKnownFromAnOldHeartbeatOnly) {
   struct Case {
     const char* what;
     bool first_confirmed;
@@ -231,7 +235,7 @@
   };
   const Case cases[] = {
       {"both machines are confirmed", true, true},
-      {"the first is known by an earlier term's heartbeat only", false, false},
+      {"the first is known only from a heartbeat of an earlier term", false, false},
   };
   for (const auto& entry : cases) {
     reset();
@@ -248,17 +252,17 @@
   }
 }
 
-TEST_F(HeartbeatReconcilerTest, AReclaimNoticeHoldsAsLongAsHeartbeatsCarryIt) {
+TEST_F(HeartbeatReconcilerTest, AReclaimNoticeIsClearedByAHeartbeatWithoutIt) {
   auto& machine = add_machine("m1");
   auto heartbeat = next_heartbeat(machine);
   heartbeat.notice_s = 30;
   reconcile(heartbeat, kNowSeconds + 1);
-  EXPECT_EQ(machine.reclaimed_at, at(kNowSeconds + 31));
+  EXPECT_EQ(machine.reclaim_at, at(kNowSeconds + 31));
   reconcile(next_heartbeat(machine), kNowSeconds + 2);
-  EXPECT_FALSE(machine.reclaimed_at);
+  EXPECT_FALSE(machine.reclaim_at);
 }
 
-TEST_F(HeartbeatReconcilerTest, ATaskThatRunsForTenSecondsShowsThatItsJobWorks) {
+TEST_F(HeartbeatReconcilerTest, AJobCountsAsWorkingAfterATaskHasRunForTenSeconds) {
   auto& machine = add_machine("m1");
   grant(job_spec("run-1", 1));
   run(machine, "run-1");
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -1,11 +1,13 @@
-// What the shard leader concludes from heartbeats that come, come late or fail to come.
+// Tests the conclusions that a shard leader draws from heartbeats that arrive in time, late, through other
+// controllers or not at all.
 #include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
 
-// With heartbeats every 3 s a pause of over 4 s is nothing unusual: a healthy machine must not be suspected.
-TEST(Reachability, APauseWithinHeartbeatVariationIsNotSuspected) {
+// Guards against suspecting healthy machines: with a heartbeat period of 3 s a pause of more than 4 s is
+// normal.
+TEST(Reachability, APauseWithinTheNormalVariationOfHeartbeatsKeepsAMachineUsable) {
   struct Case {
     double period, pause;
     bool usable;
@@ -24,19 +26,19 @@
   }
 }
 
-// A machine's heartbeats arrive, answers and commands don't reach it: a heartbeat doesn't prove that it
-// receives anything.
-TEST(Reachability, NothingIsStartedOnASuspectedMachine) {
+// Heartbeats of a machine can arrive while answers and commands don't reach it: a heartbeat doesn't prove
+// that the machine receives anything.
+TEST(Reachability, AMachineThatMayNotReceiveAnythingIsNotUsable) {
   struct Case {
     const char* what;
-    double pause;               // before the next heartbeat
-    std::uint64_t incarnation;  // that it is of
+    double pause;               // seconds before the next heartbeat
+    std::uint64_t incarnation;  // of the next heartbeat
     bool usable;
   };
   const Case cases[] = {
-      {"heartbeats as usual", 1, 1, true},
-      {"a pause as of one that waited in vain for an answer", 5, 1, false},
-      {"its lease expired though it was answered", 1, 2, false},
+      {"regular heartbeats", 1, 1, true},
+      {"a pause that suggests a missed answer", 5, 1, false},
+      {"its lease expired although it was answered", 1, 2, false},
   };
   for (const auto& entry : cases) {
     ShardFixture fixture;
@@ -46,7 +48,7 @@
     EXPECT_EQ(fixture.shard.machines().at(MachineName("m1")).usable(at(entry.pause)), entry.usable)
         << entry.what;
     if (entry.usable) continue;
-    // It is probed; whatever its heartbeats list, it is usable again only once it shows the raised token.
+    // The machine is probed. It becomes usable again only when a heartbeat contains the raised token.
     auto probes = fixture.shard.take_command_batches(at(entry.pause));
     ASSERT_EQ(probes.size(), 1u) << entry.what;
     EXPECT_TRUE(probes[0].commands.empty());
@@ -88,11 +90,12 @@
     }
   }
   EXPECT_EQ(deleted, std::vector<MachineName>{MachineName("m1")});
-  EXPECT_EQ(starts, 8u);  // all four there once, then elsewhere once it is terminated
+  // The four tasks are sent to m1 first, and to other machines once m1 is terminated.
+  EXPECT_EQ(starts, 8u);
 }
 
-// Copies of heartbeats that come late: from half a second to well over a lease, before and after a failover.
-TEST(LateCopies, ProveNothing) {
+// Copies of heartbeats can arrive late, by half a second to well over a lease, before and after a failover.
+TEST(LateHeartbeatCopies, ChangeNeitherContactNorRegistryNorReconciliation) {
   ShardFixture old(4);
   old.worker("m1");
   old.register_all(0);
@@ -100,22 +103,23 @@
   auto early = old.worker("m1");
   for (int time_s = 1; time_s < 5; ++time_s) old.heartbeat("m1", time_s);
   for (double late : {0.5, 3.0, 12.0, 60.0}) {
-    // To the leader that has newer heartbeats, neither life nor absence.
+    // For the leader that has newer heartbeats, the copy doesn't count as contact.
     old.shard.on_worker_heartbeat(early, at(4 + late));
     EXPECT_EQ(old.shard.machines().at(MachineName("m1")).last_contact, at(4)) << late;
-    // To a successor that doesn't know the machine: nothing that the next failover would wait for.
+    // A successor that doesn't know the machine doesn't register it, so the next failover doesn't wait for
+    // it.
     ShardFixture next(5);
     next.register_all(5);
     next.shard.on_worker_heartbeat(early, at(5 + late));
     EXPECT_TRUE(next.shard.registry_buckets_to_write().empty()) << late;
     EXPECT_TRUE(next.shard.is_reconciled()) << late;
-    // To one that knows it, it isn't a heartbeat under its own term.
+    // For a successor that knows the machine, the copy is no heartbeat under its own term.
     ShardFixture known(5);
     known.worker("m1");
     known.register_all(5);
     known.shard.on_worker_heartbeat(early, at(5 + late));
     EXPECT_FALSE(known.shard.is_reconciled()) << late;
-    // Once deleted it stays so.
+    // A copy doesn't add a machine again that was terminated.
     known.shard.on_machine_terminated(MachineName("m1"), at(6 + late));
     EXPECT_EQ(known.shard.on_worker_heartbeat(old.worker("m1"), at(7 + late)), HeartbeatResult::kDropped)
         << late;
@@ -123,9 +127,9 @@
   }
 }
 
-// The lease is counted from the newest heartbeat, not from answers to late copies of older ones, which would
-// keep the tasks of a terminated machine from being restarted.
-TEST(LateCopies, DoNotLengthenALease) {
+// The lease is counted from the newest heartbeat. If it were counted from answers to late copies of older
+// ones, the tasks of a terminated machine would not be restarted.
+TEST(LateHeartbeatCopies, DoNotExtendALease) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant("run-1", 1, 5, 0);
@@ -141,22 +145,22 @@
   EXPECT_TRUE(fixture.shard.machines().at(MachineName("m1")).tasks.empty());
 }
 
-// Found on a recorded day: a shard leader lost its workers only, and their leases expired while the others
-// kept redirecting them to it.
-TEST(RelayedHeartbeat, AWorkerWithTasksIsAnsweredFirstAndRedirectedLater) {
+// Guards against a failure in a replay of recorded operation: a shard leader lost contact with its workers
+// only, and their leases expired while the other controllers kept redirecting them to it.
+TEST(RelayedHeartbeat, AWorkerWithTasksIsRedirectedOnlyAfterItAnsweredCommandsRecently) {
   ShardFixture fixture;
   fixture.worker("m1");
   fixture.register_all(0);
   auto& worker = fixture.worker("m1");
-  EXPECT_TRUE(fixture.shard.should_redirect_here(worker, at(0)));  // nothing to lose
+  EXPECT_TRUE(fixture.shard.should_redirect_here(worker, at(0)));  // it has no tasks to lose
   fixture.heartbeat("m1", 0);
   fixture.grant("run-1", 1, 5, 0);
   fixture.tick(0);
   fixture.execute_commands(0);
-  // It was reachable a moment ago: redirected once.
+  // The worker answered commands a moment ago, so it is redirected once.
   EXPECT_TRUE(fixture.shard.should_redirect_here(worker, at(1)));
   EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(3)));
-  // Then as often as it has answered a probe, and no more than every 20 s.
+  // While its probes are not answered, it is not redirected again.
   for (double time_s = 5; time_s < 100; time_s += 1) {
     EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(time_s))) << time_s;
     fixture.tick(time_s);
@@ -167,15 +171,16 @@
   }
   EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(100)));
   fixture.tick(100.1);
-  EXPECT_TRUE(fixture.execute_commands(100.2).empty());  // the probe, answered
+  EXPECT_TRUE(fixture.execute_commands(100.2).empty());  // a probe is answered, no commands are sent
   EXPECT_TRUE(fixture.shard.should_redirect_here(worker, at(101)));
+  // At most one redirect in 20 s.
   EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(102)));
 }
 
-// Found on the recorded days of both operators' deployments: in a controller's second partition from its
-// workers all machines that had been redirected in the first one were redirected at once, and their leases
-// expired.
-TEST(RelayedHeartbeat, ASecondPartitionIsAnsweredAtOnceAsWell) {
+// Guards against a failure in replays of recorded operation of both operators' deployments: in a controller's
+// second partition from its workers, all machines that had been redirected in the first one were redirected
+// at once, and their leases expired.
+TEST(RelayedHeartbeat, WorkersAreAnsweredAtOnceInASecondPartitionAsWell) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant("run-1", 1, 5, 0);
@@ -192,8 +197,8 @@
   };
   for (double time_s = 1; time_s < 120; time_s += 1) {
     bool partitioned = (time_s > 10 && time_s < 40) || time_s > 70;
-    bool beyond_the_last_answer = (time_s > 14 && time_s < 40) || time_s > 74;
-    if (beyond_the_last_answer) {
+    bool without_recent_answer = (time_s > 14 && time_s < 40) || time_s > 74;
+    if (without_recent_answer) {
       EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(time_s))) << time_s;
     }
     fixture.heartbeat("m1", time_s);
@@ -202,7 +207,7 @@
   }
 }
 
-TEST(RelayedHeartbeat, WhileCommandsDoNotGetThroughStopsGoWithTheAnswers) {
+TEST(RelayedHeartbeat, StopsAreSentInHeartbeatAnswersWhileCommandsGetNoAnswer) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant("run-1", 2, 5, 0);
@@ -217,29 +222,29 @@
   for (auto& command : response.commands) EXPECT_EQ(command.op, protocol::Command::Op::kStop);
 }
 
-// Loss of contact, and what the shard leader concludes from it.
-TEST(ContactLoss, DeletesOneMachineButNotMany) {
+// One machine without contact has failed; a whole zone without contact is more likely partitioned.
+TEST(ContactLoss, ASingleMachineIsDeletedButNotAWholeZone) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1", "m2", "m3", "m4"});
   for (const char* name : {"m2", "m3", "m4"}) fixture.heartbeat(name, 5.5);
   EXPECT_EQ(fixture.shard.take_machines_to_delete(at(6)), std::vector{MachineName("m1")});
-  // No contact with any: this controller is partitioned, rather than four machines failed.
+  // Without contact to any machine, this controller is partitioned rather than four machines failed.
   EXPECT_TRUE(fixture.shard.take_machines_to_delete(at(30)).empty());
 }
 
-// After a partition, or a pause of this controller, heartbeats come one after the other: the machines whose
-// heartbeat hasn't come yet are no more suspect than the others were.
-TEST(ContactLoss, CountsFromWhenHeartbeatsCouldArriveAgain) {
+// After a partition or a pause of this controller, heartbeats arrive one after the other. Machines whose
+// heartbeat hasn't arrived yet must not be deleted before they had the full time to send one.
+TEST(ContactLoss, TimeWithoutContactCountsFromTheEndOfAPartitionOrPause) {
   struct Case {
     const char* what;
     bool paused;
-    double again;  // m1 to m4 send heartbeats from then on, m5 and m6 don't
-    double deleted;
+    double resumed_at;  // m1 to m4 send heartbeats from this time on, m5 and m6 don't
+    double deleted_at;
   };
   const Case cases[] = {
-      {"two have failed", false, 1, 5.5},
+      {"two machines have failed", false, 1, 5.5},
       {"the zone was partitioned until 20 s", false, 20, 25},
-      {"this controller paused until 20 s", true, 20, 25.5},
+      {"this controller was paused until 20 s", true, 20, 25.5},
   };
   for (const auto& entry : cases) {
     ShardFixture fixture;
@@ -248,24 +253,24 @@
     for (auto& [name, worker] : fixture.workers) fixture.heartbeat(name.c_str(), 0.1);
     std::optional<double> first;
     for (double time_s = 0.5; time_s < 40 && !first; time_s += 0.5) {
-      if (entry.paused && time_s < entry.again) continue;
-      if (entry.paused && time_s == entry.again) fixture.shard.on_process_pause(at(time_s));
-      if (time_s >= entry.again)
+      if (entry.paused && time_s < entry.resumed_at) continue;
+      if (entry.paused && time_s == entry.resumed_at) fixture.shard.on_process_pause(at(time_s));
+      if (time_s >= entry.resumed_at)
         for (const char* name : {"m1", "m2", "m3", "m4"}) {
           fixture.worker(name).token =
-              fixture.shard.machines().at(MachineName(name)).token;  // it receives again, too
+              fixture.shard.machines().at(MachineName(name)).token;  // it also receives messages again
           fixture.heartbeat(name, time_s);
         }
       if (!fixture.shard.take_machines_to_delete(at(time_s)).empty()) first = time_s;
     }
     ASSERT_TRUE(first) << entry.what;
-    EXPECT_DOUBLE_EQ(*first, entry.deleted) << entry.what;
+    EXPECT_DOUBLE_EQ(*first, entry.deleted_at) << entry.what;
   }
 }
 
-// A shard leader that is partitioned from its workers gets their heartbeats by way of other controllers, if
-// at all: late heartbeats and lost commands don't prove that the machines are terminated.
-TEST(ContactLoss, ALeaderWithRelayedHeartbeatsOnlyDeletesNone) {
+// A shard leader that is partitioned from its workers gets their heartbeats only through other controllers,
+// if at all. Late heartbeats and lost commands then don't prove that machines have failed.
+TEST(ContactLoss, NoMachineIsDeletedWhileHeartbeatsArriveThroughOtherControllersOnly) {
   for (bool directly : {true, false}) {
     ShardFixture fixture;
     for (const char* name : {"m1", "m2", "m3", "m4", "m5", "m6"}) fixture.worker(name);
@@ -288,9 +293,9 @@
   }
 }
 
-TEST(ContactLoss, AnExpiredLeaseCountsOnlyWithALaterReadOfTheRole) {
+TEST(ContactLoss, TasksAreDroppedOnlyIfTheRoleWasReadAfterTheLeaseExpired) {
   struct Case {
-    double now, read;
+    double now, up_to_date_at;
     bool expired;
   };
   for (const auto& entry : {Case{9, 9, false}, Case{12, 5, false}, Case{12, 12, true}}) {
@@ -299,15 +304,15 @@
     fixture.grant("run-1", 1, 5, 0);
     fixture.tick(0);
     fixture.execute_commands(0);
-    fixture.shard.tick(at(entry.now), at(entry.now), at(entry.read));
+    fixture.shard.tick(at(entry.now), at(entry.now), at(entry.up_to_date_at));
     EXPECT_EQ(fixture.shard.machines().at(MachineName("m1")).tasks.empty(), entry.expired)
-        << entry.now << ' ' << entry.read;
+        << entry.now << ' ' << entry.up_to_date_at;
   }
 }
 
 TEST(SpotReclaim, TasksThatCannotFinishInTimeAreStopped) {
   struct Case {
-    double notice, ran;
+    double notice, ran;  // in seconds
     bool stopped;
   };
   for (const auto& entry : {Case{8, 1, true}, Case{8, 15, false}, Case{30, 0, false}}) {
--- a/tests/partitioning_test.cpp
+++ b/tests/partitioning_test.cpp
@@ -1,4 +1,4 @@
-// Which shard a machine belongs to.
+// Tests the assignment of machines and zones to shards.
 #include "shard/partitioning.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 namespace beaconsill::shard {
 namespace {
 
-TEST(Partitioning, SameAtEveryControllerAndEveryZoneHasAShard) {
+TEST(Partitioning, AllControllersAgreeAndEveryZoneHasAShard) {
   auto make = [&](const char* self, const char* zone,
                   std::vector<std::pair<const char*, const char*>> others) {
     config::Settings settings;
--- a/tests/periodic_checks_test.cpp
+++ b/tests/periodic_checks_test.cpp
@@ -1,4 +1,4 @@
-// Lease expiry, spot reclaim and orphaned tasks, each in one pass over the machines.
+// Tests the periodic checks of a shard: lease expiry, spot reclaim and orphaned tasks.
 #include "shard/periodic_checks.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 const JobId kJob("run-1");
 const TaskKey kTask{{kJob, 0}, Attempt(1)};
 
-// A shard with one machine that runs one task since 0 s, its last contact.
+// A shard with one machine, whose last contact was at 0 s and which has run one task since then.
 struct PeriodicChecksTest : testing::Test {
   PeriodicChecksTest() { reset(); }
 
@@ -47,8 +47,8 @@
   MachineTask* task = nullptr;
 };
 
-// The lease of 10 s, 0.2% for the drift of clocks and 0.5 s for steps of timers.
-TEST_F(PeriodicChecksTest, ALeaseExpiresWithAMarginAndOnceTheStateStoreWasRead) {
+// A lease expires after its 10 s, plus 0.2% for clock drift and 0.5 s for the resolution of timers.
+TEST_F(PeriodicChecksTest, ALeaseExpiresAfterAMarginAndALaterReadOfTheStateStore) {
   struct Case {
     const char* what;
     double now, up_to_date_at;
@@ -57,9 +57,9 @@
   };
   const Case cases[] = {
       {"within the margin", 10.52, 10.52, true, false, false},
-      {"beyond it", 10.53, 10.53, true, false, true},
+      {"beyond the margin", 10.53, 10.53, true, false, true},
       {"a successor may exist", 60, 10.52, true, false, false},
-      {"an earlier leader may be obeyed", 60, 60, false, false, false},
+      {"the worker may still obey an earlier leader", 60, 60, false, false, false},
       {"a successor exists", 60, 60, true, true, false},
   };
   for (const auto& entry : cases) {
@@ -72,26 +72,26 @@
   }
 }
 
-TEST_F(PeriodicChecksTest, BeforeAReclaimTasksAreStoppedThatDoNotCompleteInTime) {
+TEST_F(PeriodicChecksTest, TasksThatCannotCompleteBeforeTheirMachineIsReclaimedAreStopped) {
   struct Case {
     const char* what;
-    std::optional<double> reclaimed_at;
+    std::optional<double> reclaim_at;
     bool stopped;
   };
   const Case cases[] = {
-      {"no notice", std::nullopt, false},
-      {"it has to be stopped", 19, true},
-      {"it completes before", 21, false},
+      {"no reclaim notice", std::nullopt, false},
+      {"the task completes after the reclaim", 19, true},
+      {"the task completes before the reclaim", 21, false},
   };
   for (const auto& entry : cases) {
     reset();
-    if (entry.reclaimed_at) machine->reclaimed_at = at(*entry.reclaimed_at);
+    if (entry.reclaim_at) machine->reclaim_at = at(*entry.reclaim_at);
     stop_tasks_before_reclaim(state, at(5));
     EXPECT_EQ(task->stop_grace.has_value(), entry.stopped) << entry.what;
   }
 }
 
-TEST_F(PeriodicChecksTest, TasksThatAreNotGrantedHereAreStopped) {
+TEST_F(PeriodicChecksTest, TasksThatAreNotGrantedToThisShardAreStopped) {
   struct Case {
     const char* what;
     bool granted;
@@ -101,21 +101,21 @@
   };
   const Case cases[] = {
       {"granted", true, std::nullopt, 60, false},
-      {"its grant may be on its way", false, std::nullopt, 1.9, false},
+      {"the grant may not have been read yet", false, std::nullopt, 1.9, false},
       {"not granted", false, std::nullopt, 2, true},
-      {"its job is cancelled", true, state_store::TerminalState::kCancelled, 0, true},
+      {"the job is cancelled", true, state_store::TerminalState::kCancelled, 0, true},
   };
   for (const auto& entry : cases) {
     reset();
     if (entry.granted) grant(0, 1, entry.end);
     stop_orphaned_tasks(state, at(entry.up_to_date_at));
     EXPECT_EQ(task->stop_grace.has_value(), entry.stopped) << entry.what;
-    // It is looked at again for as long as it isn't granted.
+    // The machine is visited again in the next pass as long as it has orphans.
     EXPECT_EQ(machine->may_have_orphans, !entry.granted || entry.end) << entry.what;
   }
 }
 
-TEST_F(PeriodicChecksTest, AnOrphanThatHasEndedIsForgotten) {
+TEST_F(PeriodicChecksTest, AnEndedOrphanBecomesDisposable) {
   task->state = TaskState::kEnded;
   stop_orphaned_tasks(state, at(2));
   EXPECT_TRUE(task->is_disposable);
--- a/tests/placer_test.cpp
+++ b/tests/placer_test.cpp
@@ -118,7 +118,7 @@
   add_machine("m1");
   grant(job_spec("run-1", 1));
   grant(job_spec("run-2", 1));
-  state.failure_attribution.on_failed(MachineName("m1"), JobId("run-1"), false, at(kNowSeconds));
+  state.failure_attribution.on_task_failed(MachineName("m1"), JobId("run-1"), false, at(kNowSeconds));
   place_all();
   EXPECT_FALSE(is_placed("run-1"));
   EXPECT_TRUE(is_placed("run-2"));
@@ -128,7 +128,7 @@
   add_machine("m3");
   grant(job_spec("run-1", 3));
   for (const char* machine : {"m1", "m2"})
-    state.failure_attribution.on_failed(MachineName(machine), JobId("run-1"), false, at(kNowSeconds));
+    state.failure_attribution.on_task_failed(MachineName(machine), JobId("run-1"), false, at(kNowSeconds));
   place_all(kNowSeconds + 0.9);
   EXPECT_EQ(placed_tasks("run-1"), 0u);
   place_all(kNowSeconds + 1);
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -41,7 +41,7 @@
     machine.zone = Zone("a");
     machine.total = {2, 0, 8};
     machine.confirmed = machine.registered = machine.type_known = true;
-    machine.last_contact = machine.last_own_heartbeat = at(100);
+    machine.last_contact = machine.last_unsolicited_heartbeat = at(100);
   }
   MachineTask& run(const char* machine, const char* job, double since, Priority priority = Priority::kNormal,
                    JobKind kind = JobKind::kArray) {
--- a/tests/progress_writer_test.cpp
+++ b/tests/progress_writer_test.cpp
@@ -23,7 +23,7 @@
     auto& shard = shards.add(kShard);
     shard.manager =
         std::make_unique<shard::ShardManager>(kShard, kTerm, shard::fixture::params(), clock.now());
-    shard.manager->on_registry({}, clock.now());
+    shard.manager->on_registry_read({}, clock.now());
     shard.manager->tick(clock.now(), clock.now(), clock.now());
   }
   // The shard has progress to write: it releases tasks that no machine has taken for long enough.
--- a/tests/registry_state_test.cpp
+++ b/tests/registry_state_test.cpp
@@ -1,4 +1,4 @@
-// Which buckets of the machine registry are to be written.
+// Tests which buckets of the machine registry are to be written.
 #include "shard/registry_state.h"
 
 #include <gtest/gtest.h>
@@ -28,21 +28,21 @@
     std::size_t written;
   };
   const Case cases[] = {
-      {"nothing before the registry was read", false, false, true, 0},
-      {"one that has shown this leader's term", true, false, true, 1},
-      {"not one known by a late heartbeat only", true, false, false, 0},
+      {"registry not read yet", false, false, true, 0},
+      {"machine that has reported this leader's term", true, false, true, 1},
+      {"machine known only from a heartbeat of an earlier term", true, false, false, 0},
   };
   for (const auto& entry : cases) {
     RegistryState registry;
     if (entry.read) registry.on_read({});
-    EXPECT_EQ(registry.is_known(), entry.read);
+    EXPECT_EQ(registry.is_loaded(), entry.read);
     std::map<MachineName, Machine> machines;
     machines[MachineName("m1")] = machine("m1", entry.registered, entry.confirmed);
     EXPECT_EQ(registry.buckets_to_write(machines).size(), entry.written) << entry.what;
   }
 }
 
-TEST(RegistryState, RepeatsABucketUntilItIsReadBack) {
+TEST(RegistryState, ReturnsAChangedBucketUntilItIsReadBack) {
   RegistryState registry;
   registry.on_read({});
   std::map<MachineName, Machine> machines;
@@ -55,14 +55,14 @@
   registry.on_read({record(added)});
   added.registered = true;
   EXPECT_TRUE(registry.buckets_to_write(machines).empty());
-  // A change counts once it is marked: the comparison isn't made on every call.
+  // A change is detected only after mark_dirty, since not every call compares all machines.
   added.quarantined = true;
   EXPECT_TRUE(registry.buckets_to_write(machines).empty());
   registry.mark_dirty();
   EXPECT_EQ(registry.buckets_to_write(machines).size(), 1u);
 }
 
-TEST(RegistryState, AMachineThatIsNotKnownAnyMoreIsRemoved) {
+TEST(RegistryState, RemovesRecordsOfMachinesThatAreNoLongerKnown) {
   RegistryState registry;
   registry.on_read({record(machine("m1", true, true))});
   auto buckets = registry.buckets_to_write({});
--- a/tests/shard_failover_test.cpp
+++ b/tests/shard_failover_test.cpp
@@ -1,21 +1,24 @@
-// A new shard leader reconciles the shard before it starts what an earlier one may have started.
+// Tests that a new shard leader reconciles the shard before it starts tasks that an earlier leader may have
+// started.
 #include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
 
-// A controller that lost the state store and its peers still answers its workers: they would never come to
-// its successor, which probes them instead.
-TEST(Failover, RegisteredMachinesAreProbed) {
+// A controller that is partitioned from the state store and its peers still answers its workers, so they
+// would never contact its successor. Therefore the successor probes them.
+TEST(Failover, RegisteredMachinesAreProbedByANewLeader) {
   ShardFixture fixture;
   auto& worker = fixture.worker("m1");
   worker.incarnation = Incarnation(3);
-  fixture.shard.on_registry({{worker.machine, worker.type, worker.zone, worker.spot, "127.0.0.1:7"}}, at(0));
+  fixture.shard.on_registry_read({{worker.machine, worker.type, worker.zone, worker.spot, "127.0.0.1:7"}},
+                                 at(0));
   auto probes = fixture.shard.take_command_batches(at(0));
   ASSERT_EQ(probes.size(), 1u);
   EXPECT_EQ(probes[0].address, "127.0.0.1:7");
   EXPECT_TRUE(fixture.shard.take_command_batches(at(0.1)).empty());
-  // The incarnation was guessed wrong; the answer shows it, and the second probe gets through.
+  // The first probe is sent to a wrong incarnation and rejected. The answer contains the right one, which the
+  // second probe uses.
   worker.sequence = Sequence(1);
   fixture.shard.on_command_result(probes[0], ShardManager::CommandResult::kRejected, worker, at(0.2));
   EXPECT_FALSE(fixture.shard.is_reconciled());
@@ -27,8 +30,8 @@
   EXPECT_TRUE(fixture.shard.is_reconciled());
 }
 
-// A failover must not wait without end for a zone without contact, nor delete it at once.
-TEST(Failover, APartitionedZoneIsWaitedForButNotForever) {
+// A new leader must neither wait forever for the machines of a zone without contact, nor delete them at once.
+TEST(Failover, MachinesOfAPartitionedZoneAreDeletedOnlyAfterTheCancellationLimit) {
   ShardFixture fixture;
   for (auto* name : {"m1", "m2", "m3", "m4", "m5", "m6", "m7"})
     fixture.worker(name).zone = Zone(name[1] > '4' ? "b" : "a");
@@ -43,15 +46,15 @@
   }
   ASSERT_EQ(deleted.size(), 1u);
   EXPECT_EQ(deleted.begin()->second, 3u);
-  // An earlier leader that is partitioned with them may keep their tasks running for as long as a
-  // cancellation has.
+  // An earlier leader that is partitioned together with them may keep their tasks running until the time
+  // limit of a cancellation.
   EXPECT_GE(deleted.begin()->first, 40);
   EXPECT_TRUE(fixture.shard.is_reconciled());
 }
 
-// Found on a day when a zone of 414 machines was partitioned (ran_cancelled): 100 were deleted, the others
-// marked as being deleted for good, and what is being deleted gets no commands.
-TEST(Failover, OnlyWhatOneRequestHoldsIsMarkedForDeletion) {
+// Guards against a failure (ran_cancelled) seen when a zone of 414 machines was partitioned: 100 were deleted
+// and the others stayed marked as being deleted, and a machine that is being deleted gets no commands.
+TEST(Failover, NoMoreMachinesAreMarkedForDeletionThanOneRequestCanContain) {
   ShardFixture fixture;
   std::vector<std::string> names;
   for (int i = 0; i < 250; ++i) names.push_back("host-" + std::to_string(1000 + i));
@@ -60,7 +63,8 @@
   fixture.grant("run-1", 1, 4, 0);
   auto first = fixture.shard.take_machines_to_delete(at(60));
   EXPECT_EQ(first.size(), protocol::kMaxDelete);
-  // The partition ends: the others obey, also when their jobs were cancelled meanwhile.
+  // When the partition ends, the other machines get commands, including stops of jobs cancelled in the
+  // meantime.
   const auto& last = names.back();
   EXPECT_EQ(std::count(first.begin(), first.end(), MachineName(last)), 0);
   fixture.worker(last.c_str())
@@ -73,28 +77,28 @@
     if (batch.machine == MachineName(last))
       for (auto& command : batch.commands) stops += command.op == protocol::Command::Op::kStop;
   EXPECT_EQ(stops, 1u);
-  // Those without contact are deleted with the next requests, once this one is answered.
+  // Once this request is answered, no machine that has sent a heartbeat since is marked for deletion.
   for (const auto& name : first) fixture.shard.on_machine_terminated(name, at(60.6));
   for (auto& name : names)
     if (std::count(first.begin(), first.end(), MachineName(name)) == 0) fixture.heartbeat(name.c_str(), 60.5);
   EXPECT_TRUE(fixture.shard.take_machines_to_delete(at(61)).empty());
 }
 
-// An earlier grant starts only once every registered machine has sent a heartbeat or is terminated; a new one
-// at once.
-TEST(Failover, EarlierGrantsWaitForEveryMachine) {
+// Tasks granted to an earlier leader are started only after every registered machine has sent a heartbeat or
+// is terminated. Tasks granted to this leader are started at once.
+TEST(Failover, TasksGrantedToAnEarlierLeaderWaitForEveryRegisteredMachine) {
   ShardFixture fixture(6);
   fixture.worker("m1");
   fixture.worker("m2");
   fixture.register_all(0);
-  fixture.grant("run-1", 1, 5, 0);  // by an earlier leader
+  fixture.grant("run-1", 1, 5, 0);  // granted to an earlier leader
   fixture.heartbeat("m1", 0.5);
   fixture.grant("run-2", 1, 6, 0.6);
   fixture.tick(0.7);
   auto starts = fixture.execute_commands(0.7);
   ASSERT_EQ(starts.size(), 1u);
   EXPECT_EQ(starts[0].task.job, JobId("run-2"));
-  // m2 answers to an older term only: what it runs isn't known to be all.
+  // m2 still obeys an older term, so it may get further tasks from an earlier leader.
   fixture.worker("m2").token = FencingToken::first_of(Term(5));
   fixture.heartbeat("m2", 1.0, false);
   fixture.tick(1.1);
@@ -106,7 +110,7 @@
   EXPECT_EQ(starts[0].task.job, JobId("run-1"));
 }
 
-TEST(Failover, ATaskThatEndedMeanwhileWaitsForEveryMachineToo) {
+TEST(Failover, ATaskThatWasStoppedDuringReconciliationWaitsForEveryMachineAsWell) {
   ShardFixture fixture(6);
   fixture.worker("m1");
   fixture.worker("m2");
@@ -115,7 +119,7 @@
   auto& worker = fixture.worker("m1");
   worker.tasks.push_back({{JobId("run-1"), 0}, Attempt(3), TaskState::kRunning, EndCause::kDone, false});
   fixture.heartbeat("m1", 0.5);
-  // The old leader may have proved m1 terminated and started it on m2 before m2 was fenced.
+  // The old leader may have found m1 terminated and started the task on m2 before m2 was fenced.
   worker.tasks[0].state = TaskState::kEnded;
   worker.tasks[0].cause = EndCause::kStopped;
   fixture.heartbeat("m1", 1.0);
@@ -128,8 +132,8 @@
   EXPECT_EQ(starts, 1u);
 }
 
-// What an earlier leader registered last may not be known yet.
-TEST(Failover, AnEarlierGrantIsNotStartedBeforeTheRegistryWasRead) {
+// Before the registry is read, machines that the earlier leader registered may be unknown.
+TEST(Failover, TasksGrantedToAnEarlierLeaderAreNotStartedBeforeTheRegistryIsRead) {
   ShardFixture fixture(6);
   fixture.worker("m1");
   fixture.grant("run-1", 1, 5, 0);
@@ -146,7 +150,7 @@
   EXPECT_EQ(fixture.execute_commands(2.1).size(), 1u);
 }
 
-TEST(Failover, RunningTasksAreKept) {
+TEST(Failover, RunningTasksAreNeitherStoppedNorStartedAgain) {
   ShardFixture fixture(6);
   fixture.worker("m1").tasks.push_back(
       {{JobId("run-1"), 0}, Attempt(3), TaskState::kRunning, EndCause::kDone, false});
--- a/tests/shard_fixture.h
+++ b/tests/shard_fixture.h
@@ -1,5 +1,5 @@
-// What the tests of ShardManager share: workers whose heartbeats a test composes, and a fake of what the
-// state store records about jobs. Times are seconds from an arbitrary start.
+// Shared by the tests of ShardManager: workers whose heartbeats a test composes, and a fake of the job
+// records in the state store. Times are seconds from an arbitrary start.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
   return std::make_shared<const protocol::JobSpec>(out);
 }
 
-// A shard with workers whose heartbeats the test composes, and a fake of the jobs' records.
+// A shard with workers whose heartbeats the test composes, and a fake of the job records in the state store.
 struct ShardFixture {
   explicit ShardFixture(std::uint64_t term = 5) : shard(ShardId(0), Term(term), params(), at(0)) {
     shard.set_catalogue(catalogue());
@@ -52,16 +52,17 @@
     if (found.machine.value().empty()) found = fixture::new_worker(name, Zone("a"));
     return found;
   }
-  // Adds the workers, registers all and has these send a heartbeat, all at 0 s.
+  // Adds the workers, registers all workers and sends a heartbeat of each of the added ones, all at 0 s.
   void add_ready_workers(std::initializer_list<const char*> names) {
     for (const auto* name : names) worker(name);
     register_all(0);
     for (const auto* name : names) heartbeat(name, 0);
   }
-  // The worker sends a heartbeat; it has seen the shard's token unless `obeys` is false.
-  bool heartbeat(const char* name, double time_s, bool obeys = true) {
+  // Delivers the worker's next heartbeat, with a token of the shard's term unless `has_seen_term` is false.
+  // Returns whether the shard applied it.
+  bool heartbeat(const char* name, double time_s, bool has_seen_term = true) {
     auto& sender = worker(name);
-    if (obeys) sender.token = std::max(sender.token, FencingToken::first_of(shard.term()));
+    if (has_seen_term) sender.token = std::max(sender.token, FencingToken::first_of(shard.term()));
     sender.sequence = Sequence(sender.sequence.value() + 1);
     bool applied = shard.on_worker_heartbeat(sender, at(time_s)) == HeartbeatResult::kApplied;
     if (applied) shard.heartbeat_response(sender.machine, at(time_s));
@@ -71,7 +72,7 @@
     std::vector<state_store::MachineRecord> records;
     for (auto& [name, sender] : workers)
       records.push_back({sender.machine, sender.type, sender.zone, sender.spot});
-    shard.on_registry(records, at(time_s));
+    shard.on_registry_read(records, at(time_s));
   }
   void grant(const char* id, std::uint32_t tasks, std::uint64_t term, double time_s,
              Priority priority = Priority::kNormal, bool preempt = false) {
@@ -112,14 +113,14 @@
   void publish(const char* id, double time_s, std::optional<TerminalState> end = std::nullopt) {
     shard.on_job(JobId(id), &jobs[id], end, at(time_s));
   }
-  // What the state store does with unwritten progress.
+  // Writes the unwritten progress to the fake records, and passes these to the shard.
   void record(double time_s) {
     for (auto& [id, progress] : shard.unwritten_progress()) {
       jobs[id.value()].progress[ShardId(0)] = {progress, Revision(++revision)};
       shard.on_job(id, &jobs[id.value()], std::nullopt, at(time_s));
     }
   }
-  // Executes the batches that can be sent at their workers, and passes the answers on.
+  // Has the workers execute all batches that can be sent, delivers the answers and returns the commands.
   std::vector<protocol::Command> execute_commands(double time_s) {
     std::vector<protocol::Command> all;
     for (auto& batch : shard.take_command_batches(at(time_s))) {
@@ -130,7 +131,7 @@
     }
     return all;
   }
-  // The worker executes the batch; what it would send next is changed accordingly.
+  // Changes the worker's next heartbeat to what it would be after executing the batch.
   void apply(protocol::WorkerHeartbeat& receiver, const ShardManager::Batch& batch) {
     receiver.token = std::max(receiver.token, batch.token);
     receiver.sequence = Sequence(receiver.sequence.value() + 1);
--- a/tests/shard_manager_test.cpp
+++ b/tests/shard_manager_test.cpp
@@ -1,10 +1,11 @@
-// The life of granted tasks: starts and how they are resolved, progress, cost of an event.
+// Tests the life cycle of granted tasks in a shard: starts and their resolution, progress, and the cost of an
+// event.
 #include "shard_fixture.h"
 
 namespace beaconsill::shard {
 namespace {
 
-TEST(ShardManager, StartsRecordsAndForgets) {
+TEST(ShardManager, ACompletedTaskIsForgottenOnlyAfterItIsRecorded) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant("run-1", 2, 5, 0);
@@ -13,7 +14,7 @@
   auto& worker = fixture.worker("m1");
   worker.tasks[0].state = TaskState::kEnded;
   fixture.heartbeat("m1", 1);
-  // Not cleared before it's recorded: the heartbeat is the only other place that has it.
+  // No forget command before the result is recorded: until then only the worker's heartbeat contains it.
   fixture.tick(1);
   EXPECT_TRUE(fixture.execute_commands(1).empty());
   fixture.record(1);
@@ -24,13 +25,13 @@
   EXPECT_EQ(fixture.jobs["run-1"].progress[ShardId(0)].value.done.count(), 1u);
 }
 
-// Processor time grew with the square of the machines: each of some hundred events a second went through all
-// of them and all of their tasks. Bounds what is looked at for one event with up to 6,000 machines and
-// 180,000 tasks.
+// Guards against processor time that grows with the square of the number of machines: each of some hundred
+// events a second used to visit all machines and all of their tasks. Bounds the number of machines and tasks
+// visited for one event with up to 6,000 machines and 180,000 tasks.
 class ShardOfSize : public testing::TestWithParam<int> {};
 INSTANTIATE_TEST_SUITE_P(Machines, ShardOfSize, testing::Values(1100, 4000, 6000));
 
-TEST_P(ShardOfSize, WhatAnEventCostsDoesNotGrowWithAllMachinesAndTasks) {
+TEST_P(ShardOfSize, TheCostOfAnEventDoesNotGrowWithTheTotalNumberOfTasks) {
   const int machine_count = GetParam();
   constexpr std::uint64_t kTasks = 30;
   ShardFixture fixture;
@@ -61,7 +62,7 @@
   };
   const auto all = static_cast<std::uint64_t>(machine_count);
   const Case cases[] = {
-      {"nothing",
+      {"no event",
        [&] {
          fixture.tick(0.01);
          fixture.execute_commands(0.01);
@@ -82,14 +83,14 @@
          fixture.execute_commands(0.03);
        },
        8 * kTasks},
-      {"a grant of many tasks: the machines once or twice, not for each task",
+      {"a grant of many tasks: visits the machines once or twice, not once per task",
        [&] {
          fixture.grant("run-5000", 500, 5, 0.04);
          fixture.tick(0.04);
        },
        4 * all},
       {"an estimate", [&] { fixture.shard.estimate(request_of(*spec("run-1", 1), 1), at(0.05)); }, all},
-      {"looking for orphaned tasks: each machine, not all tasks",
+      {"the check for orphaned tasks: visits each machine, not all tasks",
        [&] {
          fixture.tick(1);
          fixture.tick(2);
@@ -104,10 +105,10 @@
   }
 }
 
-TEST(ShardManager, NothingStartsOnAMachineThatIsNotRegistered) {
+TEST(ShardManager, NoTaskIsStartedOnAnUnregisteredMachine) {
   ShardFixture fixture;
   fixture.worker("m1");
-  fixture.shard.on_registry({}, at(0));
+  fixture.shard.on_registry_read({}, at(0));
   fixture.heartbeat("m1", 0);
   fixture.grant("run-1", 1, 5, 0);
   fixture.tick(0.1);
@@ -131,19 +132,19 @@
   EXPECT_EQ(fixture.jobs["run-1"].outstanding().count(), 4u);
 }
 
-// Resolution of starts in flight: each case is what happens to a batch of one start, and whether the task may
-// be started elsewhere after the heartbeats that follow.
-TEST(ShardManager, AnInFlightStartIsResolvedByAHigherTokenOnly) {
+// A start that timed out may or may not have been executed. In each case one start gets no answer; the test
+// checks whether the task may be started on another machine after the heartbeats that follow.
+TEST(ShardManager, AnUnansweredStartIsResolvedOnlyByAHigherTokenOrANewIncarnation) {
   struct Case {
     const char* what;
-    bool executed;            // the worker did carry it out
-    bool sees_fencing_token;  // the worker's next heartbeat shows the raised token
-    bool new_incarnation;     // the worker's lease expired meanwhile
+    bool executed;            // the worker executed the start
+    bool sees_fencing_token;  // the worker's next heartbeat contains the raised token
+    bool new_incarnation;     // the worker's lease has expired since
     bool may_run_elsewhere;
   };
   const Case cases[] = {
-      {"absent from a heartbeat below the fencing token: still possible", false, false, false, false},
-      {"absent from a heartbeat at the fencing token: never", false, true, false, true},
+      {"not listed, below the fencing token: may still be executed", false, false, false, false},
+      {"not listed, at the fencing token: will never be executed", false, true, false, true},
       {"listed below the fencing token", true, false, false, false},
       {"listed at the fencing token", true, true, false, false},
       {"new incarnation", false, false, true, true},
@@ -158,7 +159,7 @@
     auto& worker = fixture.worker("m1");
     if (entry.executed) fixture.apply(worker, batches[0]);
     fixture.shard.on_command_result(batches[0], ShardManager::CommandResult::kNoAnswer, std::nullopt, at(2));
-    // Only probes are sent until it is resolved.
+    // Only probes are sent until the start is resolved.
     for (auto& batch : fixture.shard.take_command_batches(at(2)))
       EXPECT_TRUE(batch.commands.empty()) << entry.what;
     if (entry.sees_fencing_token) worker.token = fixture.shard.machines().at(MachineName("m1")).token;
@@ -178,7 +179,7 @@
   }
 }
 
-TEST(ShardManager, EveryBatchHasAHigherTokenThanAllBefore) {
+TEST(ShardManager, EveryBatchHasAHigherTokenThanAllEarlierOnes) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   FencingToken last;
@@ -196,7 +197,7 @@
   EXPECT_EQ(fixture.shard.heartbeat_response(MachineName("m1"), at(5)).token, last);
 }
 
-TEST(ShardManager, ARejectedBatchIsStartedAnew) {
+TEST(ShardManager, TasksOfARejectedBatchAreStartedAgainUnderNewAttempts) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant("run-1", 1, 5, 0);
@@ -213,14 +214,14 @@
   EXPECT_NE(again[0].commands.at(0).attempt, batches[0].commands.at(0).attempt);
 }
 
-// What is reported to the scheduler at once, and what is left to be recorded.
-TEST(ShardManager, ProgressIsReportedOnceAndAgainOnDemand) {
+// Each piece of progress is reported to the scheduler once, and all unrecorded progress again on request.
+TEST(ShardManager, ProgressIsReportedOnceAndAgainOnRequest) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant("run-1", 6, 5, 0);
   fixture.tick(0);
   fixture.execute_commands(0);
-  fixture.tick(1.5);  // two of the six found no capacity
+  fixture.tick(1.5);  // there was no capacity for two of the six tasks
   auto reports = fixture.shard.progress_report(false);
   ASSERT_EQ(reports.size(), 1u);
   EXPECT_EQ(reports[0].released.at(0).tasks, Ranges::span(4, 6));
@@ -237,12 +238,12 @@
   fixture.tick(0);
   auto before = fixture.worker("m1");
   fixture.execute_commands(0);
-  // Sent before the task was started, delivered after.
+  // This heartbeat was sent before the task was started, and is delivered afterwards.
   EXPECT_EQ(fixture.shard.on_worker_heartbeat(before, at(0.5)), HeartbeatResult::kDropped);
   EXPECT_EQ(fixture.shard.machines().at(MachineName("m1")).tasks.size(), 1u);
 }
 
-TEST(ShardManager, AHigherTermSupersedesTheManager) {
+TEST(ShardManager, AHeartbeatOfAHigherTermSupersedesTheShardManager) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant("run-1", 1, 5, 0);
@@ -254,7 +255,7 @@
   EXPECT_TRUE(fixture.shard.take_machines_to_delete(at(100)).empty());
 }
 
-TEST(ShardManager, CancelledJobsAreStoppedAndTheirGrantsDrain) {
+TEST(ShardManager, TasksOfACancelledJobAreStoppedAndTheirGrantsReleased) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
   fixture.grant("run-1", 6, 5, 0);
@@ -271,7 +272,7 @@
   EXPECT_EQ(progress.begin()->second.released.at(0).tasks.count(), 6u);
 }
 
-TEST(ShardManager, WithoutRecentCancellationsNothingStarts) {
+TEST(ShardManager, NoTaskIsStartedWithoutRecentKnowledgeOfCancellations) {
   ShardFixture fixture;
   fixture.worker("m1");
   fixture.register_all(0);
--- a/tests/shard_state_fixture.h
+++ b/tests/shard_state_fixture.h
@@ -1,4 +1,5 @@
-// For tests of one component: a shard's state with machines, grants and tasks as the test sets them up.
+// Fixture for tests of single components: a shard's state in which the test sets up machines, grants and
+// tasks.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,17 +15,17 @@
 
 using fixture::at;
 
-// A reconciled shard under term 5. Now is 100 s. Machines have four CPUs, tasks of a job take one each.
+// A reconciled shard under term 5. The current time is 100 s. Machines have four CPUs, each task takes one.
 struct ShardStateFixture : testing::Test {
   static constexpr double kNowSeconds = 100;
   static constexpr Term kTerm{5};
 
-  // Forgets everything, for the next case of a table.
+  // Returns to the initial state, for the next case of a table.
   void reset() {
     state = ShardState(ShardId(0), kTerm, fixture::params(), at(0));
     state.reconciled = true;
   }
-  // One that can be given tasks.
+  // Adds a machine that is usable, so that tasks can be placed on it.
   Machine& add_machine(const std::string& name, const std::string& zone = "a") {
     auto& machine = state.machines[MachineName(name)];
     machine.name = MachineName(name);
@@ -37,7 +38,7 @@
     machine.incarnation = Incarnation(1);
     machine.sequence = Sequence(1);
     machine.token = FencingToken::first_of(kTerm);
-    machine.first_seen = machine.last_contact = machine.last_own_heartbeat = at(kNowSeconds);
+    machine.first_seen = machine.last_contact = machine.last_unsolicited_heartbeat = at(kNowSeconds);
     return machine;
   }
   static protocol::JobSpec job_spec(const std::string& id, std::uint32_t tasks,
@@ -58,14 +59,14 @@
   GrantedTask& granted_task(const std::string& job, std::uint32_t index = 0) {
     return *state.jobs.find_task({JobId(job), index});
   }
-  // Places the granted task: its start is still to be sent.
+  // Places the granted task. Its start command is not sent yet.
   MachineTask& place(Machine& machine, const std::string& job, std::uint32_t index = 0) {
     auto& granted = granted_task(job, index);
     TaskId id{JobId(job), index};
     state.place(machine, id, state.jobs.at(id.job), granted, at(kNowSeconds));
     return machine.tasks.at({id, granted.attempt});
   }
-  // Places the granted task and has it run.
+  // Places the granted task and marks it as running.
   MachineTask& run(Machine& machine, const std::string& job, std::uint32_t index = 0) {
     auto& task = place(machine, job, index);
     task.start = MachineTask::Start::kAcknowledged;
--- a/tests/shard_test_data.h
+++ b/tests/shard_test_data.h
@@ -1,5 +1,5 @@
-// What tests of a shard's leader share: its parameters, a catalogue with one machine type, and the identities
-// of workers and jobs. Times are seconds from an arbitrary start.
+// Test data for a shard's leader: its parameters, a catalogue with one machine type, and builders for workers
+// and jobs. Times are seconds from an arbitrary start.
 #pragma once
 
 #include <memory>
@@ -28,14 +28,14 @@
   return out;
 }
 
-// One type, with four CPUs, in these zones.
+// Returns a catalogue with one machine type, which has four CPUs and is offered in these zones.
 inline std::shared_ptr<const protocol::Catalogue> catalogue(const std::vector<Zone>& zones) {
   auto types = std::make_shared<protocol::Catalogue>();
   (*types)[MachineType("t4")] = {MachineType("t4"), {4, 0, 16}, 10, 0.1, 1, 0.5, 20, zones};
   return types;
 }
 
-// The first heartbeat of a worker without tasks.
+// Returns the first heartbeat of a worker without tasks.
 inline protocol::WorkerHeartbeat new_worker(const std::string& name, const Zone& zone) {
   protocol::WorkerHeartbeat worker;
   worker.machine = MachineName(name);
@@ -50,7 +50,7 @@
   return {worker.machine, worker.type, worker.zone, worker.spot, worker.address};
 }
 
-// A job whose tasks take one CPU each.
+// Returns the specification of a job whose tasks take one CPU each.
 inline protocol::JobSpec job_spec(const JobId& id, std::uint32_t tasks) {
   protocol::JobSpec spec;
   spec.id = id;
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -75,7 +75,7 @@
   auto& shard = *process_.shards.at(id).shard;
   if (has_bug(SeededBug::kRegistryNotRead))
     std::erase_if(all, [&](const auto& machine) { return !shard.find_machine(machine.name); });
-  shard.on_registry(all, instant());
+  shard.on_registry_read(all, instant());
 }
 
 void Controller::read_registry(ShardId id, LedShard& led) {
