--- a/src/shard/failure_detector.cpp
+++ b/src/shard/failure_detector.cpp
@@ -134,7 +134,7 @@
 
 // If many machines of a zone are unreachable, it is more likely that this controller is partitioned from the
 // zone than that so many machines failed. Machines whose heartbeats arrive only through other controllers, so
-// that commands probably don't reach them, count as unreachable: in a replay of recorded operation, a shard
+// that commands probably don't reach them, count as unreachable: on a recorded day of operation, a shard
 // leader that had lost contact with its workers deleted about sixty healthy machines one after the other.
 std::set<Zone> FailureDetector::update_partitioned_zones(const Machines& machines, Instant now) {
   struct ZoneCount {
--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -79,7 +79,7 @@
 
 // A worker with running tasks whose heartbeat arrives through another controller may be partitioned from this
 // one. If such a worker is redirected here, it waits in vain for an answer and then contacts the next
-// controller, and its lease may have expired by then. In a replay of recorded operation whole shards lost
+// controller, and its lease may have expired by then. On a recorded day of operation whole shards lost
 // their tasks that way in a controller's second partition: since each machine had been redirected in the
 // first partition, it wasn't answered at once in the second one. Therefore a worker is redirected only if it
 // has answered commands of this controller recently; otherwise it is answered and probed.
--- a/tests/failing_jobs_test.cpp
+++ b/tests/failing_jobs_test.cpp
@@ -51,7 +51,7 @@
   scenario.run(0.5, 8);
   EXPECT_TRUE(scenario.is_quarantined("m1"));
   EXPECT_FALSE(scenario.is_quarantined("m2") || scenario.is_quarantined("m3"));
-  // The quarantine is recorded in the registry. In a replay of recorded operation with failovers, each new
+  // The quarantine is recorded in the registry. On a recorded day of operation with failovers, each new
   // leader had to detect the faulty machines again.
   auto buckets = scenario.fixture.shard.registry_buckets_to_write();
   std::optional<state_store::MachineRecord> quarantined;
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -145,7 +145,7 @@
   EXPECT_TRUE(fixture.shard.machines().at(MachineName("m1")).tasks.empty());
 }
 
-// Guards against a failure in a replay of recorded operation: a shard leader lost contact with its workers
+// Guards against a failure found on a recorded day of operation: a shard leader lost contact with its workers
 // only, and their leases expired while the other controllers kept redirecting them to it.
 TEST(RelayedHeartbeat, AWorkerWithTasksIsRedirectedOnlyAfterItAnsweredCommandsRecently) {
   ShardFixture fixture;
@@ -177,7 +177,7 @@
   EXPECT_FALSE(fixture.shard.should_redirect_here(worker, at(102)));
 }
 
-// Guards against a failure in replays of recorded operation of both operators' deployments: in a controller's
+// Guards against a failure found on recorded days of both operators' deployments: in a controller's
 // second partition from its workers, all machines that had been redirected in the first one were redirected
 // at once, and their leases expired.
 TEST(RelayedHeartbeat, WorkersAreAnsweredAtOnceInASecondPartitionAsWell) {
