--- a/src/shard/shard_manager.h
+++ b/src/shard/shard_manager.h
@@ -48,8 +48,8 @@
   void set_catalogue(std::shared_ptr<const protocol::Catalogue> catalogue);
 
   // ---- Events
-  // The registry of the shard was read from the state store: `records` are those of all buckets. Until the first
-  // such event after the shard was acquired, the shard is not reconciled.
+  // The registry of the shard was read from the state store: `records` are those of all buckets. Until the
+  // first such event after the shard was acquired, the shard is not reconciled.
   void on_registry_read(const std::vector<state_store::MachineRecord>& records, Instant now);
   // An unsolicited heartbeat of a worker arrived.
   HeartbeatResult on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat, Instant now);
