--- a/src/controller/autoscaler_service.cpp
+++ b/src/controller/autoscaler_service.cpp
@@ -68,18 +68,18 @@
 void AutoscalerService::on_rent_result(const protocol::RentRequest& request,
                                        const cloud::CloudClient::RentResult& names) {
   if (names) {
-    autoscaler_->on_scale_out_result(request, *names, ctx_.now());
+    autoscaler_->on_instances_rented(request, *names, ctx_.now());
     rent();  // the next at once: machines take long enough to come up
     return;
   }
   switch (names.error()) {
     case cloud::CloudError::kNoCapacity:
     case cloud::CloudError::kRejected:
-      autoscaler_->on_refused(request, ctx_.now());
+      autoscaler_->on_rent_refused(request, ctx_.now());
       rent();
       return;
     case cloud::CloudError::kUnanswered:
-      autoscaler_->on_unanswered(ctx_.now());
+      autoscaler_->on_rent_unanswered(ctx_.now());
       return;
   }
 }
@@ -97,7 +97,7 @@
 void AutoscalerService::release_idle_instances() {
   const auto& scheduler = leadership_.scheduler();
   auto idle = autoscaler_->idle_instances(scheduler.summaries(), !scheduler.demand(ctx_.now()).empty(),
-                                          scheduler.busy());
+                                          scheduler.has_open_jobs());
   if (idle.empty()) return;
   messenger_.broadcast(protocol::ReleaseMachines{idle});
   shards_.on_release(idle);
@@ -113,7 +113,7 @@
     listing_ = false;
     auto now = ctx_.now();
     list_not_before_ = now + (now - begun);
-    if (autoscaler_ && machines) autoscaler_->on_list(std::move(*machines), now);
+    if (autoscaler_ && machines) autoscaler_->on_instance_list(std::move(*machines), now);
   });
 }
 
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -21,7 +21,7 @@
   params.heartbeat_period = from_seconds(ctx_.settings.report_s);
   params.longest_wait = ctx_.policy.longest_wait;
   params.rules = {ctx_.policy.task_cap, ctx_.policy.reserve};
-  params.max_writes = max_changes_per_txn();
+  params.max_grants_per_txn = max_changes_per_txn();
   scheduler_ = std::make_unique<scheduler::Scheduler>(params, ctx_.settings.teams, ctx_.settings.objectives);
 }
 
--- a/src/controller/round_driver.cpp
+++ b/src/controller/round_driver.cpp
@@ -16,7 +16,7 @@
   bool services = scheduler.has_services();
   auto max_jobs =
       services ? leadership_.max_changes_per_txn() : std::max<std::size_t>(1, ctx_.store->spare_writes());
-  auto grants = scheduler.decide(ctx_.now(), leadership_.shard_terms(), max_jobs);
+  auto grants = scheduler.decide_grants(ctx_.now(), leadership_.shard_terms(), max_jobs);
   if (!grants) return;
   grant_writer_.write(std::move(*grants), *leader,
                       services ? state_store::Urgency::kUserRequest : state_store::Urgency::kBackground);
--- a/src/scheduler/assumed_grants.h
+++ b/src/scheduler/assumed_grants.h
@@ -1,4 +1,4 @@
-// Committed grants that a shard's estimates may not account for yet.
+// Tracks committed grants that the estimates of a shard may not account for yet.
 #pragma once
 
 #include <map>
@@ -9,15 +9,19 @@
 
 namespace beaconsill::scheduler {
 
-// CPUs that are assumed to be in use on a shard until an estimate shows that the shard has read the grant.
+// Counts the CPUs of a committed grant as in use on its shard until the shard responds with a state that
+// includes the grant.
 class AssumedGrants {
  public:
+  // `committed_at`: the revision at which the transaction with the grant was committed. `cpus`: number of
+  // CPUs of all its tasks.
   void add(ShardId shard, Revision committed_at, double cpus) {
     by_shard_[shard].push_back({committed_at, cpus});
   }
-  // The shard answered with a state that includes everything up to `seen`.
+  // Removes the shard's grants up to revision `seen`: the shard has responded with an estimate that includes
+  // them.
   void acknowledge(ShardId shard, Revision seen) {
-    std::erase_if(by_shard_[shard], [&](const Assumed& grant) { return grant.committed_at <= seen; });
+    std::erase_if(by_shard_[shard], [&](const AssumedGrant& grant) { return grant.committed_at <= seen; });
   }
   ReservedCpus reserved_cpus() const {
     ReservedCpus reserved;
@@ -27,11 +31,11 @@
   }
 
  private:
-  struct Assumed {
+  struct AssumedGrant {
     Revision committed_at;
     double cpus = 0;
   };
-  std::map<ShardId, std::vector<Assumed>> by_shard_;
+  std::map<ShardId, std::vector<AssumedGrant>> by_shard_;
 };
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/autoscaler.cpp
+++ b/src/scheduler/autoscaler.cpp
@@ -11,19 +11,21 @@
 namespace beaconsill::scheduler {
 namespace {
 
-constexpr Duration kRefusalMemory = std::chrono::seconds(12);
+// A kind of instance isn't requested again for this long after a refusal or a boot timeout.
+constexpr Duration kRefusedKindBackoff = std::chrono::seconds(12);
 constexpr Duration kRetryDelay = std::chrono::seconds(1);
 constexpr Duration kDeleteRetryDelay = std::chrono::seconds(10);
-// Demand that waits for less than this may yet fit where it was granted.
+// Demand that has waited for less than this may still find capacity on the existing machines.
 constexpr Duration kMinDemandAge = std::chrono::milliseconds(1500);
-// In typical boot times: a pending instance beyond this isn't counted on.
-constexpr double kLateBoot = 2.0;
-constexpr double kUnknownBootSeconds = 60;
-constexpr double kMinTaskCpus = 0.01;  // that a task counts for
-// After a failover a list may be older than it should be by so many times the usual lag.
-constexpr int kListLagsAfterTakeover = 2;
-// A pending instance that isn't listed after so many lags and a little more doesn't exist any more.
-constexpr int kListLagsUntilGone = 3;
+// In multiples of the type's typical boot time: a pending instance that takes longer counts as late.
+constexpr double kLateBootFactor = 2.0;
+constexpr double kDefaultBootSeconds = 60;  // for machine types without a catalogue entry
+// A task counts for at least this many CPUs, as numbers of tasks are computed by a division by its CPUs.
+constexpr double kMinTaskCpus = 0.01;
+// In multiples of the usual list lag: how old a list may be at most after a failover.
+constexpr int kMaxListLagsAfterTakeover = 2;
+// A pending instance that isn't listed after this many list lags, plus a margin, doesn't exist any more.
+constexpr int kMaxUnlistedLags = 3;
 constexpr Duration kUnlistedMargin = std::chrono::seconds(5);
 
 double counted_cpus(const protocol::ResourceRequest& request) {
@@ -33,41 +35,41 @@
 }  // namespace
 
 Autoscaler::Autoscaler(AutoscalerParams params, std::string prefix)
-    : params_(params), prefix_(std::move(prefix)) {}
+    : params_(params), request_prefix_(std::move(prefix)) {}
 
 void Autoscaler::on_takeover(Instant now) {
   list_complete_ = false;
-  list_complete_at_ = now + params_.list_lag * kListLagsAfterTakeover;
+  list_complete_at_ = now + params_.list_lag * kMaxListLagsAfterTakeover;
 }
 
 double Autoscaler::typical_boot_s(const MachineType& type) const {
-  if (!catalogue_) return kUnknownBootSeconds;
+  if (!catalogue_) return kDefaultBootSeconds;
   auto entry = catalogue_->find(type);
-  return entry == catalogue_->end() ? kUnknownBootSeconds : entry->second.boot_s;
+  return entry == catalogue_->end() ? kDefaultBootSeconds : entry->second.boot_s;
 }
 
 bool Autoscaler::is_boot_late(const PendingInstance& instance, Instant now) const {
-  return to_seconds(now - instance.rented) > typical_boot_s(instance.kind.type) * kLateBoot;
+  return to_seconds(now - instance.rented_at) > typical_boot_s(instance.kind.type) * kLateBootFactor;
 }
 
 bool Autoscaler::boot_timed_out(const protocol::ListedMachine& machine) const {
   return machine.state == protocol::MachineState::kBooting &&
-         machine.age_s > typical_boot_s(machine.type) * boot_timeouts_.of(machine.type);
+         machine.age_s > typical_boot_s(machine.type) * boot_timeouts_.timeout_factor(machine.type);
 }
 
 void Autoscaler::on_boot_timeout(const protocol::ListedMachine& machine, Instant now) {
   boot_timeouts_.on_timeout(machine.type);
-  // Another type or zone is tried first.
-  refused_[{machine.type, machine.zone, machine.spot}] = now;
+  // The kind is avoided for a while, like a refused one, so that another type or zone is tried first.
+  refused_at_[{machine.type, machine.zone, machine.spot}] = now;
 }
 
-void Autoscaler::on_list(std::vector<protocol::ListedMachine> machines, Instant now) {
+void Autoscaler::on_instance_list(std::vector<protocol::ListedMachine> machines, Instant now) {
   if (now >= list_complete_at_) list_complete_ = true;
   listed_.clear();
   for (auto& machine : machines) {
     if (machine.state == protocol::MachineState::kBooting) {
-      auto rented = now - from_seconds(machine.age_s);
-      pending_instances_[machine.name] = {{machine.type, machine.zone, machine.spot}, rented};
+      auto rented_at = now - from_seconds(machine.age_s);
+      pending_instances_[machine.name] = {{machine.type, machine.zone, machine.spot}, rented_at};
     } else if (pending_instances_.erase(machine.name) > 0 &&
                machine.state == protocol::MachineState::kRunning) {
       boot_timeouts_.on_running(machine.type, machine.age_s / typical_boot_s(machine.type));
@@ -76,13 +78,14 @@
     listed_[std::move(name)] = std::move(machine);
   }
   drop_unlisted_pending(now);
-  std::erase_if(deleted_, [&](const auto& deletion) { return now - deletion.second > kDeleteRetryDelay; });
+  std::erase_if(deletion_requested_at_,
+                [&](const auto& deletion) { return now - deletion.second > kDeleteRetryDelay; });
 }
 
 void Autoscaler::drop_unlisted_pending(Instant now) {
   std::erase_if(pending_instances_, [&](const auto& pending) {
     return !listed_.contains(pending.first) &&
-           now - pending.second.rented > params_.list_lag * kListLagsUntilGone + kUnlistedMargin;
+           now - pending.second.rented_at > params_.list_lag * kMaxUnlistedLags + kUnlistedMargin;
   });
 }
 
@@ -99,20 +102,20 @@
   return capacity;
 }
 
-// Late capacity is rented anew, but once only: while nothing comes up, at most twice of what is needed is
-// pending.
+// Rents a replacement for late capacity only once: while no instance boots, at most twice the needed capacity
+// is pending.
 double Autoscaler::missing_tasks(const protocol::ResourceRequest& request, double reserved_cpus,
                                  Instant now) const {
   double reserved_tasks = reserved_cpus / counted_cpus(request);
   auto pending = pending_capacity(request, now);
   double needed = request.wanted + reserved_tasks;
-  double counted = pending.on_time + std::max(0.0, pending.late - needed);
-  return request.wanted - std::max(0.0, counted - reserved_tasks);
+  double counted_tasks = pending.on_time + std::max(0.0, pending.late - needed);
+  return request.wanted - std::max(0.0, counted_tasks - reserved_tasks);
 }
 
 bool Autoscaler::is_refused(const InstanceKind& kind, Instant now) const {
-  auto refusal = refused_.find(kind);
-  return refusal != refused_.end() && now - refusal->second < kRefusalMemory;
+  auto refusal = refused_at_.find(kind);
+  return refusal != refused_at_.end() && now - refusal->second < kRefusedKindBackoff;
 }
 
 std::size_t Autoscaler::count_owned(const InstanceKind& kind) const {
@@ -148,7 +151,7 @@
     request_sent_ = true;
     return open_request_;
   }
-  // Resource requests share the pending capacity: it's counted once.
+  // All resource requests share the pending capacity, so each part of it is counted for one request only.
   double reserved_cpus = 0;
   for (std::size_t i = 0; i < demand.size(); ++i) {
     const auto& request = demand[i].resource_request;
@@ -161,8 +164,8 @@
   return std::nullopt;
 }
 
-// What else waits and may run there is rented for at once: one request for each job would take as many
-// seconds as jobs wait. (What is before it in the list has its capacity.)
+// The request also covers the later entries that may run on the same kind: one request for each waiting job
+// would take as many seconds as there are such jobs. (Earlier entries have enough pending capacity.)
 protocol::RentRequest Autoscaler::open_request(const std::vector<Demand>& demand, std::size_t index,
                                                const RentalOption& option, double tasks) {
   const auto& kind = option.kind;
@@ -174,30 +177,30 @@
   }
   auto count = static_cast<std::uint32_t>(
       std::clamp(std::ceil(tasks / option.tasks_per_instance), 1.0, static_cast<double>(protocol::kMaxRent)));
-  open_request_ = protocol::RentRequest{prefix_ + std::to_string(next_request_number_++), kind.type,
+  open_request_ = protocol::RentRequest{request_prefix_ + std::to_string(next_request_number_++), kind.type,
                                         kind.zone, kind.spot, count};
   request_sent_ = true;
   return *open_request_;
 }
 
-void Autoscaler::on_scale_out_result(const protocol::RentRequest& request,
+void Autoscaler::on_instances_rented(const protocol::RentRequest& request,
                                      const std::vector<MachineName>& names, Instant now) {
   request_sent_ = false;
   open_request_.reset();
   InstanceKind kind{request.type, request.zone, request.spot};
   for (const auto& name : names) pending_instances_[name] = {kind, now};
-  if (names.size() < request.count) refused_[kind] = now;
+  if (names.size() < request.count) refused_at_[kind] = now;
   spdlog::info("instances_rented count={} requested={} type={} zone={} spot={}", names.size(), request.count,
                request.type.value(), request.zone.value(), request.spot);
 }
 
-void Autoscaler::on_refused(const protocol::RentRequest& request, Instant now) {
+void Autoscaler::on_rent_refused(const protocol::RentRequest& request, Instant now) {
   request_sent_ = false;
   open_request_.reset();
-  refused_[{request.type, request.zone, request.spot}] = now;
+  refused_at_[{request.type, request.zone, request.spot}] = now;
 }
 
-void Autoscaler::on_unanswered(Instant now) {
+void Autoscaler::on_rent_unanswered(Instant now) {
   request_sent_ = false;
   retry_at_ = now + kRetryDelay;
 }
@@ -206,26 +209,27 @@
   std::vector<MachineName> failed;
   if (!catalogue_) return failed;
   for (const auto& [name, machine] : listed_) {
-    if (deleted_.contains(name) || failed.size() >= protocol::kMaxDelete) continue;
+    if (deletion_requested_at_.contains(name) || failed.size() >= protocol::kMaxDelete) continue;
     bool timed_out = boot_timed_out(machine);
     if (machine.state != protocol::MachineState::kFailed && !timed_out) continue;
     if (timed_out) on_boot_timeout(machine, now);
     spdlog::info("instance_failed machine={} reason={}", name.value(), timed_out ? "boot_timeout" : "failed");
-    deleted_[name] = now;
+    deletion_requested_at_[name] = now;
     pending_instances_.erase(name);
     failed.push_back(name);
   }
   return failed;
 }
 
-std::vector<MachineName> Autoscaler::idle_instances(const ShardSummaries& summaries, bool demand,
-                                                    bool jobs) const {
+std::vector<MachineName> Autoscaler::idle_instances(const ShardSummaries& summaries, bool has_demand,
+                                                    bool has_open_jobs) const {
   std::vector<MachineName> idle;
-  if (demand) return idle;
-  double idle_limit_s = to_seconds(jobs ? params_.idle_return : params_.quiet_return);
+  if (has_demand) return idle;
+  double idle_timeout_s =
+      to_seconds(has_open_jobs ? params_.idle_timeout : params_.idle_timeout_without_jobs);
   for (const auto& [shard, summary] : summaries)
     for (const auto& machine : summary.machines)
-      if (machine.usable && machine.idle_s > idle_limit_s) idle.push_back(machine.name);
+      if (machine.usable && machine.idle_s > idle_timeout_s) idle.push_back(machine.name);
   return idle;
 }
 
--- a/src/scheduler/boot_timeouts.h
+++ b/src/scheduler/boot_timeouts.h
@@ -1,4 +1,4 @@
-// After how long a starting instance is taken never to come up, by what was seen of its type lately.
+// Determines after how long a booting instance counts as failed, from recent boot times of its machine type.
 #pragma once
 
 #include <map>
@@ -7,22 +7,22 @@
 
 namespace beaconsill::scheduler {
 
-// All times are in multiples of the type's typical boot time. After each timeout the next instance of the
-// type is waited for longer, or none would come up while all are slow; each instance that comes up quickly
-// shortens it.
+// All times are in multiples of the type's typical boot time. Each timeout makes the next one of the type
+// longer: otherwise no instance would ever finish its boot while all of them are slow. Each instance that
+// boots quickly makes it shorter.
 class BootTimeouts {
  public:
-  // The present timeout of the type.
-  double of(const MachineType& type) const;
-  // An instance came up, `boot_times` after it was rented.
-  void on_running(const MachineType& type, double boot_times);
-  // An instance didn't come up within the timeout.
+  // Returns the current timeout of the type.
+  double timeout_factor(const MachineType& type) const;
+  // An instance has finished its boot, `boot_factor` typical boot times after it was rented.
+  void on_running(const MachineType& type, double boot_factor);
+  // An instance didn't finish its boot within the timeout.
   void on_timeout(const MachineType& type);
 
  private:
-  double& timeout(const MachineType& type);
+  double& find_or_insert(const MachineType& type);
 
-  std::map<MachineType, double> timeouts_;
+  std::map<MachineType, double> timeout_factors_;
 };
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/estimation_round.h
+++ b/src/scheduler/estimation_round.h
@@ -1,5 +1,4 @@
-// One estimation round: the shards are asked how many tasks they have capacity for, and their responses
-// collected.
+// One estimation round: asks the shards for how many tasks they have capacity, and collects their responses.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +14,15 @@
 
 class EstimationRound {
  public:
-  // `reachable`: the shards whose responses are waited for.
-  EstimationRound(std::uint64_t id, Instant began, std::set<ShardId> reachable, RoundSelection selection);
+  // `reachable`: the shards whose responses the round waits for.
+  EstimationRound(std::uint64_t id, Instant started_at, std::set<ShardId> reachable,
+                  RoundSelection selection);
 
   protocol::EstimateRequest request() const { return {id_, selection_.resource_requests}; }
-  // False for a response to another round or from a shard that isn't waited for: it's ignored.
+  // Records the response. Returns false and ignores it if it belongs to another round or comes from a shard
+  // that the round doesn't wait for.
   bool on_response(const protocol::EstimateResponse& response);
-  // Whether all shards have responded, or `reply_wait` has passed.
+  // Returns whether all shards have responded or `reply_wait` has passed since the start of the round.
   bool responses_complete(Instant now, Duration reply_wait) const;
   void log_missing_responses() const;
 
@@ -29,20 +30,20 @@
   const protocol::ResourceRequest& resource_request(const RoundCandidate& candidate) const {
     return selection_.resource_requests[candidate.request];
   }
-  // Null if the shard hasn't responded.
+  // Returns the shard's capacity for the candidate's resource request, or null if the shard hasn't responded.
   const protocol::CapacityByZone* capacity(ShardId shard, const RoundCandidate& candidate) const;
 
-  // The transaction with the round's grants is under way.
-  bool writing() const { return writing_; }
-  void set_writing() { writing_ = true; }
+  // Whether the transaction with the round's grants has been started.
+  bool write_started() const { return write_started_; }
+  void set_write_started() { write_started_ = true; }
 
  private:
   std::uint64_t id_;
-  Instant began_;
-  std::set<ShardId> asked_;
+  Instant started_at_;
+  std::set<ShardId> awaited_shards_;
   RoundSelection selection_;
   std::map<ShardId, std::vector<protocol::CapacityByZone>> responses_;
-  bool writing_ = false;
+  bool write_started_ = false;
 };
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/grant_builder.h
+++ b/src/scheduler/grant_builder.h
@@ -1,4 +1,4 @@
-// Turns the responses of an estimation round into grants, one job after the other.
+// Builds grants from the responses of an estimation round, one job at a time.
 #pragma once
 
 #include <optional>
@@ -19,44 +19,46 @@
 
 namespace beaconsill::scheduler {
 
-// The job's grants as they are, without what was done or released.
-JobGrant rewritten_grant(const JobId& id, const JobEntry& entry, const QuotaLedger& quota);
+// Returns a write of the job's current grants without new chunks. Tasks that are done or released are left
+// out.
+JobGrant rewrite_current_grants(const JobId& id, const JobEntry& entry, const QuotaLedger& quota);
 
-// What a GrantBuilder decides by; refers to the scheduler's state.
+// The inputs of a GrantBuilder. The objects that they refer to must outlive the builder.
 struct GrantInputs {
   const EstimationRound& round;
   const JobTable& jobs;
   const QuotaLedger& quota;
   const WaitingJobs& waiting;
-  const ShardSummaries& summaries;  // for shards that haven't responded
+  const ShardSummaries& summaries;  // used for shards that haven't responded
   const ShardTerms& terms;          // of all shards that may be granted tasks
   const shard::PackingRules& rules;
   Duration heartbeat_period;
   Instant now;
 };
 
-// For one round: what it grants to a job is reserved on the shards and charged to the team for the jobs after
-// it.
+// Builds the grants of one round. What it grants to a job, it reserves on the shards and charges to the team,
+// so that later jobs of the round can't be granted the same capacity or quota.
 class GrantBuilder {
  public:
-  // `reserved_cpus`: on each shard, for grants that its response may not account for.
+  // `reserved_cpus`: CPUs that are reserved on each shard for grants that its response may not account for.
   GrantBuilder(const GrantInputs& inputs, ReservedCpus reserved_cpus);
 
-  // The job's grants with new chunks for its pending tasks, or with a gang's revocation; none if it's to be
-  // granted nothing now. To be called in the order in which the jobs are served.
+  // Returns the job's grants with new chunks for its pending tasks, or with the revocation of a gang. Returns
+  // std::nullopt if the job is granted nothing now. To be called in the order in which the jobs are served.
   std::optional<JobGrant> build(const RoundCandidate& candidate);
 
  private:
   bool yields_to_gang(const JobEntry& entry) const;
-  // For a gang of which only some tasks are outstanding; none while it's revoked already or waits for that.
-  std::optional<JobGrant> revoked_gang(const JobId& id, const JobEntry& entry) const;
+  // Returns the revocation of a gang of which only some tasks are outstanding. Returns std::nullopt if the
+  // gang is revoked already or the delay before the revocation hasn't passed yet.
+  std::optional<JobGrant> revoke_gang(const JobId& id, const JobEntry& entry) const;
   OfferedCapacity offered_capacity(const RoundCandidate& candidate, const JobEntry& entry);
-  JobGrant grant(const JobId& id, const JobEntry& entry, const Placement& placement);
+  JobGrant build_grant(const JobId& id, const JobEntry& entry, const Placement& placement);
 
-  GrantInputs in_;
+  GrantInputs inputs_;
   TeamUsage usage_;
   ReservedCpus reserved_cpus_;
-  bool arrays_yield_ = false;  // a starving gang found no capacity
+  bool arrays_yield_ = false;  // set when a starving gang of this round has found no capacity
 };
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/indeterminate_grants.cpp
+++ b/src/scheduler/indeterminate_grants.cpp
@@ -11,7 +11,7 @@
   if (!transaction.empty()) transactions_.push_back(std::move(transaction));
 }
 
-// A transaction is atomic, and conditional on the version of each of its keys and on none of its jobs being
+// A transaction is atomic. It's conditional on the version of each of its keys and on none of its jobs being
 // over.
 bool IndeterminateGrants::may_still_commit(const Transaction& transaction, const JobTable& jobs) {
   return std::all_of(transaction.begin(), transaction.end(), [&](const auto& write) {
@@ -20,19 +20,19 @@
   });
 }
 
-void IndeterminateGrants::drop_settled(const JobTable& jobs) {
+void IndeterminateGrants::drop_resolved(const JobTable& jobs) {
   std::erase_if(transactions_,
                 [&](const Transaction& transaction) { return !may_still_commit(transaction, jobs); });
 }
 
-std::set<JobId> IndeterminateGrants::superseding_writes() const {
-  std::set<JobId> writes;
+std::set<JobId> IndeterminateGrants::superseding_jobs() const {
+  std::set<JobId> rewritten_jobs;
   for (const auto& transaction : transactions_) {
     bool superseded = std::any_of(transaction.begin(), transaction.end(),
-                                  [&](const auto& write) { return writes.contains(write.first); });
-    if (!superseded) writes.insert(transaction.begin()->first);
+                                  [&](const auto& write) { return rewritten_jobs.contains(write.first); });
+    if (!superseded) rewritten_jobs.insert(transaction.begin()->first);
   }
-  return writes;
+  return rewritten_jobs;
 }
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/indeterminate_grants.h
+++ b/src/scheduler/indeterminate_grants.h
@@ -1,4 +1,4 @@
-// Transactions of grants that got no answer: each may have been committed, or may yet be.
+// Tracks transactions of grants whose result is unknown: each may have been committed, or may still be.
 #pragma once
 
 #include <map>
@@ -11,23 +11,24 @@
 
 namespace beaconsill::scheduler {
 
-// The next transaction writes at least one key of each indeterminate one, at the same expected version, so
-// that only one of the two can be committed. Otherwise both could be, for different jobs of a team, which
-// would then exceed its quota (found by the simulation, seed 24).
+// The next transaction writes at least one key of each indeterminate transaction with the same expected
+// version, so that only one of the two can be committed. Otherwise both could be committed for different jobs
+// of a team, and the team would exceed its quota (found by the simulation, seed 24).
 class IndeterminateGrants {
  public:
-  // The transaction of these grants ended without an answer, or with a refusal that can't be distinguished
-  // from one.
+  // The transaction with these grants ended without an answer, or with a refusal that can't be distinguished
+  // from a missing answer.
   void add(const std::vector<JobGrant>& grants);
-  // Forgets transactions that can't be committed any more: a grant in them has another version by now, or one
-  // of their jobs is over.
-  void drop_settled(const JobTable& jobs);
-  // Jobs whose grants have to be written again to supersede all that is left; one of each transaction.
-  std::set<JobId> superseding_writes() const;
+  // Drops the transactions that can't be committed any more, because a grant in them has a different version
+  // by now, or one of their jobs is over or was removed.
+  void drop_resolved(const JobTable& jobs);
+  // Returns the jobs whose grants have to be written again to supersede all remaining transactions: at least
+  // one job of each transaction.
+  std::set<JobId> superseding_jobs() const;
   bool empty() const { return transactions_.empty(); }
 
  private:
-  // Job -> the version of its grants that the transaction replaces.
+  // Maps each job to the version of its grants that the transaction replaces.
   using Transaction = std::map<JobId, Revision>;
   static bool may_still_commit(const Transaction& transaction, const JobTable& jobs);
 
--- a/src/scheduler/job_grant.h
+++ b/src/scheduler/job_grant.h
@@ -1,4 +1,4 @@
-// A write of one job's grants, as the scheduler wants it committed.
+// Defines the write of one job's grants that the scheduler hands over to be committed.
 #pragma once
 
 #include <set>
@@ -12,8 +12,9 @@
   JobId job;
   state_store::Grants grants;
   Revision expected;  // version of the grants that this write replaces: the condition of its compare-and-swap
-  // The write relies on releases that the leaders of these shards reported under their present terms. It must
-  // be conditional on those terms: a later shard leader doesn't know of tasks released by message only.
+  // The write relies on releases that the leaders of these shards reported under their current terms. It must
+  // be conditional on those terms: a later shard leader has no record of tasks that were released by message
+  // only.
   std::set<ShardId> depends_on_shards;
 };
 
--- a/src/scheduler/offered_capacity.cpp
+++ b/src/scheduler/offered_capacity.cpp
@@ -8,27 +8,29 @@
 namespace beaconsill::scheduler {
 namespace {
 
-void add(std::vector<ShardCapacity>& list, ShardId shard, std::optional<Zone> zone, std::uint32_t tasks) {
-  if (tasks > 0) list.push_back({shard, std::move(zone), tasks});
+void add_nonzero(std::vector<ShardCapacity>& capacities, ShardId shard, std::optional<Zone> zone,
+                 std::uint32_t tasks) {
+  if (tasks > 0) capacities.push_back({shard, std::move(zone), tasks});
 }
 
-std::uint32_t minus(std::uint32_t tasks, std::uint32_t reserved) {
-  return tasks > reserved ? tasks - reserved : 0;
+std::uint32_t subtract_saturating(std::uint32_t tasks, std::uint32_t subtrahend) {
+  return tasks > subtrahend ? tasks - subtrahend : 0;
 }
 
-std::uint64_t total(const std::vector<ShardCapacity>& capacities) {
+std::uint64_t total_tasks(const std::vector<ShardCapacity>& capacities) {
   std::uint64_t sum = 0;
   for (const auto& capacity : capacities) sum += capacity.tasks;
   return sum;
 }
 
-std::uint32_t total(const std::vector<ShardAllocation>& allocations) {
+std::uint32_t total_tasks(const std::vector<ShardAllocation>& allocations) {
   std::uint32_t sum = 0;
   for (const auto& allocation : allocations) sum += allocation.tasks;
   return sum;
 }
 
-// The first zone with most capacity; none if there is no capacity.
+// Returns the zone with the most capacity, the first one in order among equals. Returns std::nullopt if there
+// is no capacity.
 std::optional<Zone> largest_zone(const std::vector<ShardCapacity>& capacities) {
   std::map<Zone, std::uint64_t> by_zone;
   for (const auto& capacity : capacities) by_zone[*capacity.zone] += capacity.tasks;
@@ -55,12 +57,13 @@
 
 void OfferedCapacity::add_zones(ShardId shard, const protocol::CapacityByZone& zones,
                                 std::uint32_t reserved_tasks) {
-  // In which zone the reserved tasks will be isn't known: the first ones are charged with them.
+  // The zones in which the reserved tasks will be placed aren't known, so they are subtracted from the first
+  // zones.
   for (const auto& zone : zones) {
-    auto reserved_here = std::min(zone.free, reserved_tasks);
-    reserved_tasks -= reserved_here;
-    add(free_, shard, zone.zone, zone.free - reserved_here);
-    add(preemptible_, shard, zone.zone, zone.preemptible);
+    auto reserved_in_zone = std::min(zone.free, reserved_tasks);
+    reserved_tasks -= reserved_in_zone;
+    add_nonzero(free_, shard, zone.zone, zone.free - reserved_in_zone);
+    add_nonzero(preemptible_, shard, zone.zone, zone.preemptible);
   }
 }
 
@@ -73,25 +76,25 @@
     sum.preemptible += zone.preemptible;
     sum.image_cached_preemptible += zone.image_cached_preemptible;
   }
-  add(image_cached_, shard, std::nullopt, minus(sum.image_cached, reserved_tasks));
-  add(free_, shard, std::nullopt, minus(sum.free, reserved_tasks));
-  add(preemptible_, shard, std::nullopt, sum.preemptible);
-  add(image_cached_preemptible_, shard, std::nullopt, sum.image_cached_preemptible);
+  add_nonzero(image_cached_, shard, std::nullopt, subtract_saturating(sum.image_cached, reserved_tasks));
+  add_nonzero(free_, shard, std::nullopt, subtract_saturating(sum.free, reserved_tasks));
+  add_nonzero(preemptible_, shard, std::nullopt, sum.preemptible);
+  add_nonzero(image_cached_preemptible_, shard, std::nullopt, sum.image_cached_preemptible);
 }
 
 void OfferedCapacity::restrict_to_one_zone(const TasksByZone& placed) {
   auto zone = placed.first_zone();
   if (!zone) zone = largest_zone(free_);
-  auto elsewhere = [&](const ShardCapacity& capacity) { return !zone || *capacity.zone != *zone; };
-  std::erase_if(free_, elsewhere);
-  std::erase_if(preemptible_, elsewhere);
+  auto in_other_zone = [&](const ShardCapacity& capacity) { return !zone || *capacity.zone != *zone; };
+  std::erase_if(free_, in_other_zone);
+  std::erase_if(preemptible_, in_other_zone);
 }
 
 void OfferedCapacity::spread_over_zones(std::uint32_t limit, const TasksByZone& placed) {
   auto tasks_in_zone = placed;
   for (auto* list : {&free_, &preemptible_}) {
     for (auto& capacity : *list) {
-      capacity.tasks = std::min(capacity.tasks, minus(limit, tasks_in_zone.in(*capacity.zone)));
+      capacity.tasks = std::min(capacity.tasks, subtract_saturating(limit, tasks_in_zone.in(*capacity.zone)));
       tasks_in_zone.add(*capacity.zone, capacity.tasks);
     }
   }
@@ -100,7 +103,7 @@
 void OfferedCapacity::restrict_to_gang(std::uint32_t tasks) {
   image_cached_.clear();
   preemptible_.clear();
-  if (total(free_) < tasks) return free_.clear();
+  if (total_tasks(free_) < tasks) return free_.clear();
   std::map<ShardId, std::uint64_t> by_shard;
   for (const auto& capacity : free_) by_shard[capacity.shard] += capacity.tasks;
   auto largest = std::max_element(by_shard.begin(), by_shard.end(), [](const auto& left, const auto& right) {
@@ -111,24 +114,25 @@
 }
 
 std::vector<ShardCapacity> OfferedCapacity::free_without_image() const {
-  std::vector<ShardCapacity> cold = free_;
-  for (auto& capacity : cold)
+  std::vector<ShardCapacity> without_image = free_;
+  for (auto& capacity : without_image)
     for (const auto& cached : image_cached_)
       if (cached.shard == capacity.shard && cached.zone == capacity.zone)
-        capacity.tasks = minus(capacity.tasks, cached.tasks);
-  return cold;
+        capacity.tasks = subtract_saturating(capacity.tasks, cached.tasks);
+  return without_image;
 }
 
-// An image's fetch takes longer than anything else on the way to a task's start; for a service also longer
-// than preempting work where the image is.
+// Fetching an image takes longer than any other step of starting a task. For a service it also takes longer
+// than preempting tasks where the image is cached.
 Placement OfferedCapacity::place(std::uint32_t tasks, JobKind kind) const {
-  bool preempt_where_image_cached = kind == JobKind::kService && total(image_cached_) < tasks &&
-                                    total(image_cached_) + total(image_cached_preemptible_) >= tasks;
+  bool preempt_where_image_cached =
+      kind == JobKind::kService && total_tasks(image_cached_) < tasks &&
+      total_tasks(image_cached_) + total_tasks(image_cached_preemptible_) >= tasks;
   Placement placement{apportion(tasks, image_cached_), {}};
-  if (auto placed = total(placement.free); placed < tasks && !preempt_where_image_cached)
+  if (auto placed = total_tasks(placement.free); placed < tasks && !preempt_where_image_cached)
     for (auto& allocation : apportion(tasks - placed, free_without_image()))
       placement.free.push_back(std::move(allocation));
-  if (auto placed = total(placement.free); placed < tasks)
+  if (auto placed = total_tasks(placement.free); placed < tasks)
     placement.preempting =
         apportion(tasks - placed, preempt_where_image_cached ? image_cached_preemptible_ : preemptible_);
   return placement;
--- a/src/scheduler/offered_capacity.h
+++ b/src/scheduler/offered_capacity.h
@@ -1,4 +1,5 @@
-// The capacity that all shards offer to one job in a round, restricted by the job's rules of placement.
+// Collects the capacity that all shards offer to one job in a round, and restricts it by the placement rules
+// of the job.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +16,33 @@
 // How a job's tasks are divided among the shards.
 struct Placement {
   std::vector<ShardAllocation> free;
-  std::vector<ShardAllocation> preempting;  // by stopping work of lower priority
+  std::vector<ShardAllocation> preempting;  // for which tasks of lower priority are stopped
   bool empty() const { return free.empty() && preempting.empty(); }
 };
 
 class OfferedCapacity {
  public:
-  // `by_zone`: the job's rules need to know the zones; capacity where the image is isn't distinguished then.
+  // `by_zone`: keeps capacity apart by zone, for jobs whose placement rules refer to zones. Capacity where
+  // the image is cached isn't distinguished then.
   explicit OfferedCapacity(bool by_zone) : by_zone_(by_zone) {}
 
-  // `reserved_tasks`: how many tasks of this job fit into what is granted on the shard already, but not yet
-  // seen by it.
+  // `reserved_tasks`: the capacity, in tasks of this job, that was granted on the shard already, but isn't
+  // included in the shard's estimate yet.
   void add_shard(ShardId shard, const protocol::CapacityByZone& zones, std::uint32_t reserved_tasks);
 
-  // All tasks in one zone: that of the tasks which are placed already, or else the one with most capacity.
+  // Restricts the capacity to one zone: the zone of the tasks that are placed already, or else the zone with
+  // the most free capacity.
   void restrict_to_one_zone(const TasksByZone& placed);
-  // At most `limit` tasks in each zone, counting those that are placed already.
+  // Restricts the capacity to at most `limit` tasks in each zone, including those that are placed already.
   void spread_over_zones(std::uint32_t limit, const TasksByZone& placed);
-  // Free capacity that holds all `tasks` of a gang: of one shard if one can, else of several. None is left if
-  // they can't.
+  // Restricts the capacity to free capacity for all `tasks` tasks of a gang: on one shard if one has enough,
+  // else on several. Nothing is left if all shards together don't have enough.
   void restrict_to_gang(std::uint32_t tasks);
-  bool has_free() const { return !free_.empty(); }
+  bool has_free_capacity() const { return !free_.empty(); }
 
-  // Divides the tasks, in this order: free capacity where the image is, other free capacity, preemption. For
-  // a service preemption where the image is comes before free capacity elsewhere.
+  // Divides the tasks among the shards. Free capacity where the image is cached is used first, then other
+  // free capacity, then preemption. For a service, preemption where the image is cached goes before free
+  // capacity elsewhere.
   Placement place(std::uint32_t tasks, JobKind kind) const;
 
  private:
@@ -47,11 +51,11 @@
   std::vector<ShardCapacity> free_without_image() const;
 
   bool by_zone_;
-  std::vector<ShardCapacity> image_cached_;  // free, where the image is; counted in `free_` as well
+  std::vector<ShardCapacity> image_cached_;  // free, with the image cached; counted in `free_` as well
   std::vector<ShardCapacity> free_;
   std::vector<ShardCapacity> preemptible_;
   std::vector<ShardCapacity>
-      image_cached_preemptible_;  // where the image is; counted in `preemptible_` as well
+      image_cached_preemptible_;  // with the image cached; counted in `preemptible_` as well
 };
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -1,4 +1,4 @@
-// Events on jobs and shards, and queries.
+// Implements the scheduler's events on jobs and shards, and its queries.
 #include "scheduler/scheduler.h"
 
 #include <algorithm>
@@ -7,10 +7,12 @@
 namespace beaconsill::scheduler {
 namespace {
 
-// From the last completion of a job to the first start of the next one in a pipeline, in heartbeat periods.
-constexpr int kPeriodsBetweenSteps = 3;
-// Of the size at which a job's grants didn't fit into a value: below that share it's tried again.
-constexpr double kRetrySizeShare = 0.9;
+// In heartbeat periods: time from the completion of the last dependency of a job in a pipeline to the job's
+// first start of a task.
+constexpr int kDependencyDelayPeriods = 3;
+// A job whose grants didn't fit into a value is tried again when they are smaller than this share of their
+// size at that time.
+constexpr double kOversizedRetryShare = 0.9;
 
 }  // namespace
 
@@ -43,11 +45,11 @@
 
 void Scheduler::await_dependencies(const JobId& id, const state_store::JobRecord& record) {
   const auto& spec = *record.spec;
-  // To be complete in time it has to start a run time earlier, and its first grant follows a few heartbeats
-  // after the last completion of its dependencies.
-  auto takes = from_seconds(spec.estimate_s) + kPeriodsBetweenSteps * params_.heartbeat_period;
+  // To complete in time, the job has to start one run time earlier, and its first tasks start a few
+  // heartbeats after its last dependency is complete.
+  auto lead_time = from_seconds(spec.estimate_s) + kDependencyDelayPeriods * params_.heartbeat_period;
   inherited_.on_waiting(id, spec.depends_on, {spec.priority, deadlines_.due_times(record, std::nullopt)},
-                        takes);
+                        lead_time);
   refresh_requirements();
 }
 
@@ -65,11 +67,11 @@
     entry.counts_from = *ready_since;
   }
   entry.requirement = requirement_of(id, entry);
-  if (entry.oversized_at &&
-      static_cast<double>(entry.grants_size()) < static_cast<double>(*entry.oversized_at) * kRetrySizeShare)
+  if (entry.oversized_at && static_cast<double>(entry.grants_size()) <
+                                static_cast<double>(*entry.oversized_at) * kOversizedRetryShare)
     entry.oversized_at.reset();
   if (is_new || (pending_before == 0 && !entry.pending.empty())) entry.waiting_since = now;
-  // A new job, or a replica that lost its machine, shouldn't wait for the next period.
+  // A new job, or a service replica that lost its machine, shouldn't wait for the next regular round.
   bool lost_replica = entry.is_service() && entry.pending.count() > pending_before;
   if (!entry.pending.empty() && (!entry.granted_before || lost_replica)) urgent_ = true;
   quota_.charge(entry);
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -1,5 +1,6 @@
-// The leader's scheduler: a state machine that turns waiting jobs into grants of tasks to shards. It has no
-// sockets and no clock: the controller feeds it with events, sends its requests and commits its grants.
+// The scheduler of the leader: a state machine that decides which shards are granted which tasks of the
+// waiting jobs. It has no sockets and no clock: the controller passes events to it, sends its requests and
+// commits its grants.
 #pragma once
 
 #include <cstddef>
@@ -31,70 +32,73 @@
 struct SchedulerParams {
   Duration reply_wait{};        // how long a round waits for the shards' responses
   Duration heartbeat_period{};  // also the period of rounds for jobs that found no capacity
-  Duration longest_wait{};      // after which a job of which nothing has begun is starving
+  Duration longest_wait{};      // a job of which no task has started for longer is starving
   shard::PackingRules rules;
-  std::size_t max_writes = 8;  // grants in one transaction
+  std::size_t max_grants_per_txn = 8;
 };
 
-// Coordinates the classes of this package; each of them keeps its own state. Not thread-safe.
+// Coordinates the other classes of this package, each of which has its own state. Not thread-safe.
 class Scheduler {
  public:
   Scheduler(SchedulerParams params, std::vector<config::TeamSettings> teams,
             std::vector<config::Objective> objectives);
 
   // ---- Events
-  // A job as the state store holds it, or null if it was removed; to be called for each change.
-  // `terminal_state`: it's over. `ready_since`: when the last of its dependencies was done; none: it still
-  // waits for some. While it waits it's in no queue, round, quota or demand.
+  // A job changed in the state store. `job`: its current state, or null if it was removed. `terminal_state`:
+  // set if the job is over. `ready_since`: when the last of its dependencies was done; std::nullopt while it
+  // still waits for dependencies. During that time the job is in no queue, round, quota or demand.
   void on_job(const JobId& id, const state_store::Job* job,
               std::optional<state_store::TerminalState> terminal_state, Instant now,
               std::optional<WallMs> ready_since = std::nullopt);
-  // A shard leader's report on tasks granted to it. on_job must then be called for each of its jobs.
+  // A shard leader reported on tasks that were granted to it. on_job must then be called for each job of the
+  // report.
   void on_progress_report(const protocol::ProgressReport& report, Instant now);
-  // The present terms of the shards. Releases reported under another term count no more; returns the jobs
-  // concerned, for which on_job must be called.
+  // Sets the current terms of the shards. Releases that were reported under another term don't count any
+  // more. Returns the affected jobs; on_job must then be called for each of them.
   std::vector<JobId> on_terms(const ShardTerms& terms);
   void on_summary(const protocol::Summary& summary);
   void on_estimate_response(const protocol::EstimateResponse& response);
 
   // ---- Estimation rounds
   using Grant = JobGrant;
-  // Begins a round if there is something to grant and the last one is long enough ago; the request is to be
-  // sent to all shards. `reachable`: shards whose responses are worth waiting for.
+  // Begins a round if there are tasks to grant and enough time has passed since the last round. The returned
+  // request is to be sent to all shards. `reachable`: the shards whose responses the round waits for.
   std::optional<protocol::EstimateRequest> begin_round(Instant now, WallMs wall,
                                                        const std::set<ShardId>& reachable);
-  // The round's grants, once every shard has responded or was waited for long enough; none before. `terms`:
-  // of each shard. At most `max_jobs` jobs are granted tasks, by default as many as fit into a transaction.
-  // If there are grants, they have to be written in one transaction and `on_granted` called; else the round
-  // is over.
-  std::optional<std::vector<Grant>> decide(Instant now, const ShardTerms& terms,
-                                           std::optional<std::size_t> max_jobs = std::nullopt);
-  // Whether the open round has some service among its jobs.
+  // Returns the round's grants once all reachable shards have responded or the reply wait has passed, and
+  // std::nullopt before. `terms`: the current terms of all shards that have a leader. At most `max_jobs` jobs
+  // are granted tasks, by default as many as fit into a transaction. Grants have to be written in one
+  // transaction, and on_granted has to be called with its result. If there are no grants, the round is over.
+  std::optional<std::vector<Grant>> decide_grants(Instant now, const ShardTerms& terms,
+                                                  std::optional<std::size_t> max_jobs = std::nullopt);
+  // Returns whether any job of the open round is a service.
   bool has_services() const;
-  // The transaction with the round's grants ended: committed at `revision`, or indeterminate if there is
-  // none.
+  // The transaction with the round's grants ended. `revision`: the revision at which it was committed, or
+  // std::nullopt if its result is indeterminate.
   void on_granted(const std::vector<Grant>& grants, std::optional<Revision> revision, Instant now);
-  // The job's grants don't fit into one value. It's in no round until what it holds has got shorter;
-  // otherwise it would take a place in every round from the jobs behind it.
+  // The job's grants don't fit into one value of the state store. The job is excluded from rounds until its
+  // grants have become smaller; otherwise it would use a place in every round that other jobs could have.
   void on_oversized(const JobId& id);
   bool round_open() const { return round_.has_value(); }
 
   // ---- Completion
-  // Jobs all of whose tasks are done, to be recorded as such.
+  // Returns the jobs whose tasks are all done and which have to be recorded as completed.
   std::vector<JobId> completed() const { return {jobs_.completed().begin(), jobs_.completed().end()}; }
-  // By how much the job has missed the first of its due times; none if it hasn't, or has no due time.
+  // Returns by how much the job has missed the first of its due times, or std::nullopt if it hasn't missed it
+  // or has none.
   std::optional<Duration> lateness(const JobId& id, WallMs wall) const;
-  // Jobs that are over and none of whose tasks can be on any machine: their keys can be deleted.
+  // Returns the jobs that are over and have no task left on any machine. Their keys can be deleted.
   std::vector<JobId> collectable() const { return {jobs_.collectable().begin(), jobs_.collectable().end()}; }
-  // The shards of which only messages show that some of the job's tasks were released. What is written
-  // because of that must be conditional on their present terms, as with JobGrant::depends_on_shards.
+  // Returns the shards whose releases of some of the job's tasks were only reported by messages, not
+  // recorded. Each write that relies on these releases must be conditional on the current terms of the
+  // shards, as with JobGrant::depends_on_shards.
   std::set<ShardId> released_by_message(const JobId& id) const;
 
   // ---- Queries
   std::vector<Demand> demand(Instant now) const { return waiting_jobs().demand(now); }
   const ShardSummaries& summaries() const { return summaries_; }
-  // Whether any job isn't over.
-  bool busy() const { return !inherited_.empty() || !jobs_.open().empty(); }
+  // Returns whether any job isn't over.
+  bool has_open_jobs() const { return !inherited_.empty() || !jobs_.open().empty(); }
 
  private:
   WaitingJobs waiting_jobs() const { return {jobs_, quota_, crash_loops_, deadlines_}; }
@@ -105,19 +109,21 @@
                   std::optional<state_store::TerminalState> terminal_state, Instant now,
                   std::optional<WallMs> ready_since);
   Requirement requirement_of(const JobId& id, const JobEntry& entry) const;
-  // After a change of what waiting jobs need of their dependencies.
+  // Updates the requirements of jobs after a change of the requirements of the jobs that depend on them.
   void refresh_requirements();
   void on_job_health(const JobId& id, protocol::JobHealth health, Instant now);
 
+  // Removes from `superseding_jobs` the jobs that are granted tasks, because their grants are superseding
+  // writes, too.
   std::vector<Grant> build_grants(Instant now, const ShardTerms& terms, std::size_t max_jobs,
-                                  std::set<JobId>& superseding) const;
-  void add_superseding(const std::set<JobId>& superseding, std::vector<Grant>& grants) const;
+                                  std::set<JobId>& superseding_jobs) const;
+  void add_superseding_grants(const std::set<JobId>& superseding_jobs, std::vector<Grant>& grants) const;
 
   SchedulerParams params_;
   JobTable jobs_;
   QuotaLedger quota_;
   DeadlinePlanner deadlines_;
-  InheritedRequirements inherited_;  // of jobs that wait for dependencies
+  InheritedRequirements inherited_;  // from jobs that wait for dependencies
   CrashLoopBackoff crash_loops_;
   ReportedProgress reported_;
   AssumedGrants assumed_;
@@ -125,9 +131,9 @@
   ShardSummaries summaries_;
   std::optional<EstimationRound> round_;
   std::uint64_t next_round_ = 1;
-  Instant last_round_{};
-  Instant last_full_round_{};  // last one that wasn't for services only
-  bool urgent_ = false;        // something came that shouldn't wait for the next period
+  Instant last_round_at_{};
+  Instant last_full_round_at_{};  // when the last round began that wasn't for services only
+  bool urgent_ = false;           // some job shouldn't wait for the next regular round
 };
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/shard_summaries.h
+++ b/src/scheduler/shard_summaries.h
@@ -1,4 +1,4 @@
-// The latest summary of each shard.
+// Stores the latest summary of each shard.
 #pragma once
 
 #include <map>
@@ -8,22 +8,22 @@
 
 namespace beaconsill::scheduler {
 
-// What the shard leaders last said of their machines and of what runs on them.
+// The latest summaries that the shard leaders sent about their machines and the tasks that run on them.
 class ShardSummaries {
  public:
   using Summaries = std::map<ShardId, protocol::Summary>;
 
-  // Ignored if an earlier leader of the shard sent it than the one that is known.
+  // Stores the summary, unless the stored one was sent by a later leader of the shard.
   void update(const protocol::Summary& summary) {
-    auto& known = summaries_[summary.shard];
-    if (summary.term >= known.term) known = summary;
+    auto& stored = summaries_[summary.shard];
+    if (summary.term >= stored.term) stored = summary;
   }
-  // Null if none is known. Valid until the next update.
+  // Returns null if the shard has sent no summary. The pointer is valid until the next update.
   const protocol::Summary* find(ShardId shard) const {
     auto summary = summaries_.find(shard);
     return summary == summaries_.end() ? nullptr : &summary->second;
   }
-  // Pairs of shard and summary, ascending by shard.
+  // Iterates over pairs of shard and summary in ascending order of shards.
   Summaries::const_iterator begin() const { return summaries_.begin(); }
   Summaries::const_iterator end() const { return summaries_.end(); }
 
--- a/src/scheduler/shard_terms.h
+++ b/src/scheduler/shard_terms.h
@@ -1,4 +1,4 @@
-// The present terms of the shards.
+// Stores the current term of each shard that has a leader.
 #pragma once
 
 #include <initializer_list>
@@ -21,12 +21,12 @@
   void set(ShardId shard, Term term) { terms_[shard] = term; }
   // The shard must have a leader.
   Term at(ShardId shard) const { return terms_.at(shard); }
-  // Whether the shard's leader leads it under this term.
+  // Returns whether the shard has a leader and this is its current term.
   bool is_current(ShardId shard, Term term) const {
-    auto known = terms_.find(shard);
-    return known != terms_.end() && known->second == term;
+    auto current = terms_.find(shard);
+    return current != terms_.end() && current->second == term;
   }
-  // Pairs of shard and term, ascending by shard.
+  // Iterates over pairs of shard and term in ascending order of shards.
   Terms::const_iterator begin() const { return terms_.begin(); }
   Terms::const_iterator end() const { return terms_.end(); }
   bool operator==(const ShardTerms&) const = default;
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -1,4 +1,4 @@
-// Which instances are rented, deleted and returned.
+// Tests which instances the autoscaler rents, deletes and returns.
 #include "scheduler/autoscaler.h"
 
 #include "scheduler/boot_timeouts.h"
@@ -23,7 +23,7 @@
   return {{request, std::chrono::seconds(5)}};
 }
 
-Autoscaler with_catalogue() {
+Autoscaler autoscaler_with_catalogue() {
   Autoscaler autoscaler({std::chrono::seconds(60), std::chrono::seconds(20), std::chrono::seconds(3), 64},
                         "t7-");
   autoscaler.set_catalogue(catalogue());
@@ -37,50 +37,50 @@
   return {MachineName(name), "", MachineType(type), Zone(zone), false, state, age_s};
 }
 
-TEST(Autoscaler, RentsWhatIsMissingOnceUnderANewNameEachTime) {
-  auto autoscaler = with_catalogue();
+TEST(Autoscaler, RentsMissingCapacityOnceWithANewIdempotencyKeyForEachRequest) {
+  auto autoscaler = autoscaler_with_catalogue();
   auto request = autoscaler.rent(demand(10), at(0));
   ASSERT_TRUE(request);
   EXPECT_EQ(request->type, MachineType("small"));
   EXPECT_EQ(request->count, 3u);
-  EXPECT_FALSE(autoscaler.rent(demand(10), at(0.1)));  // one at a time
-  // Without an answer the very same request is repeated: its name makes that safe.
-  autoscaler.on_unanswered(at(1));
+  EXPECT_FALSE(autoscaler.rent(demand(10), at(0.1)));  // only one request is open at a time
+  // Without an answer the same request is repeated. Its idempotency key makes this safe.
+  autoscaler.on_rent_unanswered(at(1));
   auto again = autoscaler.rent(demand(10), at(2.5));
   ASSERT_TRUE(again);
   EXPECT_EQ(again->request, request->request);
-  autoscaler.on_scale_out_result(*again, {MachineName("h1"), MachineName("h2"), MachineName("h3")}, at(3));
-  EXPECT_FALSE(autoscaler.rent(demand(10), at(4)));  // what is coming is enough
+  autoscaler.on_instances_rented(*again, {MachineName("h1"), MachineName("h2"), MachineName("h3")}, at(3));
+  EXPECT_FALSE(autoscaler.rent(demand(10), at(4)));  // the pending instances are enough
   auto more = autoscaler.rent(demand(14), at(5));
   ASSERT_TRUE(more);
   EXPECT_NE(more->request, request->request);
 }
 
-// Found in a simulated day of growing load: with a request for each job, it took 60 s until all machines were
+// In a simulated day of growing load, a separate request for each job took 60 s until all instances were
 // rented.
-TEST(Autoscaler, RentsForAllThatWaitsAtOnce) {
-  auto autoscaler = with_catalogue();
+TEST(Autoscaler, RentsForAllWaitingJobsInOneRequest) {
+  auto autoscaler = autoscaler_with_catalogue();
   auto waiting = demand(10);
   for (int i = 0; i < 4; ++i) waiting.push_back(waiting[0]);
-  waiting.back().waited = Duration(0);  // may yet fit where it was granted
+  waiting.back().waited = Duration(0);  // may still find capacity on the existing machines
   auto request = autoscaler.rent(waiting, at(0));
   ASSERT_TRUE(request);
   EXPECT_EQ(request->count, 10u);
 }
 
-TEST(Autoscaler, RefusedKindsAreNotRequestedForAWhile) {
-  auto autoscaler = with_catalogue();
+TEST(Autoscaler, DoesNotRequestARefusedKindAgainImmediately) {
+  auto autoscaler = autoscaler_with_catalogue();
   auto request = autoscaler.rent(demand(4), at(0));
-  autoscaler.on_refused(*request, at(0));
+  autoscaler.on_rent_refused(*request, at(0));
   auto second = autoscaler.rent(demand(4), at(1));
   ASSERT_TRUE(second);
   EXPECT_NE(std::tie(second->type, second->zone), std::tie(request->type, request->zone));
 }
 
-TEST(Autoscaler, IdleInstancesAreReturnedLaterWhileThereAreJobs) {
+TEST(Autoscaler, ReturnsIdleInstancesLaterWhileJobsAreOpen) {
   struct Case {
-    double idle;
-    bool demand, jobs, released;
+    double idle_s;
+    bool has_demand, has_open_jobs, returned;
   };
   for (const auto& test_case :
        {Case{10, false, false, false}, Case{30, false, false, true}, Case{30, false, true, false},
@@ -89,118 +89,119 @@
                           "t7-");
     protocol::Summary summary;
     summary.machines = {
-        {MachineName("m"), MachineType("t"), Zone("a"), false, {4, 0, 8}, test_case.idle, true}};
+        {MachineName("m"), MachineType("t"), Zone("a"), false, {4, 0, 8}, test_case.idle_s, true}};
     ShardSummaries summaries;
     summaries.update(summary);
-    EXPECT_EQ(!autoscaler.idle_instances(summaries, test_case.demand, test_case.jobs).empty(),
-              test_case.released)
-        << test_case.idle << test_case.demand << test_case.jobs;
+    EXPECT_EQ(!autoscaler.idle_instances(summaries, test_case.has_demand, test_case.has_open_jobs).empty(),
+              test_case.returned)
+        << test_case.idle_s << test_case.has_demand << test_case.has_open_jobs;
   }
 }
 
-TEST(Autoscaler, InstancesThatNeverBootOrFailedAreDeletedOnce) {
-  auto autoscaler = with_catalogue();
-  autoscaler.on_list({listed("slow", State::kBooting, 60), listed("never", State::kBooting, 500),
-                      listed("failed", State::kFailed, 9), listed("up", State::kRunning, 900)},
-                     at(0));
+TEST(Autoscaler, DeletesInstancesOnceThatFailedOrDidNotBoot) {
+  auto autoscaler = autoscaler_with_catalogue();
+  autoscaler.on_instance_list({listed("slow", State::kBooting, 60), listed("never", State::kBooting, 500),
+                               listed("failed", State::kFailed, 9), listed("up", State::kRunning, 900)},
+                              at(0));
   EXPECT_EQ(autoscaler.failed_instances(at(0)), (std::vector{MachineName("failed"), MachineName("never")}));
   EXPECT_TRUE(autoscaler.failed_instances(at(1)).empty());
 }
 
-// Carries out all requests, and returns how many instances were rented.
+// Carries out all rental requests and returns how many instances were rented.
 std::uint32_t rent_all(Autoscaler& autoscaler, std::uint32_t tasks, double time) {
-  static int names = 0;
+  static int last_number = 0;
   std::uint32_t rented = 0;
   while (auto request = autoscaler.rent(demand(tasks), at(time))) {
     std::vector<MachineName> machines;
     for (std::uint32_t i = 0; i < request->count; ++i)
-      machines.emplace_back("new-" + std::to_string(++names));
-    autoscaler.on_scale_out_result(*request, machines, at(time));
+      machines.emplace_back("new-" + std::to_string(++last_number));
+    autoscaler.on_instances_rented(*request, machines, at(time));
     rented += request->count;
   }
   return rented;
 }
 
-// A new leader knows pending instances from a list alone, and the list lags.
-TEST(Autoscaler, ANewLeaderRentsNothingThatIsPending) {
-  auto autoscaler = with_catalogue();
+// A new leader learns of pending instances only from the cloud's list, which lags behind.
+TEST(Autoscaler, NewLeaderDoesNotRentCapacityThatIsAlreadyPending) {
+  auto autoscaler = autoscaler_with_catalogue();
   autoscaler.on_takeover(at(0));
   EXPECT_EQ(rent_all(autoscaler, 8, 0), 0u);
-  autoscaler.on_list({}, at(2));  // as it was before the last rental
+  autoscaler.on_instance_list({}, at(2));  // the list doesn't contain the last rental yet
   EXPECT_EQ(rent_all(autoscaler, 8, 2), 0u);
-  EXPECT_EQ(rent_all(autoscaler, 8, 20), 0u);  // no list since then
-  autoscaler.on_list({listed("h1", State::kBooting, 9)}, at(20));
-  EXPECT_EQ(rent_all(autoscaler, 8, 20), 1u);  // four of the eight fit on what is coming
+  EXPECT_EQ(rent_all(autoscaler, 8, 20), 0u);  // no newer list was received
+  autoscaler.on_instance_list({listed("h1", State::kBooting, 9)}, at(20));
+  EXPECT_EQ(rent_all(autoscaler, 8, 20), 1u);  // four of the eight tasks fit on the pending instance
   EXPECT_EQ(rent_all(autoscaler, 8, 21), 0u);
 }
 
-// Nothing comes up: late capacity is rented anew, but never more than twice of what is needed is pending, but
-// never more than twice of what is needed is on order.
-TEST(Autoscaler, PendingInstancesStayBoundedWhileNothingComesUp) {
-  auto autoscaler = with_catalogue();
+// While no instance finishes its boot, late capacity is rented again, but never more than twice the needed
+// capacity is pending.
+TEST(Autoscaler, PendingInstancesStayBoundedWhileNoInstanceBoots) {
+  auto autoscaler = autoscaler_with_catalogue();
   std::map<std::string, std::pair<double, protocol::ListedMachine>> cloud;
-  int names = 0;
-  std::size_t most = 0;
+  int last_number = 0;
+  std::size_t max_instances = 0;
   for (double time = 0; time < 1200; time += 1) {
     while (auto request = autoscaler.rent(demand(40), at(time))) {
       std::vector<MachineName> machines;
       for (std::uint32_t i = 0; i < request->count; ++i) {
-        auto name = "h" + std::to_string(++names);
+        auto name = "h" + std::to_string(++last_number);
         machines.emplace_back(name);
         cloud[name] = {time, listed(name, State::kBooting, 0, request->type.value().c_str(),
                                     request->zone.value().c_str())};
         cloud[name].second.spot = request->spot;
       }
-      autoscaler.on_scale_out_result(*request, machines, at(time));
+      autoscaler.on_instances_rented(*request, machines, at(time));
     }
     std::vector<protocol::ListedMachine> list;
     for (auto& [name, instance] : cloud) {
       instance.second.age_s = time - instance.first;
       list.push_back(instance.second);
     }
-    autoscaler.on_list(list, at(time));
+    autoscaler.on_instance_list(list, at(time));
     for (auto& name : autoscaler.failed_instances(at(time))) cloud.erase(name.value());
-    most = std::max(most, cloud.size());
+    max_instances = std::max(max_instances, cloud.size());
   }
-  EXPECT_GE(most, 10u);
-  EXPECT_LE(most, 20u);
+  EXPECT_GE(max_instances, 10u);
+  EXPECT_LE(max_instances, 20u);
   EXPECT_FALSE(cloud.empty());
 }
 
-// How long a machine is waited for follows what was seen lately, or none would come up while all are slow.
-TEST(Autoscaler, InstancesAreWaitedForByWhatWasSeenLately) {
+// With a fixed boot timeout, no instance would ever finish its boot while all of them are slow.
+TEST(Autoscaler, BootTimeoutFollowsRecentBootTimes) {
   struct Case {
-    double booted_s;  // that others took lately; 0: none did
-    int timed_out;    // before
+    double recent_boot_s;  // boot time of another instance; 0: none has booted
+    int timed_out;         // number of instances that have timed out before
     double age_s;
-    bool waited_for;
+    bool still_pending;
   };
   for (const auto& test_case :
        {Case{0, 0, 55, true}, Case{0, 0, 65, false}, Case{60, 0, 115, true}, Case{60, 0, 125, false},
         Case{2, 0, 65, false}, Case{0, 1, 85, true}, Case{0, 10, 235, true}, Case{0, 10, 245, false}}) {
-    auto autoscaler = with_catalogue();
+    auto autoscaler = autoscaler_with_catalogue();
     double time = 0;
-    if (test_case.booted_s > 0) {
-      autoscaler.on_list({listed("h0", State::kBooting, 1)}, at(0));
-      autoscaler.on_list({listed("h0", State::kRunning, test_case.booted_s)}, at(test_case.booted_s));
-      time = test_case.booted_s;
+    if (test_case.recent_boot_s > 0) {
+      autoscaler.on_instance_list({listed("h0", State::kBooting, 1)}, at(0));
+      autoscaler.on_instance_list({listed("h0", State::kRunning, test_case.recent_boot_s)},
+                                  at(test_case.recent_boot_s));
+      time = test_case.recent_boot_s;
     }
     for (int i = 0; i < test_case.timed_out; ++i) {
-      autoscaler.on_list({listed("lost" + std::to_string(i), State::kBooting, 1000)}, at(time));
+      autoscaler.on_instance_list({listed("lost" + std::to_string(i), State::kBooting, 1000)}, at(time));
       EXPECT_EQ(autoscaler.failed_instances(at(time)).size(), 1u);
     }
-    autoscaler.on_list({listed("h1", State::kBooting, test_case.age_s)}, at(time));
-    EXPECT_EQ(autoscaler.failed_instances(at(time)).empty(), test_case.waited_for)
-        << test_case.booted_s << ' ' << test_case.timed_out << ' ' << test_case.age_s;
+    autoscaler.on_instance_list({listed("h1", State::kBooting, test_case.age_s)}, at(time));
+    EXPECT_EQ(autoscaler.failed_instances(at(time)).empty(), test_case.still_pending)
+        << test_case.recent_boot_s << ' ' << test_case.timed_out << ' ' << test_case.age_s;
   }
 }
 
-TEST(Autoscaler, DemandGoesElsewhereThanWhereInstancesNeverCameUp) {
-  auto autoscaler = with_catalogue();
+TEST(Autoscaler, RentsAnotherKindAfterABootTimeout) {
+  auto autoscaler = autoscaler_with_catalogue();
   auto first = autoscaler.rent(demand(4), at(0));
   ASSERT_TRUE(first);
-  autoscaler.on_scale_out_result(*first, {MachineName("h1")}, at(0));
-  autoscaler.on_list(
+  autoscaler.on_instances_rented(*first, {MachineName("h1")}, at(0));
+  autoscaler.on_instance_list(
       {listed("h1", State::kBooting, 70, first->type.value().c_str(), first->zone.value().c_str())}, at(70));
   EXPECT_EQ(autoscaler.failed_instances(at(70)).size(), 1u);
   auto next = autoscaler.rent(demand(4), at(71));
@@ -208,33 +209,34 @@
   EXPECT_NE(std::tie(next->type, next->zone), std::tie(first->type, first->zone));
 }
 
-TEST(BootTimeouts, FollowWhatWasSeenLately) {
+TEST(BootTimeouts, GrowWithTimeoutsAndSlowBootsAndShrinkWithQuickBoots) {
   const MachineType small("small");
   struct Case {
     const char* what;
-    std::vector<double> boot_times;  // of the instances before, in typical ones; negative: it timed out
-    double timeout;
+    // Earlier boots, in multiples of the typical boot time; negative: the instance timed out.
+    std::vector<double> boot_factors;
+    double timeout_factor;
   };
   const Case cases[] = {
-      {"nothing seen", {}, 3},
-      {"quick ones", {1, 1}, 3},
-      {"a slow one: twice its time", {4}, 8},
-      {"quick ones after a slow one", {4, 1}, 6.4},
-      {"a timeout", {-1}, 4.5},
-      {"timeouts end at the maximum", {-1, -1, -1, -1, -1}, 12},
-      {"so does a very slow one", {100}, 12},
+      {"no boot yet", {}, 3},
+      {"quick boots: the minimum", {1, 1}, 3},
+      {"a slow boot: twice its time", {4}, 8},
+      {"a quick boot after a slow one", {4, 1}, 6.4},
+      {"one timeout", {-1}, 4.5},
+      {"many timeouts: the maximum", {-1, -1, -1, -1, -1}, 12},
+      {"a very slow boot: the maximum", {100}, 12},
   };
   for (const auto& test_case : cases) {
     BootTimeouts timeouts;
-    for (double boot_time : test_case.boot_times) {
-      if (boot_time < 0) {
+    for (double boot_factor : test_case.boot_factors) {
+      if (boot_factor < 0) {
         timeouts.on_timeout(small);
       } else {
-        timeouts.on_running(small, boot_time);
+        timeouts.on_running(small, boot_factor);
       }
     }
-    EXPECT_DOUBLE_EQ(timeouts.of(small), test_case.timeout) << test_case.what;
-    EXPECT_DOUBLE_EQ(timeouts.of(MachineType("big")), 3) << test_case.what;
+    EXPECT_DOUBLE_EQ(timeouts.timeout_factor(small), test_case.timeout_factor) << test_case.what;
+    EXPECT_DOUBLE_EQ(timeouts.timeout_factor(MachineType("big")), 3) << test_case.what;
   }
 }
 }  // namespace
--- a/tests/concurrent_faults_scheduler_test.cpp
+++ b/tests/concurrent_faults_scheduler_test.cpp
@@ -1,5 +1,5 @@
-// Concurrent faults at the scheduler: limits, cancellations and messages of shard leaders during failovers.
-// See docs/fault-scenarios.md.
+// Tests the scheduler under concurrent faults: team limits, cancellations and messages of shard leaders
+// during failovers. See docs/fault-scenarios.md.
 #include <gtest/gtest.h>
 
 #include "scheduler/scheduler.h"
@@ -15,8 +15,8 @@
 
 constexpr double kLimitCpus = 10;
 
-// A scheduler with two shards under term 1, one team that is limited to ten CPUs and one without a limit.
-// Time passes with each round.
+// A scheduler with two shards under term 1, one team that is limited to 10 CPUs and one team without a limit.
+// Each round advances the time by 5 s.
 struct FaultsFixture {
   FaultsFixture()
       : scheduler({std::chrono::seconds(2), std::chrono::seconds(1), std::chrono::seconds(100), {}, 8},
@@ -38,16 +38,17 @@
     jobs[id].created = Revision(1);
     publish(id);
   }
+  // Passes the current state of the job to the scheduler.
   void publish(const char* id) {
-    auto end = ends.find(id);
-    auto terminal_state = end == ends.end() ? std::nullopt : std::optional(end->second);
+    auto terminal = terminal_states.find(id);
+    auto terminal_state = terminal == terminal_states.end() ? std::nullopt : std::optional(terminal->second);
     scheduler.on_job(JobId(id), &jobs[id], terminal_state, at(time));
   }
-  void end(const char* id, TerminalState state) {
-    ends[id] = state;
+  void terminate(const char* id, TerminalState state) {
+    terminal_states[id] = state;
     publish(id);
   }
-  // The shard leader reports that these tasks of the job's chunk were released.
+  // The shard leader reports that these tasks of the job's chunks on the shard were released.
   void report_released(const char* id, std::uint32_t shard, std::uint64_t term, Ranges tasks) {
     for (const auto& chunk : jobs[id].grants.value.chunks)
       if (chunk.shard == ShardId(shard))
@@ -55,7 +56,7 @@
             {ShardId(shard), Term(term), {{JobId(id), {}, {{chunk.generation, tasks}}}}}, at(time));
     publish(id);
   }
-  // A round in which each shard has this capacity in its zones.
+  // Runs a round in which each shard responds with its entry of `capacities`.
   std::vector<Scheduler::Grant> run_round(std::map<std::uint32_t, protocol::CapacityByZone> capacities) {
     time += 5;
     auto estimate_request = scheduler.begin_round(at(time), WallMs(0), {ShardId(0), ShardId(1)});
@@ -64,7 +65,7 @@
       scheduler.on_estimate_response({estimate_request->round, ShardId(shard), terms.at(ShardId(shard)),
                                       Revision(revision),
                                       std::vector(estimate_request->resource_requests.size(), capacity)});
-    return scheduler.decide(at(time + 3), terms).value_or(std::vector<Scheduler::Grant>{});
+    return scheduler.decide_grants(at(time + 3), terms).value_or(std::vector<Scheduler::Grant>{});
   }
   void commit(const std::vector<Scheduler::Grant>& grants) {
     ++revision;
@@ -78,7 +79,7 @@
   Scheduler scheduler;
   ShardTerms terms;
   std::map<std::string, state_store::Job> jobs;
-  std::map<std::string, TerminalState> ends;
+  std::map<std::string, TerminalState> terminal_states;
   std::uint64_t revision = 10;
   double time = 0;
 };
@@ -87,31 +88,32 @@
   return {{Zone(zone), free, 0, 0, 0}};
 }
 
-// "A team is at its limit when the leader changes, some of its machines can't be asked, and a cancellation
-// falls into that spell": what a cancelled job leaves may go to another job only while no successor of the
-// shard leader that reported it can exist. Found by reading the code.
+// A team is at its limit when the leader changes, some of its machines are unreachable, and a job is
+// cancelled during that time. Capacity that the cancelled job released may be granted to another job only
+// while the shard leader that reported the release can't have a successor. The fault was found by reading the
+// code.
 TEST(QuotaExhausted, ReleasedCapacityOfACancelledJobDependsOnTheTermOfItsShard) {
   struct Case {
     const char* what;
-    const char* team;    // of the next job
-    bool recorded;       // the release is in the state store
-    std::uint64_t term;  // under which it was reported
+    const char* team;              // of the next job
+    bool recorded;                 // whether the state store contains the release
+    std::uint64_t reporting_term;  // term of the shard leader that reported the release
     std::set<ShardId> depends_on_shards;
     std::uint32_t granted;
   };
   const Case cases[] = {
-      {"reported only", "blue", false, 1, {ShardId(0)}, 10},
-      {"recorded as well", "blue", true, 1, {}, 10},
-      {"reported under a term that isn't the shard's", "blue", false, 2, {}, 0},
-      {"another team's job", "free", false, 1, {}, 10},
+      {"reported, but not recorded", "blue", false, 1, {ShardId(0)}, 10},
+      {"reported and recorded", "blue", true, 1, {}, 10},
+      {"reported under a term other than the current one", "blue", false, 2, {}, 0},
+      {"the next job is of another team", "free", false, 1, {}, 10},
   };
   for (const auto& test_case : cases) {
     FaultsFixture fixture;
     fixture.job("run-1", 10);
     fixture.commit(fixture.run_round({{0, free_tasks(10)}, {1, {}}}));
-    fixture.end("run-1", TerminalState::kCancelled);
+    fixture.terminate("run-1", TerminalState::kCancelled);
     fixture.job("run-2", 10, test_case.team);
-    fixture.report_released("run-1", 0, test_case.term, Ranges::span(0, 10));
+    fixture.report_released("run-1", 0, test_case.reporting_term, Ranges::span(0, 10));
     if (test_case.recorded) {
       auto generation = fixture.jobs["run-1"].grants.value.last;
       fixture.jobs["run-1"].progress[ShardId(0)] = {{{}, {{generation, Ranges::span(0, 10)}}}, Revision(20)};
@@ -128,17 +130,18 @@
   }
 }
 
-// The same of the job's keys: a successor that hasn't read the end yet may start what they grant.
-TEST(QuotaExhausted, KeysAreCollectedUnderTheTermThatReportedTheRelease) {
+// The keys of a cancelled job may be deleted only under the same condition: a successor of the shard leader
+// that hasn't read the cancellation yet may start the tasks that the keys grant.
+TEST(QuotaExhausted, JobKeysAreCollectableOnlyUnderTheTermThatReportedTheRelease) {
   FaultsFixture fixture;
   fixture.job("run-1", 4);
   fixture.commit(fixture.run_round({{0, free_tasks(4)}, {1, {}}}));
-  fixture.end("run-1", TerminalState::kCancelled);
+  fixture.terminate("run-1", TerminalState::kCancelled);
   EXPECT_TRUE(fixture.scheduler.collectable().empty());
   fixture.report_released("run-1", 0, 1, Ranges::span(0, 4));
   EXPECT_EQ(fixture.scheduler.collectable(), std::vector{JobId("run-1")});
   EXPECT_EQ(fixture.scheduler.released_by_message(JobId("run-1")), std::set{ShardId(0)});
-  // The shard changes hands: its next leader has to report anew.
+  // The shard gets a new leader, which has to report the release again.
   fixture.set_terms(2, 1);
   EXPECT_TRUE(fixture.scheduler.collectable().empty());
   EXPECT_TRUE(fixture.scheduler.released_by_message(JobId("run-1")).empty());
@@ -146,19 +149,20 @@
   EXPECT_EQ(fixture.scheduler.collectable(), std::vector{JobId("run-1")});
 }
 
-// The ledger adds up again whatever comes in between: a deleted job depends on nobody's message.
-TEST(QuotaExhausted, NothingIsLeftOfADeletedJob) {
+// After a job is deleted, its charges and its dependencies on shard terms must be removed from the quota
+// ledger, whichever reports arrived before.
+TEST(QuotaExhausted, DeletedJobLeavesNoChargesOrTermDependencies) {
   FaultsFixture fixture;
   for (int repetition = 0; repetition < 3; ++repetition) {
     fixture.job("run-1", 10);
     fixture.commit(fixture.run_round({{0, free_tasks(10)}, {1, {}}}));
-    fixture.end("run-1", TerminalState::kCancelled);
+    fixture.terminate("run-1", TerminalState::kCancelled);
     fixture.report_released("run-1", 0, 1, Ranges::span(0, 6));
     fixture.report_released("run-1", 0, 1, Ranges::span(0, 10));
     fixture.publish("run-1");
     fixture.scheduler.on_job(JobId("run-1"), nullptr, TerminalState::kCancelled, at(fixture.time));
     fixture.jobs.erase("run-1");
-    fixture.ends.erase("run-1");
+    fixture.terminal_states.erase("run-1");
     fixture.job("run-2", 10);
     auto grants = fixture.run_round({{0, free_tasks(10)}, {1, {}}});
     ASSERT_EQ(grants.size(), 1u);
@@ -169,56 +173,57 @@
   }
 }
 
-// "Controllers hand over and back": messages of a shard leader that was replaced, in any order and repeated,
-// free nothing, whether they come before or after the leader knows of the new term.
-TEST(RepeatedFailover, MessagesOfAPreviousShardLeaderFreeNothing) {
+// A shard's leadership moves between controllers and back. Messages of a replaced shard leader, in any order
+// and repeated, must not release tasks, whether they arrive before or after the leader has learned of the new
+// term.
+TEST(RepeatedFailover, MessagesOfAPreviousShardLeaderReleaseNoTasks) {
   struct Case {
     const char* what;
-    std::vector<std::uint64_t> reported;  // terms, in the order in which the messages come
-    std::uint64_t term;                   // the shard's, as the leader knows it at the end
-    bool free;
+    std::vector<std::uint64_t> reporting_terms;  // in the order in which the messages arrive
+    std::uint64_t final_term;                    // the shard's term that the leader has read at the end
+    bool released;
   };
   const Case cases[] = {
-      {"before the change", {1}, 3, false},
-      {"after it", {}, 3, false},
-      {"by the present shard leader", {3}, 3, true},
-      {"a late copy after the present shard leader's", {3, 1}, 3, true},
-      {"before and late", {1, 1}, 3, false},
-      {"by one that the leader doesn't know yet", {3}, 1, false},
-      {"both, the older one last", {1}, 1, true},
+      {"previous shard leader, before the change of term", {1}, 3, false},
+      {"no report", {}, 3, false},
+      {"current shard leader", {3}, 3, true},
+      {"current shard leader, then a late copy of the previous one's report", {3, 1}, 3, true},
+      {"previous shard leader, before the change of term and repeated after it", {1, 1}, 3, false},
+      {"shard leader with a term that the leader hasn't read yet", {3}, 1, false},
+      {"current shard leader, no change of term", {1}, 1, true},
   };
   for (const auto& test_case : cases) {
     FaultsFixture fixture;
     fixture.job("run-1", 10);
     fixture.commit(fixture.run_round({{0, free_tasks(10)}, {1, {}}}));
-    bool first = true;
-    for (auto term : test_case.reported) {
-      if (!first || term == test_case.term) fixture.set_terms(test_case.term, 1);
-      first = false;
+    bool first_report = true;
+    for (auto term : test_case.reporting_terms) {
+      if (!first_report || term == test_case.final_term) fixture.set_terms(test_case.final_term, 1);
+      first_report = false;
       fixture.report_released("run-1", 0, term, Ranges::span(0, 10));
     }
-    fixture.set_terms(test_case.term, 1);
+    fixture.set_terms(test_case.final_term, 1);
     auto grants = fixture.run_round({{0, {}}, {1, free_tasks(10)}});
-    EXPECT_EQ(!grants.empty(), test_case.free) << test_case.what;
+    EXPECT_EQ(!grants.empty(), test_case.released) << test_case.what;
     if (!grants.empty()) {
       EXPECT_EQ(grants[0].depends_on_shards, std::set{ShardId(0)}) << test_case.what;
     }
   }
 }
 
-// "Jobs bound to one zone, arrays too, lose machines": the tasks that remain bind the others to their
-// zone, and nothing else does.
-TEST(OneZone, LostTasksFollowTheRemainingOnes) {
+// Jobs that are bound to one zone, also arrays, lose machines. Only the zone of the remaining tasks may
+// restrict where the lost tasks are granted again.
+TEST(OneZone, LostTasksAreGrantedInTheZoneOfTheRemainingTasks) {
   struct Case {
     const char* what;
-    Ranges released;  // of the four tasks in zone "east"
+    Ranges released;  // among the four tasks in zone "east"
     const char* zone;
     std::uint32_t granted;
   };
   const Case cases[] = {
-      {"some are left, capacity elsewhere only", Ranges::span(0, 2), "west", 0},
-      {"some are left, capacity there", Ranges::span(0, 2), "east", 2},
-      {"none is left", Ranges::span(0, 4), "west", 4},
+      {"some tasks remain, capacity only in another zone", Ranges::span(0, 2), "west", 0},
+      {"some tasks remain, capacity in their zone", Ranges::span(0, 2), "east", 2},
+      {"no task remains, capacity in another zone", Ranges::span(0, 4), "west", 4},
   };
   for (const auto& test_case : cases) {
     FaultsFixture fixture;
--- a/tests/estimation_round_test.cpp
+++ b/tests/estimation_round_test.cpp
@@ -1,4 +1,4 @@
-// One round: which jobs it's about, and when its responses are complete.
+// Tests which jobs are selected for an estimation round, and when its responses are complete.
 #include "scheduler/estimation_round.h"
 
 #include "scheduler_fixture.h"
@@ -10,7 +10,7 @@
   return {round, ShardId(shard), Term(1), Revision(1), std::vector<protocol::CapacityByZone>(requests)};
 }
 
-TEST(EstimationRound, IgnoresResponsesThatDoNotBelongToIt) {
+TEST(EstimationRound, IgnoresUnexpectedResponses) {
   RoundSelection selection{{{JobId("run-1"), 0, false}, {JobId("run-2"), 1, false}}, {{}, {}}};
   struct Case {
     const char* what;
@@ -18,10 +18,10 @@
     bool accepted;
   };
   const Case cases[] = {
-      {"one of its shards", response(7, 0, 2), true},
-      {"another round", response(6, 0, 2), false},
-      {"a shard that isn't waited for", response(7, 2, 2), false},
-      {"another number of requests", response(7, 0, 1), false},
+      {"from a shard of the round", response(7, 0, 2), true},
+      {"for another round", response(6, 0, 2), false},
+      {"from a shard that the round doesn't wait for", response(7, 2, 2), false},
+      {"with another number of requests", response(7, 0, 1), false},
   };
   for (const auto& test_case : cases) {
     EstimationRound round(7, at(0), {ShardId(0), ShardId(1)}, selection);
@@ -31,28 +31,29 @@
   }
 }
 
-TEST(EstimationRound, CompleteWithAllResponsesOrAfterTheWait) {
+TEST(EstimationRound, IsCompleteWithAllResponsesOrAfterTheReplyWait) {
   EstimationRound round(7, at(0), {ShardId(0), ShardId(1)}, {{{JobId("run-1"), 0, false}}, {{}}});
-  const Duration wait = std::chrono::seconds(2);
-  EXPECT_FALSE(round.responses_complete(at(1), wait));
-  EXPECT_TRUE(round.responses_complete(at(2), wait));
+  const Duration reply_wait = std::chrono::seconds(2);
+  EXPECT_FALSE(round.responses_complete(at(1), reply_wait));
+  EXPECT_TRUE(round.responses_complete(at(2), reply_wait));
   EXPECT_TRUE(round.on_response(response(7, 0, 1)));
-  EXPECT_FALSE(round.responses_complete(at(1), wait));
+  EXPECT_FALSE(round.responses_complete(at(1), reply_wait));
   EXPECT_TRUE(round.on_response(response(7, 1, 1)));
-  EXPECT_TRUE(round.responses_complete(at(1), wait));
+  EXPECT_TRUE(round.responses_complete(at(1), reply_wait));
 }
 
-// Places for the head of the queue, and for those that were not in a round for longest.
-TEST(EstimationRound, SelectsTheHeadOfTheQueueAndTheLongestNotConsidered) {
+// Most places of a round go to the head of the queue, the others to the jobs that were not in a round for the
+// longest time.
+TEST(RoundSelection, SelectsTheHeadOfTheQueueAndTheJobsLeastRecentlyConsidered) {
   struct Case {
     const char* what;
     int jobs;
     bool different_requests;
     std::size_t candidates, requests;
-    int last_of_head;  // number of the last job that is selected as part of the head
+    int last_of_head;  // index of the last job that is selected as part of the head
   };
   const Case cases[] = {
-      {"all fit", 10, false, 10, 1, 9},
+      {"a place for each job", 10, false, 10, 1, 9},
       {"more jobs than places", 40, false, 24, 1, 17},
       {"more requests than places", 40, true, 16, 16, 11},
   };
@@ -68,7 +69,7 @@
       spec.each = {1, 0, test_case.different_requests ? 1.0 + i : 1.0};
       auto& entry = jobs.find_or_insert(spec.id);
       entry.record.spec = std::make_shared<const protocol::JobSpec>(spec);
-      entry.last_considered = at(-i);  // the last of the queue is the longest not considered
+      entry.last_considered = at(-i);  // the last job of the queue was considered least recently
       queue.push_back({});
       queue.back().id = spec.id;
     }
--- a/tests/failover_scheduler_test.cpp
+++ b/tests/failover_scheduler_test.cpp
@@ -1,5 +1,5 @@
-// The scheduler's quota accounting across failovers: new shard leaders and leaders, lost responses, teams at
-// their limit. See docs/fault-scenarios.md.
+// Tests the scheduler's quota accounting across failovers: new leaders and shard leaders, lost responses, and
+// teams at their limit. See docs/fault-scenarios.md.
 #include <gtest/gtest.h>
 
 #include "scheduler/scheduler.h"
@@ -15,11 +15,11 @@
   return Instant{} + from_seconds(1000 + seconds);
 }
 
-ShardTerms terms(std::uint64_t of_first_shard) {
-  return {{ShardId(0), Term(of_first_shard)}, {ShardId(1), Term(1)}};
+ShardTerms terms(std::uint64_t first_shard_term) {
+  return {{ShardId(0), Term(first_shard_term)}, {ShardId(1), Term(1)}};
 }
 
-// Jobs of one team that is limited to 10 CPUs, each task taking one.
+// A scheduler with jobs of one team that is limited to 10 CPUs. Each task uses one CPU.
 struct SchedulerFixture {
   SchedulerFixture()
       : scheduler({std::chrono::seconds(2), std::chrono::seconds(1), std::chrono::seconds(100), {}, 8},
@@ -37,11 +37,12 @@
     job.created = Revision(1);
     return job;
   }
-  void publish(const char* id, double time, std::optional<TerminalState> end = std::nullopt) {
-    scheduler.on_job(JobId(id), &jobs[id], end, at(time));
+  // Passes the current state of the job to the scheduler.
+  void publish(const char* id, double time, std::optional<TerminalState> terminal_state = std::nullopt) {
+    scheduler.on_job(JobId(id), &jobs[id], terminal_state, at(time));
   }
-  // Tasks that wait, as far as the team's limit allows them.
-  std::uint32_t wanted(double time) const {
+  // Returns the number of waiting tasks that the team's limit allows.
+  std::uint32_t grantable_tasks(double time) const {
     std::uint32_t tasks = 0;
     for (const auto& demand : scheduler.demand(at(time))) tasks += demand.resource_request.wanted;
     return tasks;
@@ -52,32 +53,33 @@
     protocol::CapacityByZone capacity{{Zone("a"), 100, 0, 0, 0}};
     scheduler.on_estimate_response({estimate_request->round, ShardId(0), Term(1), Revision(9),
                                     std::vector(estimate_request->resource_requests.size(), capacity)});
-    return scheduler.decide(at(time), terms(1)).value_or(std::vector<Scheduler::Grant>{});
+    return scheduler.decide_grants(at(time), terms(1)).value_or(std::vector<Scheduler::Grant>{});
   }
 
   Scheduler scheduler;
   std::map<std::string, state_store::Job> jobs;
 };
 
-state_store::Chunk chunk(std::uint64_t generation, std::uint32_t first, std::uint32_t last) {
-  return {Generation(generation), ShardId(0), Term(1), Ranges::span(first, last), {}, false, {}};
+state_store::Chunk chunk(std::uint64_t generation, std::uint32_t first, std::uint32_t end) {
+  return {Generation(generation), ShardId(0), Term(1), Ranges::span(first, end), {}, false, {}};
 }
 
-// A team is at its limit, jobs are cancelled whose machines are unreachable, and the leader changes: what the
-// new one reads is complete, and only a message of the present shard leader releases any of it.
-TEST(SchedulerFailover, ANewLeaderChargesCancelledTasksUntilTheirShardReleasesThem) {
+// Guards against exceeding a team's limit after a change of leader. The team is at its limit and a job is
+// cancelled while its machines are unreachable. The new leader reads all records, and only a record or a
+// message of the current shard leader may release tasks of the cancelled job.
+TEST(SchedulerFailover, NewLeaderChargesCancelledTasksUntilTheirShardReleasesThem) {
   struct Case {
     const char* what;
-    std::optional<std::uint64_t> reported_under;  // term of the shard leader that reports it
-    bool recorded;
-    std::uint32_t left;
+    std::optional<std::uint64_t> reporting_term;  // term of the shard leader that reports the release
+    bool recorded;                                // whether the state store contains the release
+    std::uint32_t grantable_tasks;
   };
   const Case cases[] = {
-      {"its machine is unreachable", std::nullopt, false, 6},
-      {"an earlier shard leader reports its release", 1, false, 6},
-      {"a later shard leader than is known reports it", 3, false, 6},
-      {"the present shard leader reports it", 2, false, 10},
-      {"it is recorded", std::nullopt, true, 10},
+      {"the machine is unreachable", std::nullopt, false, 6},
+      {"a previous shard leader reports the release", 1, false, 6},
+      {"a shard leader with a term not known yet reports the release", 3, false, 6},
+      {"the current shard leader reports the release", 2, false, 10},
+      {"the release is recorded", std::nullopt, true, 10},
   };
   for (const auto& test_case : cases) {
     SchedulerFixture fixture;
@@ -89,20 +91,20 @@
     fixture.publish("run-1", 1, TerminalState::kCancelled);
     fixture.job("run-2", 20);
     fixture.publish("run-2", 1);
-    if (test_case.reported_under) {
+    if (test_case.reporting_term) {
       fixture.scheduler.on_progress_report({ShardId(0),
-                                            Term(*test_case.reported_under),
+                                            Term(*test_case.reporting_term),
                                             {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}},
                                            at(2));
       fixture.publish("run-1", 2, TerminalState::kCancelled);
     }
-    EXPECT_EQ(fixture.wanted(2), test_case.left) << test_case.what;
+    EXPECT_EQ(fixture.grantable_tasks(2), test_case.grantable_tasks) << test_case.what;
   }
 }
 
-// Shard leaders and leaders change ten times: what any of them reported as done stays done, and what one
-// reported as released counts under its own term only.
-TEST(SchedulerFailover, DoneStaysTrueAndReleasedOnlyUnderItsOwnTerm) {
+// The leader of the shard changes ten times. Tasks that any of the shard leaders reported as done remain
+// done. Tasks that one of them reported as released count as released only under its own term.
+TEST(SchedulerFailover, ReportsOfDoneTasksRemainValidButReleasesOnlyUnderTheirOwnTerm) {
   SchedulerFixture fixture;
   auto& job = fixture.job("run-1", 10);
   job.grants = {{{chunk(1, 0, 10)}, Generation(1)}, Revision(2)};
@@ -111,22 +113,22 @@
     std::uint64_t term = number + 1;
     fixture.scheduler.on_terms(terms(term));
     fixture.publish("run-1", number);
-    EXPECT_EQ(fixture.wanted(number), 0u)
-        << "an earlier shard leader's release still counts under term " << term;
+    EXPECT_EQ(fixture.grantable_tasks(number), 0u)
+        << "a release that a previous shard leader reported still counts under term " << term;
     fixture.scheduler.on_progress_report(
         {ShardId(0),
          Term(term),
          {{JobId("run-1"), Ranges::span(number, number + 1), {{Generation(1), Ranges::span(9, 10)}}}}},
         at(number));
     fixture.publish("run-1", number);
-    EXPECT_EQ(fixture.wanted(number), number < 9 ? 1u : 0u) << number;
+    EXPECT_EQ(fixture.grantable_tasks(number), number < 9 ? 1u : 0u) << number;
     EXPECT_EQ(fixture.scheduler.completed().size(), number == 9 ? 1u : 0u) << number;
   }
 }
 
-// A copy of a message of an earlier shard leader comes late, after the shard has its next leader, or the task
-// its next generation: the task counts as outstanding.
-TEST(SchedulerFailover, ALateReportOfAReleaseDoesNotFreeANewerGrant) {
+// A copy of a previous shard leader's message arrives late, when the shard has a new leader or the task was
+// granted again under a new generation. The task still counts as outstanding.
+TEST(SchedulerFailover, LateReportOfAReleaseDoesNotReleaseANewerGrant) {
   SchedulerFixture fixture;
   auto& job = fixture.job("run-1", 4);
   job.grants = {{{chunk(2, 0, 4)}, Generation(2)}, Revision(2)};
@@ -134,12 +136,13 @@
   fixture.scheduler.on_progress_report(
       {ShardId(0), Term(1), {{JobId("run-1"), {}, {{Generation(1), Ranges::span(0, 4)}}}}}, at(1));
   fixture.publish("run-1", 1);
-  EXPECT_EQ(fixture.wanted(1), 0u);
+  EXPECT_EQ(fixture.grantable_tasks(1), 0u);
   EXPECT_TRUE(fixture.scheduler.collectable().empty());
 }
 
-// Grants without an answer: until it's known that they can't be applied any more, no other round begins.
-TEST(SchedulerFailover, NoRoundBeginsWhileGrantsAreInFlight) {
+// The transaction with a round's grants has no answer yet. Until its result is known or it can't be committed
+// any more, no other round begins.
+TEST(SchedulerFailover, NoRoundBeginsWhileGrantsAreBeingWritten) {
   SchedulerFixture fixture;
   fixture.job("run-1", 10);
   fixture.publish("run-1", 0);
--- a/tests/grant_builder_test.cpp
+++ b/tests/grant_builder_test.cpp
@@ -1,4 +1,4 @@
-// What a round's responses become: chunks of the jobs' tasks for the shards.
+// Tests which chunks of the jobs' tasks are granted to which shards after the responses of a round.
 #include "scheduler/grant_builder.h"
 
 #include <gtest/gtest.h>
@@ -20,17 +20,17 @@
   return {{Zone(zone), free, 0, 0, 0}};
 }
 
-// A round in which both shards were asked for the candidates, each with a resource request of its own.
+// A round for which both shards were asked about all candidates. Each candidate has its own resource request.
 struct GrantBuilderFixture : JobTableFixture {
   using JobTableFixture::JobTableFixture;
 
-  void candidate(const char* id, bool arrays_yield = false) {
+  void add_candidate(const char* id, bool arrays_yield = false) {
     selection.candidates.push_back({JobId(id), selection.resource_requests.size(), arrays_yield});
     selection.resource_requests.push_back(shard::request_of(jobs.at(JobId(id)).spec(), 10));
   }
-  // The shard has the same capacity for each candidate.
+  // The shard responds with the same capacity for each candidate.
   void respond(ShardId shard, const protocol::CapacityByZone& capacity) { responses[shard] = capacity; }
-  // The grants of all candidates, in their order.
+  // Returns the grants of all candidates in their order.
   std::vector<std::optional<JobGrant>> build(double time = 1) const {
     EstimationRound round(kRound, at(0), {kFirst, kSecond}, selection);
     for (const auto& [shard, capacity] : responses)
@@ -39,7 +39,7 @@
     const auto waiting_jobs = waiting();
     GrantBuilder builder(
         {round, jobs, quota, waiting_jobs, summaries, terms, rules, std::chrono::seconds(1), at(time)},
-        reserved);
+        reserved_cpus);
     std::vector<std::optional<JobGrant>> grants;
     for (const auto& candidate : selection.candidates) grants.push_back(builder.build(candidate));
     return grants;
@@ -50,7 +50,7 @@
   ShardTerms terms{{kFirst, Term(3)}, {kSecond, Term(5)}};
   ShardSummaries summaries;
   shard::PackingRules rules;
-  ReservedCpus reserved;
+  ReservedCpus reserved_cpus;
 };
 
 TasksByShard by_shard(const std::optional<JobGrant>& grant) {
@@ -65,13 +65,13 @@
   return {Generation(generation), shard, Term(1), tasks, zone, false, Attempt()};
 }
 
-TEST(GrantBuilder, AChunkNamesGenerationTermAndTasks) {
+TEST(GrantBuilder, NewChunksContainGenerationTermAndTasks) {
   GrantBuilderFixture fixture;
   fixture.add("run-1", 10, {}, [](JobEntry& entry) {
     entry.grants.last = Generation(4);
     entry.grants_revision = Revision(7);
   });
-  fixture.candidate("run-1");
+  fixture.add_candidate("run-1");
   fixture.respond(kFirst, free_tasks(6));
   fixture.respond(kSecond, free_tasks(4));
   auto grant = fixture.build()[0];
@@ -89,7 +89,7 @@
   EXPECT_EQ(chunks[1], second);
 }
 
-TEST(GrantBuilder, ChunksOfEarlierGrantsAreRetained) {
+TEST(GrantBuilder, RetainsChunksOfEarlierGrants) {
   GrantBuilderFixture fixture;
   const auto earlier = chunk(1, kSecond, Ranges::span(0, 4));
   fixture.add("run-1", 10, {}, [&](JobEntry& entry) {
@@ -97,7 +97,7 @@
     entry.pending = Ranges::span(4, 10);
     entry.retained_chunks = {{4, earlier}};
   });
-  fixture.candidate("run-1");
+  fixture.add_candidate("run-1");
   fixture.respond(kFirst, free_tasks(10));
   auto grant = fixture.build()[0];
   ASSERT_TRUE(grant);
@@ -106,7 +106,7 @@
   EXPECT_EQ(grant->grants.chunks[1].tasks, Ranges::span(4, 10));
 }
 
-TEST(GrantBuilder, NothingIsGrantedWithoutNeedOrCapacity) {
+TEST(GrantBuilder, GrantsNothingWithoutPendingTasksCapacityOrQuota) {
   struct Case {
     const char* what;
     double limit;
@@ -117,49 +117,50 @@
       {"no capacity", 0, 0, nullptr},
       {"no quota left", 0.5, 10, nullptr},
       {"nothing pending", 0, 10, [](JobEntry& entry) { entry.pending = {}; }},
-      {"over", 0, 10, [](JobEntry& entry) { entry.terminal_state = state_store::TerminalState::kCancelled; }},
+      {"the job is over", 0, 10,
+       [](JobEntry& entry) { entry.terminal_state = state_store::TerminalState::kCancelled; }},
   };
   for (const auto& test_case : cases) {
     GrantBuilderFixture fixture({{Team("blue"), 0, test_case.limit, 0, 0}});
     fixture.add("run-1", 10, {}, test_case.change_entry);
-    fixture.candidate("run-1");
+    fixture.add_candidate("run-1");
     fixture.respond(kFirst, free_tasks(test_case.free));
     EXPECT_FALSE(fixture.build()[0]) << test_case.what;
   }
 }
 
-TEST(GrantBuilder, WhatOneJobIsGrantedTheNextCannotHave) {
+TEST(GrantBuilder, SubtractsGrantsOfEarlierJobsFromCapacityAndQuota) {
   struct Case {
     const char* what;
     double limit;
     std::uint32_t free;
-    double reserved;  // CPUs that the shard doesn't know of
-    TasksByShard second;
+    double reserved_cpus;  // for grants that the shard's response doesn't account for
+    TasksByShard tasks_of_second_job;
   };
   const Case cases[] = {
       {"enough for both", 0, 20, 0, {{0, 8}}},
-      {"the shard's capacity", 0, 10, 0, {{0, 2}}},
-      {"the shard's capacity, less what is reserved", 0, 13, 4, {{0, 1}}},
-      {"the team's quota", 11, 20, 0, {{0, 3}}},
+      {"limited by the shard's capacity", 0, 10, 0, {{0, 2}}},
+      {"limited by the shard's capacity less the reserved CPUs", 0, 13, 4, {{0, 1}}},
+      {"limited by the team's quota", 11, 20, 0, {{0, 3}}},
   };
   for (const auto& test_case : cases) {
     GrantBuilderFixture fixture({{Team("blue"), 0, test_case.limit, 0, 0}});
     fixture.add("run-1", 8);
     fixture.add("run-2", 8);
-    fixture.candidate("run-1");
-    fixture.candidate("run-2");
+    fixture.add_candidate("run-1");
+    fixture.add_candidate("run-2");
     fixture.respond(kFirst, free_tasks(test_case.free));
-    fixture.reserved.add(kFirst, test_case.reserved);
+    fixture.reserved_cpus.add(kFirst, test_case.reserved_cpus);
     auto grants = fixture.build();
     EXPECT_EQ(by_shard(grants[0]), (TasksByShard{{0, 8}})) << test_case.what;
-    EXPECT_EQ(by_shard(grants[1]), test_case.second) << test_case.what;
+    EXPECT_EQ(by_shard(grants[1]), test_case.tasks_of_second_job) << test_case.what;
   }
 }
 
-TEST(GrantBuilder, ASummaryStandsInForAMissingResponse) {
+TEST(GrantBuilder, UsesTheSummaryOfAShardWithoutResponse) {
   GrantBuilderFixture fixture;
   fixture.add("run-1", 10);
-  fixture.candidate("run-1");
+  fixture.add_candidate("run-1");
   fixture.respond(kFirst, free_tasks(2));
   protocol::Summary summary;
   summary.shard = kSecond;
@@ -168,10 +169,10 @@
   EXPECT_EQ(by_shard(fixture.build()[0]), (TasksByShard{{0, 2}, {1, 4}}));
 }
 
-TEST(GrantBuilder, ShardsWithoutALeaderAreGrantedNothing) {
+TEST(GrantBuilder, GrantsNothingToShardsWithoutALeader) {
   GrantBuilderFixture fixture;
   fixture.add("run-1", 10);
-  fixture.candidate("run-1");
+  fixture.add_candidate("run-1");
   fixture.terms = {{kSecond, Term(5)}};
   protocol::Summary summary;
   summary.shard = kFirst;
@@ -181,10 +182,10 @@
   EXPECT_EQ(by_shard(fixture.build()[0]), (TasksByShard{{1, 3}}));
 }
 
-TEST(GrantBuilder, PreemptingChunksComeAfterFreeOnes) {
+TEST(GrantBuilder, GrantsFreeCapacityBeforePreemptibleCapacity) {
   GrantBuilderFixture fixture;
   fixture.add("run-1", 10);
-  fixture.candidate("run-1");
+  fixture.add_candidate("run-1");
   fixture.respond(kFirst, {{Zone("a"), 6, 0, 10, 0}});
   auto grant = fixture.build()[0];
   ASSERT_TRUE(grant);
@@ -195,7 +196,7 @@
   EXPECT_EQ(grant->grants.chunks[1].tasks, Ranges::span(6, 10));
 }
 
-TEST(GrantBuilder, OnlyAnInheritedPriorityIsWritten) {
+TEST(GrantBuilder, WritesThePriorityOnlyIfItIsInherited) {
   struct Case {
     Priority required;
     std::optional<Priority> written;
@@ -204,7 +205,7 @@
        {Case{Priority::kNormal, std::nullopt}, Case{Priority::kHigh, Priority::kHigh}}) {
     GrantBuilderFixture fixture;
     fixture.add("run-1", 1, {}, [&](JobEntry& entry) { entry.requirement.priority = test_case.required; });
-    fixture.candidate("run-1");
+    fixture.add_candidate("run-1");
     fixture.respond(kFirst, free_tasks(1));
     auto grant = fixture.build()[0];
     ASSERT_TRUE(grant);
@@ -212,7 +213,7 @@
   }
 }
 
-TEST(GrantBuilder, AJobOfOneZoneStaysInTheZoneOfItsTasks) {
+TEST(GrantBuilder, GrantsAOneZoneJobOnlyTheZoneOfItsPlacedTasks) {
   GrantBuilderFixture fixture;
   fixture.add(
       "run-1", 10, [](protocol::JobSpec& spec) { spec.one_zone = true; },
@@ -220,7 +221,7 @@
         entry.pending = Ranges::span(1, 10);
         entry.retained_chunks = {{1, chunk(1, kFirst, Ranges::span(0, 1), Zone("b"))}};
       });
-  fixture.candidate("run-1");
+  fixture.add_candidate("run-1");
   fixture.respond(kFirst, free_tasks(9, "a"));
   fixture.respond(kSecond, free_tasks(2, "b"));
   auto grant = fixture.build()[0];
@@ -231,10 +232,10 @@
   EXPECT_EQ(grant->grants.chunks[1].tasks.count(), 2u);
 }
 
-TEST(GrantBuilder, AGangIsGrantedAsAWholeUnderOneAttempt) {
+TEST(GrantBuilder, GrantsAllTasksOfAGangUnderOneAttempt) {
   GrantBuilderFixture fixture;
   fixture.add("gang", 10, make_gang, [](JobEntry& entry) { entry.grants.last = Generation(4); });
-  fixture.candidate("gang");
+  fixture.add_candidate("gang");
   fixture.respond(kFirst, free_tasks(6));
   fixture.respond(kSecond, free_tasks(3));
   EXPECT_FALSE(fixture.build()[0]);
@@ -245,16 +246,16 @@
   for (const auto& granted : grant->grants.chunks) EXPECT_EQ(granted.gang_attempt, Attempt(5));
 }
 
-TEST(GrantBuilder, AGangWithReleasedTasksIsRevokedOnceAfterTwoHeartbeats) {
+TEST(GrantBuilder, RevokesAGangWithReleasedTasksOnceAfterTwoHeartbeatPeriods) {
   struct Case {
     const char* what;
-    double time;  // some tasks are pending since 0, heartbeats come every second
-    bool revoked_already;
+    double time_s;  // some tasks are pending since 0; the heartbeat period is 1 s
+    bool already_revoked;
     bool revokes;
   };
   const Case cases[] = {
-      {"its other tasks may be released yet", 1.9, false, false},
-      {"time to revoke them", 2, false, true},
+      {"before two heartbeat periods", 1.9, false, false},
+      {"after two heartbeat periods", 2, false, true},
       {"revoked already", 5, true, false},
   };
   for (const auto& test_case : cases) {
@@ -263,11 +264,11 @@
       entry.pending = Ranges::span(0, 4);
       entry.outstanding_tasks = 6;
       entry.retained_chunks = {{6, chunk(1, kFirst, Ranges::span(4, 10))}};
-      entry.grants.revoke = test_case.revoked_already;
+      entry.grants.revoke = test_case.already_revoked;
     });
-    fixture.candidate("gang");
+    fixture.add_candidate("gang");
     fixture.respond(kFirst, free_tasks(100));
-    auto grant = fixture.build(test_case.time)[0];
+    auto grant = fixture.build(test_case.time_s)[0];
     ASSERT_EQ(grant.has_value(), test_case.revokes) << test_case.what;
     if (!grant) continue;
     EXPECT_TRUE(grant->grants.revoke) << test_case.what;
@@ -275,49 +276,49 @@
   }
 }
 
-TEST(GrantBuilder, ArraysYieldToAGangWithoutCapacityForATime) {
+TEST(GrantBuilder, ArraysYieldForALimitedTimeToAStarvingGangWithoutCapacity) {
   struct Case {
     const char* what;
     bool arrays_yield;
     void (*change_spec)(protocol::JobSpec&);
-    double time;  // both wait since 0
+    double time_s;  // both jobs wait since 0
     bool granted;
   };
   const Case cases[] = {
       {"the gang isn't starving", false, nullptr, 1, true},
-      {"an array behind a starving gang", true, nullptr, 59, false},
-      {"an array that has yielded for long", true, nullptr, 60, true},
-      {"a service yields to none", true, make_service, 1, true},
+      {"an array yields to a starving gang", true, nullptr, 59, false},
+      {"an array that has yielded for 60 s", true, nullptr, 60, true},
+      {"a service doesn't yield", true, make_service, 1, true},
   };
   for (const auto& test_case : cases) {
     GrantBuilderFixture fixture;
     fixture.add("gang", 10, make_gang);
     fixture.add("run-1", 5, test_case.change_spec);
-    fixture.candidate("gang", test_case.arrays_yield);
-    fixture.candidate("run-1");
+    fixture.add_candidate("gang", test_case.arrays_yield);
+    fixture.add_candidate("run-1");
     fixture.respond(kFirst, free_tasks(9));
-    auto grants = fixture.build(test_case.time);
+    auto grants = fixture.build(test_case.time_s);
     EXPECT_FALSE(grants[0]) << test_case.what;
     EXPECT_EQ(grants[1].has_value(), test_case.granted) << test_case.what;
   }
 }
 
-TEST(GrantBuilder, ARewrittenGrantRetainsChunksAndRequiresTheirTerms) {
+TEST(GrantBuilder, RewrittenGrantsRetainChunksAndDependOnShardsWithUnrecordedReleases) {
   JobTableFixture fixture;
-  const auto held = chunk(3, kFirst, Ranges::span(0, 4));
+  const auto retained_chunk = chunk(3, kFirst, Ranges::span(0, 4));
   const auto& entry = fixture.add("run-1", 10, {}, [&](JobEntry& changed) {
     changed.grants.last = Generation(3);
     changed.grants.revoke = true;
     changed.grants_revision = Revision(9);
-    changed.retained_chunks = {{4, held}};
+    changed.retained_chunks = {{4, retained_chunk}};
     changed.released_by_message = {kSecond};
   });
-  auto grant = rewritten_grant(JobId("run-1"), entry, fixture.quota);
+  auto grant = rewrite_current_grants(JobId("run-1"), entry, fixture.quota);
   EXPECT_EQ(grant.job, JobId("run-1"));
   EXPECT_EQ(grant.expected, Revision(9));
   EXPECT_EQ(grant.depends_on_shards, std::set{kSecond});
   EXPECT_EQ(grant.grants.last, Generation(3));
-  EXPECT_EQ(grant.grants.chunks, std::vector{held});
+  EXPECT_EQ(grant.grants.chunks, std::vector{retained_chunk});
   EXPECT_FALSE(grant.grants.revoke);
 }
 
--- a/tests/grant_writer_test.cpp
+++ b/tests/grant_writer_test.cpp
@@ -33,7 +33,7 @@
     scheduler.on_estimate_response(
         {request->round, kShard, kShardTerm, Revision(1000),
          std::vector(request->resource_requests.size(), protocol::CapacityByZone{capacity})});
-    return scheduler.decide(clock.now(), leadership.shard_terms()).value_or(GrantWriter::Grants{});
+    return scheduler.decide_grants(clock.now(), leadership.shard_terms()).value_or(GrantWriter::Grants{});
   }
   void write(GrantWriter::Grants grants) {
     writer.write(std::move(grants), {state_store::leader_role_key(), leader_role}, Urgency::kBackground);
--- a/tests/indeterminate_grants_test.cpp
+++ b/tests/indeterminate_grants_test.cpp
@@ -1,4 +1,5 @@
-// Transactions without an answer, and grants that the shards' estimates don't account for yet.
+// Tests the tracking of transactions whose result is unknown, and of committed grants that the shards'
+// estimates don't account for yet.
 #include "scheduler/indeterminate_grants.h"
 
 #include <gtest/gtest.h>
@@ -10,9 +11,9 @@
 namespace beaconsill::scheduler {
 namespace {
 
-// Jobs with grants of version 5.
-struct Jobs {
-  explicit Jobs(const std::vector<const char*>& ids) {
+// A table of jobs whose grants have version 5.
+struct JobsWithGrants {
+  explicit JobsWithGrants(const std::vector<const char*>& ids) {
     for (const auto* id : ids) table.find_or_insert(JobId(id)).grants_revision = Revision(5);
   }
   JobTable table;
@@ -24,56 +25,57 @@
   return grants;
 }
 
-TEST(IndeterminateGrants, OneWriteSupersedesEachTransaction) {
+TEST(IndeterminateGrants, EachTransactionIsSupersededByOneOfItsJobs) {
   struct Case {
     const char* what;
     std::vector<std::vector<const char*>> transactions;
-    std::vector<const char*> writes;
+    std::vector<const char*> superseding_jobs;
   };
   const Case cases[] = {
-      {"none", {}, {}},
-      {"an empty one", {{}}, {}},
-      {"one of its jobs", {{"a", "b"}}, {"a"}},
-      {"one for both", {{"a", "b"}, {"a", "c"}}, {"a"}},
-      {"one for each", {{"a", "b"}, {"c", "d"}}, {"a", "c"}},
+      {"no transaction", {}, {}},
+      {"a transaction without grants", {{}}, {}},
+      {"one transaction: one of its jobs", {{"a", "b"}}, {"a"}},
+      {"two transactions with a common job: this job", {{"a", "b"}, {"a", "c"}}, {"a"}},
+      {"two transactions without a common job: one job of each", {{"a", "b"}, {"c", "d"}}, {"a", "c"}},
   };
   for (const auto& test_case : cases) {
     IndeterminateGrants indeterminate;
     for (const auto& ids : test_case.transactions) indeterminate.add(transaction(ids));
-    std::set<JobId> writes;
-    for (const auto* id : test_case.writes) writes.insert(JobId(id));
-    EXPECT_EQ(indeterminate.superseding_writes(), writes) << test_case.what;
-    EXPECT_EQ(indeterminate.empty(), writes.empty()) << test_case.what;
+    std::set<JobId> superseding_jobs;
+    for (const auto* id : test_case.superseding_jobs) superseding_jobs.insert(JobId(id));
+    EXPECT_EQ(indeterminate.superseding_jobs(), superseding_jobs) << test_case.what;
+    EXPECT_EQ(indeterminate.empty(), superseding_jobs.empty()) << test_case.what;
   }
 }
 
-TEST(IndeterminateGrants, SettledOnceOneOfItsConditionsCannotHold) {
+TEST(IndeterminateGrants, DropsATransactionOnceItCannotBeCommittedAnyMore) {
   struct Case {
     const char* what;
     std::function<void(JobTable&)> change;
-    bool settled;
+    bool dropped;
   };
   const Case cases[] = {
       {"nothing changed", [](JobTable&) {}, false},
       {"another job changed", [](JobTable& jobs) { jobs.at(JobId("c")).grants_revision = Revision(6); },
        false},
-      {"a newer version", [](JobTable& jobs) { jobs.at(JobId("b")).grants_revision = Revision(6); }, true},
-      {"a job is over",
+      {"the grants of one of its jobs changed",
+       [](JobTable& jobs) { jobs.at(JobId("b")).grants_revision = Revision(6); }, true},
+      {"one of its jobs is over",
        [](JobTable& jobs) { jobs.at(JobId("b")).terminal_state = state_store::TerminalState::kCancelled; },
        true},
-      {"a job was removed", [](JobTable& jobs) { jobs.erase(JobId("a")); }, true},
+      {"one of its jobs was removed", [](JobTable& jobs) { jobs.erase(JobId("a")); }, true},
   };
   for (const auto& test_case : cases) {
-    Jobs jobs({"a", "b", "c"});
+    JobsWithGrants jobs({"a", "b", "c"});
     IndeterminateGrants indeterminate;
     indeterminate.add(transaction({"a", "b"}));
     test_case.change(jobs.table);
-    indeterminate.drop_settled(jobs.table);
-    EXPECT_EQ(indeterminate.empty(), test_case.settled) << test_case.what;
+    indeterminate.drop_resolved(jobs.table);
+    EXPECT_EQ(indeterminate.empty(), test_case.dropped) << test_case.what;
   }
 }
 
-TEST(AssumedGrants, CountUntilTheShardHasSeenThem) {
+TEST(AssumedGrants, ReserveCpusUntilTheShardAcknowledgesTheGrant) {
   AssumedGrants assumed;
   assumed.add(ShardId(0), Revision(5), 2);
   assumed.add(ShardId(0), Revision(7), 3);
--- a/tests/inherited_requirements_test.cpp
+++ b/tests/inherited_requirements_test.cpp
@@ -55,7 +55,7 @@
     scheduler.on_estimate_response({estimate_request->round, ShardId(0), Term(1), Revision(1),
                                     std::vector(estimate_request->resource_requests.size(), capacity)});
     auto grants =
-        scheduler.decide(at(time), {{ShardId(0), Term(1)}}).value_or(std::vector<Scheduler::Grant>{});
+        scheduler.decide_grants(at(time), {{ShardId(0), Term(1)}}).value_or(std::vector<Scheduler::Grant>{});
     scheduler.on_granted(grants, std::nullopt, at(time));
     std::vector<JobId> jobs_granted;
     for (const auto& grant : grants) jobs_granted.push_back(grant.job);
@@ -78,7 +78,7 @@
   fixture.publish(1, state_store::TerminalState::kDone);
   // That the other is over isn't enough: it waits until it's known when its dependencies were done.
   EXPECT_TRUE(fixture.granted(3).empty());
-  EXPECT_TRUE(fixture.scheduler.busy());
+  EXPECT_TRUE(fixture.scheduler.has_open_jobs());
   fixture.release(2, 7000);
   EXPECT_EQ(fixture.granted(5), std::vector{run(2)});
 }
@@ -108,7 +108,7 @@
   fixture.publish(2, state_store::TerminalState::kCancelled);
   EXPECT_TRUE(fixture.granted(1).empty());
   EXPECT_EQ(fixture.scheduler.collectable(), std::vector{run(2)});
-  EXPECT_FALSE(fixture.scheduler.busy());
+  EXPECT_FALSE(fixture.scheduler.has_open_jobs());
 }
 
 TEST(Pipeline, DependenciesInheritAHigherPriority) {
@@ -135,7 +135,7 @@
   protocol::CapacityByZone capacity{{Zone("a"), 1000, 0, 0, 0}};
   fixture.scheduler.on_estimate_response(
       {estimate_request->round, ShardId(0), Term(1), Revision(1), {capacity, capacity}});
-  auto grants = fixture.scheduler.decide(at(1), {{ShardId(0), Term(1)}});
+  auto grants = fixture.scheduler.decide_grants(at(1), {{ShardId(0), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 2);
   EXPECT_EQ((*grants)[0].grants.chunks.at(0).priority, Priority::kHigh);
   EXPECT_FALSE((*grants)[1].grants.chunks.at(0).priority);
@@ -162,7 +162,7 @@
   ASSERT_TRUE(estimate_request);
   scheduler.on_estimate_response(
       {estimate_request->round, ShardId(0), Term(1), Revision(1), {{{Zone("a"), 48000, 0, 0, 0}}}});
-  auto grants = scheduler.decide(at(1), {{ShardId(0), Term(1)}});
+  auto grants = scheduler.decide_grants(at(1), {{ShardId(0), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 1);
   EXPECT_EQ((*grants)[0].grants.chunks.at(0).tasks.count(), 48000u);
 }
@@ -259,7 +259,7 @@
   protocol::CapacityByZone capacity{{Zone("a"), 1000, 0, 0, 0}};
   fixture.scheduler.on_estimate_response(
       {estimate_request->round, ShardId(0), Term(1), Revision(9), {capacity}});
-  auto grants = fixture.scheduler.decide(at(1), {{ShardId(0), Term(1)}});
+  auto grants = fixture.scheduler.decide_grants(at(1), {{ShardId(0), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 1);
   const auto& chunks = grants->at(0).grants.chunks;
   ASSERT_EQ(chunks.size(), 2u);
--- a/tests/offered_capacity_test.cpp
+++ b/tests/offered_capacity_test.cpp
@@ -1,4 +1,4 @@
-// The capacity offered to one job, its restrictions and the order in which it's used.
+// Tests how the capacity offered to one job is restricted, and in which order it's used.
 #include "scheduler/offered_capacity.h"
 
 #include <gtest/gtest.h>
@@ -6,14 +6,14 @@
 namespace beaconsill::scheduler {
 namespace {
 
-// Tasks by shard.
+// Returns the number of tasks for each shard.
 std::map<std::uint32_t, std::uint32_t> by_shard(const std::vector<ShardAllocation>& allocations) {
   std::map<std::uint32_t, std::uint32_t> tasks;
   for (const auto& allocation : allocations) tasks[allocation.shard.value()] += allocation.tasks;
   return tasks;
 }
 
-// Tasks by zone.
+// Returns the number of tasks for each zone.
 std::map<std::string, std::uint32_t> by_zone(const std::vector<ShardAllocation>& allocations) {
   std::map<std::string, std::uint32_t> tasks;
   for (const auto& allocation : allocations) tasks[allocation.zone.value().value()] += allocation.tasks;
@@ -25,22 +25,36 @@
   return {Zone(name), free, image_cached, preemptible, image_cached_preemptible};
 }
 
-using Tasks = std::map<std::uint32_t, std::uint32_t>;
+using TasksByShard = std::map<std::uint32_t, std::uint32_t>;
 
-TEST(OfferedCapacity, IsPlacedWhereTheImageIsThenElsewhereThenByPreemption) {
+TEST(OfferedCapacity, UsesCachedImagesFirstThenOtherFreeCapacityThenPreemption) {
   struct Case {
     const char* what;
     JobKind kind;
     std::uint32_t tasks;
     protocol::ZoneCapacity first, second;  // of shards 0 and 1
-    std::uint32_t reserved;                // tasks on shard 1
-    Tasks free, preempting;
+    std::uint32_t reserved_tasks;          // on shard 1
+    TasksByShard free, preempting;
   };
   const Case cases[] = {
-      {"where the image is", JobKind::kArray, 2, zone("a", 9), zone("a", 5, 3), 0, {{1, 2}}, {}},
-      {"the rest elsewhere", JobKind::kArray, 5, zone("a", 9), zone("a", 3, 3), 0, {{0, 2}, {1, 3}}, {}},
-      {"preemption comes last", JobKind::kArray, 4, zone("a", 1, 0, 5), zone("a", 0), 0, {{0, 1}}, {{0, 3}}},
-      {"a service preempts where the image is",
+      {"free capacity with a cached image first",
+       JobKind::kArray,
+       2,
+       zone("a", 9),
+       zone("a", 5, 3),
+       0,
+       {{1, 2}},
+       {}},
+      {"the other tasks on other free capacity",
+       JobKind::kArray,
+       5,
+       zone("a", 9),
+       zone("a", 3, 3),
+       0,
+       {{0, 2}, {1, 3}},
+       {}},
+      {"preemption last", JobKind::kArray, 4, zone("a", 1, 0, 5), zone("a", 0), 0, {{0, 1}}, {{0, 3}}},
+      {"a service preempts where the image is cached",
        JobKind::kService,
        1,
        zone("a", 9),
@@ -48,8 +62,15 @@
        0,
        {},
        {{1, 1}}},
-      {"an array doesn't", JobKind::kArray, 1, zone("a", 9), zone("a", 0, 0, 3, 3), 0, {{0, 1}}, {}},
-      {"nor a service that doesn't fit there",
+      {"an array doesn't preempt where the image is cached",
+       JobKind::kArray,
+       1,
+       zone("a", 9),
+       zone("a", 0, 0, 3, 3),
+       0,
+       {{0, 1}},
+       {}},
+      {"a service that doesn't fit there as a whole doesn't preempt either",
        JobKind::kService,
        2,
        zone("a", 9),
@@ -65,12 +86,12 @@
        3,
        {{0, 2}, {1, 2}},
        {}},
-      {"all is reserved", JobKind::kArray, 9, zone("a", 0), zone("a", 5, 4), 6, {}, {}},
+      {"all capacity is reserved", JobKind::kArray, 9, zone("a", 0), zone("a", 5, 4), 6, {}, {}},
   };
   for (const auto& test_case : cases) {
     OfferedCapacity offered(false);
     offered.add_shard(ShardId(0), {test_case.first}, 0);
-    offered.add_shard(ShardId(1), {test_case.second}, test_case.reserved);
+    offered.add_shard(ShardId(1), {test_case.second}, test_case.reserved_tasks);
     auto placement = offered.place(test_case.tasks, test_case.kind);
     EXPECT_EQ(by_shard(placement.free), test_case.free) << test_case.what;
     EXPECT_EQ(by_shard(placement.preempting), test_case.preempting) << test_case.what;
@@ -78,16 +99,16 @@
   }
 }
 
-TEST(OfferedCapacity, RestrictedToOneZone) {
+TEST(OfferedCapacity, RestrictsAOneZoneJobToTheZoneOfItsTasksOrTheLargestZone) {
   struct Case {
     const char* what;
     TasksByZone placed;
     std::map<std::string, std::uint32_t> tasks;
   };
   const Case cases[] = {
-      {"the zone with most capacity, over all shards", {}, {{"b", 7}}},
-      {"the zone of the placed tasks", {{Zone("a"), 1}}, {{"a", 6}}},
-      {"a zone without capacity", {{Zone("c"), 1}}, {}},
+      {"no placed tasks: the zone with most capacity on all shards", {}, {{"b", 7}}},
+      {"placed tasks: their zone", {{Zone("a"), 1}}, {{"a", 6}}},
+      {"placed tasks in a zone without capacity", {{Zone("c"), 1}}, {}},
   };
   for (const auto& test_case : cases) {
     OfferedCapacity offered(true);
@@ -98,16 +119,16 @@
   }
 }
 
-TEST(OfferedCapacity, SpreadOverZones) {
+TEST(OfferedCapacity, LimitsTheTasksOfASpreadJobInEachZone) {
   struct Case {
     const char* what;
     TasksByZone placed;
     std::map<std::string, std::uint32_t> tasks;
   };
   const Case cases[] = {
-      {"the limit in each", {}, {{"a", 3}, {"b", 3}}},
-      {"less what is placed", {{Zone("a"), 2}}, {{"a", 1}, {"b", 3}}},
-      {"a zone beyond its limit", {{Zone("a"), 4}}, {{"b", 3}}},
+      {"no placed tasks: the limit in each zone", {}, {{"a", 3}, {"b", 3}}},
+      {"placed tasks count towards the limit", {{Zone("a"), 2}}, {{"a", 1}, {"b", 3}}},
+      {"a zone already exceeds the limit", {{Zone("a"), 4}}, {{"b", 3}}},
   };
   for (const auto& test_case : cases) {
     OfferedCapacity offered(true);
@@ -118,10 +139,10 @@
   }
 }
 
-TEST(OfferedCapacity, AGangFitsAsAWholeOrNotAtAll) {
+TEST(OfferedCapacity, OffersAGangCapacityForAllItsTasksOrNone) {
   struct Case {
     std::uint32_t tasks, first, second;
-    Tasks allocations;
+    TasksByShard allocations;
   };
   const Case cases[] = {{4, 4, 3, {{0, 4}}}, {4, 3, 9, {{1, 4}}}, {6, 4, 4, {{0, 3}, {1, 3}}}, {9, 4, 4, {}}};
   for (const auto& test_case : cases) {
@@ -129,7 +150,7 @@
     offered.add_shard(ShardId(0), {zone("a", test_case.first, 2, 50)}, 0);
     offered.add_shard(ShardId(1), {zone("a", test_case.second)}, 0);
     offered.restrict_to_gang(test_case.tasks);
-    EXPECT_EQ(offered.has_free(), !test_case.allocations.empty()) << test_case.tasks;
+    EXPECT_EQ(offered.has_free_capacity(), !test_case.allocations.empty()) << test_case.tasks;
     auto placement = offered.place(test_case.tasks, JobKind::kGang);
     EXPECT_EQ(by_shard(placement.free), test_case.allocations) << test_case.tasks;
     EXPECT_TRUE(placement.preempting.empty()) << test_case.tasks;
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -205,7 +205,7 @@
   fixture.job("run-1", 10);
   auto lost = fixture.run_round(1, {{0, capacity(100)}});
   ASSERT_EQ(lost.size(), 0u);  // shard 1 is waited for
-  lost = fixture.scheduler.decide(at(4), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}}).value();
+  lost = fixture.scheduler.decide_grants(at(4), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}}).value();
   ASSERT_EQ(lost.size(), 1u);
   fixture.scheduler.on_granted(lost, std::nullopt, at(5));
   fixture.job("run-2", 10, [](auto& spec) { spec.priority = Priority::kHigh; });
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -1,4 +1,4 @@
-// A scheduler whose shards respond with what a test says, for all tests of it. Times are seconds from an
+// Provides a scheduler for tests that choose the responses of its shards. Times are in seconds from an
 // arbitrary start.
 #pragma once
 
@@ -46,11 +46,12 @@
     publish(id, 0);
     return job;
   }
-  void publish(const char* id, double time, std::optional<TerminalState> end = std::nullopt) {
-    scheduler.on_job(JobId(id), &jobs[id], end, at(time));
+  // Passes the current state of the job to the scheduler.
+  void publish(const char* id, double time, std::optional<TerminalState> terminal_state = std::nullopt) {
+    scheduler.on_job(JobId(id), &jobs[id], terminal_state, at(time));
   }
-  // One round in which each shard responds with its entry of `capacities` to every resource request; shards
-  // without an entry don't respond. `wait`: decides only after they were waited for.
+  // Runs a round in which each shard responds with its entry of `capacities` to every resource request.
+  // Shards without an entry don't respond. `wait`: decides on the grants only after the reply wait.
   std::vector<Scheduler::Grant> run_round(double time,
                                           std::map<std::uint32_t, protocol::CapacityByZone> capacities,
                                           bool wait = false, double wall_s = 0) {
@@ -61,7 +62,7 @@
       scheduler.on_estimate_response({estimate_request->round, ShardId(shard), Term(1), Revision(revision),
                                       std::vector(estimate_request->resource_requests.size(), capacity)});
     auto grants =
-        scheduler.decide(at(wait ? time + 2.1 : time), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}});
+        scheduler.decide_grants(at(wait ? time + 2.1 : time), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}});
     return grants.value_or(std::vector<Scheduler::Grant>{});
   }
   void commit(const std::vector<Scheduler::Grant>& grants, double time) {
@@ -84,7 +85,7 @@
   std::uint64_t revision = 10;
 };
 
-// Numbers of tasks, in one zone.
+// The capacity of one zone, in numbers of tasks.
 inline protocol::CapacityByZone capacity(std::uint32_t free, std::uint32_t image_cached = 0,
                                          std::uint32_t preemptible = 0,
                                          std::uint32_t image_cached_preemptible = 0, const char* zone = "a") {
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -1,10 +1,11 @@
-// The scheduler as a whole: rounds, grants, gangs, crash loops and completion. Quota: quota_test.cpp.
+// Tests the scheduler as a whole: rounds, grants, gangs, crash loops and completion. See quota_test.cpp for
+// quotas.
 #include "scheduler_fixture.h"
 
 namespace beaconsill::scheduler {
 namespace {
 
-TEST(Scheduler, DividesTasksByTheEstimates) {
+TEST(Scheduler, DividesTasksInProportionToTheEstimates) {
   SchedulerFixture fixture;
   fixture.job("run-1", 10);
   auto grants = fixture.run_round(1, {{0, capacity(15)}, {1, capacity(5)}});
@@ -12,20 +13,20 @@
   EXPECT_EQ(SchedulerFixture::by_shard(grants[0]), (std::map<std::uint32_t, std::uint32_t>{{0, 8}, {1, 2}}));
 }
 
-TEST(Scheduler, CapacityWithTheImageGoesFirst) {
+TEST(Scheduler, UsesCapacityWithTheImageCachedFirst) {
   SchedulerFixture fixture;
   fixture.job("run-1", 2);
   auto grants = fixture.run_round(1, {{0, capacity(50, 0)}, {1, capacity(5, 3)}});
   EXPECT_EQ(SchedulerFixture::by_shard(grants.at(0)), (std::map<std::uint32_t, std::uint32_t>{{1, 2}}));
-  // What doesn't fit where the image is goes elsewhere.
-  SchedulerFixture cold_fixture;
-  cold_fixture.job("run-1", 8);
-  grants = cold_fixture.run_round(1, {{0, capacity(50, 0)}, {1, capacity(5, 3)}});
+  // Tasks that don't fit where the image is cached are placed on other capacity.
+  SchedulerFixture second_fixture;
+  second_fixture.job("run-1", 8);
+  grants = second_fixture.run_round(1, {{0, capacity(50, 0)}, {1, capacity(5, 3)}});
   EXPECT_EQ(SchedulerFixture::by_shard(grants.at(0)),
             (std::map<std::uint32_t, std::uint32_t>{{0, 5}, {1, 3}}));
 }
 
-TEST(Scheduler, WaitsForAShardWithoutResponseThenUsesItsSummary) {
+TEST(Scheduler, UsesTheSummaryOfAShardThatDoesNotRespondWithinTheReplyWait) {
   SchedulerFixture fixture;
   fixture.job("run-1", 4);
   fixture.scheduler.on_summary({ShardId(1),
@@ -34,36 +35,36 @@
                                 {{MachineName("m"), MachineType("t"), Zone("a"), false, {4, 0, 8}, 0, true}},
                                 {}});
   EXPECT_TRUE(fixture.run_round(1, {{0, capacity(4)}}).empty());
-  auto grants = fixture.scheduler.decide(at(3.1), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}});
+  auto grants = fixture.scheduler.decide_grants(at(3.1), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 1);
   EXPECT_EQ(SchedulerFixture::by_shard(grants->at(0)),
             (std::map<std::uint32_t, std::uint32_t>{{0, 2}, {1, 2}}));
 }
 
-TEST(Scheduler, SubtractsWhatAShardHasNotSeenYet) {
+TEST(Scheduler, SubtractsGrantsThatAShardHasNotReadYet) {
   SchedulerFixture fixture;
   fixture.job("run-1", 4);
   auto grants = fixture.run_round(1, {{0, capacity(4)}, {1, {}}});
   fixture.commit(grants, 1);
-  auto seen_before = fixture.revision - 1;
+  auto revision_before_grant = fixture.revision - 1;
   fixture.job("run-2", 4);
-  fixture.revision = seen_before;  // the shards respond without knowing the first grant
+  fixture.revision = revision_before_grant;  // the shards haven't read the first grant when they respond
   EXPECT_TRUE(fixture.run_round(2, {{0, capacity(4)}, {1, {}}}).empty());
-  fixture.revision = seen_before + 1;
+  fixture.revision = revision_before_grant + 1;
   EXPECT_EQ(fixture.run_round(3, {{0, capacity(4)}, {1, {}}}).size(), 1u);
 }
 
-TEST(Scheduler, ZonesOfOneZoneAndSpreadJobs) {
-  protocol::CapacityByZone two{{Zone("a"), 6, 0, 0}, {Zone("b"), 3, 0, 0}};
+TEST(Scheduler, AppliesTheZoneRulesOfOneZoneAndSpreadJobs) {
+  protocol::CapacityByZone two_zones{{Zone("a"), 6, 0, 0}, {Zone("b"), 3, 0, 0}};
   {
     SchedulerFixture fixture;
     fixture.job("run-1", 9, [](auto& spec) { spec.one_zone = true; });
-    auto grants = fixture.run_round(1, {{0, two}, {1, {{Zone("b"), 4, 0, 0}}}});
+    auto grants = fixture.run_round(1, {{0, two_zones}, {1, {{Zone("b"), 4, 0, 0}}}});
     std::set<std::string> zones;
     for (auto& chunk : grants.at(0).grants.chunks) zones.insert(chunk.zone.value().value());
-    EXPECT_EQ(zones, std::set<std::string>{"b"});  // 3 + 4 beats 6
+    EXPECT_EQ(zones, std::set<std::string>{"b"});  // 3 + 4 tasks in zone b, but only 6 in zone a
     fixture.commit(grants, 1);
-    // Its other tasks are bound to that zone.
+    // Its other tasks may only be granted in the same zone.
     EXPECT_TRUE(fixture.run_round(3, {{0, {{Zone("a"), 50, 0, 0}}}, {1, {}}}).empty());
   }
   {
@@ -77,7 +78,7 @@
   }
 }
 
-TEST(Scheduler, HigherPriorityMayPreempt) {
+TEST(Scheduler, JobOfHigherPriorityUsesPreemptibleCapacityAfterFreeCapacity) {
   SchedulerFixture fixture;
   fixture.job("run-1", 2, [](auto& spec) { spec.priority = Priority::kHigh; });
   auto grants = fixture.run_round(1, {{0, capacity(1, 0, 5)}, {1, {}}});
@@ -87,8 +88,8 @@
   EXPECT_TRUE(grants[0].grants.chunks[1].preempt);
 }
 
-// A fetch takes longer than stopping a task of lower priority: services go where their image is.
-TEST(Scheduler, AServicePrefersPreemptionWhereTheImageIs) {
+// Fetching an image takes longer than stopping a task of lower priority.
+TEST(Scheduler, ServicePrefersPreemptionWhereItsImageIsCached) {
   struct Case {
     JobKind kind;
     std::uint32_t image_cached_preemptible;
@@ -107,7 +108,7 @@
   }
 }
 
-TEST(Scheduler, AJobIsCompletedWhenAllItsTasksAreDone) {
+TEST(Scheduler, JobIsCompletedWhenAllItsTasksAreDone) {
   SchedulerFixture fixture;
   auto& job = fixture.job("run-1", 4);
   fixture.job("run-2", 1, [](auto& spec) { spec.kind = JobKind::kService; });
@@ -135,7 +136,7 @@
   EXPECT_EQ(grants[0].grants.chunks[1].generation, Generation(2));
 }
 
-TEST(Gang, IsGrantedToOneShardIfOneCanHoldItElseToSeveralOrNone) {
+TEST(Gang, IsGrantedToOneShardIfItFitsElseToSeveralOrNone) {
   struct Case {
     std::uint32_t tasks, first, second;
     std::map<std::uint32_t, std::uint32_t> shards;
@@ -152,7 +153,7 @@
   }
 }
 
-TEST(Gang, IsRevokedWhenSomeTasksAreReleasedAndStartsAnewOnceAllAre) {
+TEST(Gang, IsRevokedWhenSomeTasksAreReleasedAndGrantedAgainOnceAllAre) {
   SchedulerFixture fixture;
   auto& job = fixture.job("run-1", 6, [](auto& spec) { spec.kind = JobKind::kGang; });
   fixture.commit(fixture.run_round(1, {{0, capacity(4)}, {1, capacity(4)}}), 1);
@@ -173,27 +174,28 @@
   EXPECT_EQ(grants[0].grants.chunks.at(0).tasks.count(), 6u);
 }
 
-// A job that a shard leader reports to fail everywhere; granted a task whenever one is due, it fails again at
-// once.
-struct CrashLoop {
-  explicit CrashLoop(std::function<void(protocol::JobSpec&)> change = {}) {
+// A job of 100 tasks, all of which were granted and have failed, and which a shard leader has reported as
+// failing.
+struct CrashLoopFixture {
+  explicit CrashLoopFixture(std::function<void(protocol::JobSpec&)> change = {}) {
     fixture.job("run-1", 100, std::move(change));
     fixture.commit(fixture.run_round(1, {{0, capacity(200)}, {1, {}}}), 1);
-    fails(2);
+    fail(2);
   }
-  void fails(double time) {
+  // All outstanding tasks of the job fail and are released.
+  void fail(double time) {
     auto& job = fixture.jobs["run-1"];
-    Ranges all;
-    for (auto& chunk : job.grants.value.chunks) all.add(chunk.tasks);
-    job.progress[ShardId(0)].value.released = {{job.grants.value.last, all}};
+    Ranges granted_tasks;
+    for (auto& chunk : job.grants.value.chunks) granted_tasks.add(chunk.tasks);
+    job.progress[ShardId(0)].value.released = {{job.grants.value.last, granted_tasks}};
     report(protocol::JobHealth::kFails, time);
     fixture.publish("run-1", time);
   }
-  // The leader of shard 0 reports it.
+  // The leader of shard 0 reports the health of the job.
   void report(protocol::JobHealth health, double time) {
     fixture.scheduler.on_progress_report({ShardId(0), Term(1), {{JobId("run-1"), {}, {}, health}}}, at(time));
   }
-  // How many of its tasks are granted.
+  // Runs a round, commits its grants and returns how many tasks of the job were granted.
   std::uint32_t run_round(double time) {
     auto grants = fixture.run_round(time, {{0, capacity(200)}, {1, {}}}, false, time);
     std::uint32_t granted = 0;
@@ -207,35 +209,35 @@
   SchedulerFixture fixture;
 };
 
-TEST(CrashLoop, IsRetriedByOneTaskEverMoreSeldom) {
-  CrashLoop crash_loop;
+TEST(CrashLoop, IsRetriedWithOneTaskAtGrowingIntervals) {
+  CrashLoopFixture crash_loop;
   std::uint32_t granted = 0;
   for (double time = 2.5; time < 120; time += 0.5) {
     auto tasks = crash_loop.run_round(time);
     EXPECT_LE(tasks, 1u) << time;
     granted += tasks;
-    if (tasks) crash_loop.fails(time + 0.3);
+    if (tasks) crash_loop.fail(time + 0.3);
   }
   EXPECT_GE(granted, 5u);
   EXPECT_LE(granted, 8u);
-  // No machine is rented for what waits of it.
+  // No instance is rented for the tasks that wait for the next retry.
   std::uint32_t wanted = 0;
   for (auto& demand : crash_loop.fixture.scheduler.demand(at(120))) wanted += demand.resource_request.wanted;
   EXPECT_LE(wanted, 1u);
 }
 
-TEST(CrashLoop, DoesNotTakeTheHeadOfTheQueue) {
-  CrashLoop crash_loop;
+TEST(CrashLoop, JobIsServedAfterOtherJobs) {
+  CrashLoopFixture crash_loop;
   crash_loop.fixture.job("run-2", 4);
-  // Far beyond the longest wait, and still others are served before it.
+  // Other jobs are served before it even though it has waited far longer than the longest wait.
   auto grants = crash_loop.fixture.run_round(400, {{0, capacity(4)}, {1, {}}}, false, 400);
   ASSERT_FALSE(grants.empty());
   EXPECT_EQ(grants[0].job, JobId("run-2"));
 }
 
-TEST(CrashLoop, IsGrantedAsAWholeOnceItWorks) {
+TEST(CrashLoop, AllTasksAreGrantedOnceOneTaskWorks) {
   for (bool by_message : {true, false}) {
-    CrashLoop crash_loop;
+    CrashLoopFixture crash_loop;
     ASSERT_EQ(crash_loop.run_round(10), 1u);
     if (by_message) {
       crash_loop.report(protocol::JobHealth::kWorks, 20);
@@ -247,15 +249,15 @@
   }
 }
 
-TEST(CrashLoop, OneTaskOfItIsOutstandingAtATime) {
-  CrashLoop crash_loop;
+TEST(CrashLoop, OnlyOneTaskIsOutstandingAtATime) {
+  CrashLoopFixture crash_loop;
   ASSERT_EQ(crash_loop.run_round(10), 1u);
   for (double time = 11; time < 60; time += 1) EXPECT_EQ(crash_loop.run_round(time), 0u) << time;
 }
 
-// All shards report it of the same grant, and copies of their reports come late.
-TEST(CrashLoop, AGrantCountsOnce) {
-  CrashLoop crash_loop;
+// All shards may report the failure of the same grant, and copies of their reports may arrive late.
+TEST(CrashLoop, RepeatedReportsOnOneGrantCountAsOneFailure) {
+  CrashLoopFixture crash_loop;
   for (int i = 0; i < 10; ++i) crash_loop.report(protocol::JobHealth::kFails, 2.1);
   EXPECT_EQ(crash_loop.run_round(4.5), 1u);
 }
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -63,7 +63,7 @@
     });
     on_estimate_request(number_, *estimate_request);
   }
-  if (auto grants = process_.scheduler->decide(instant(), all)) {
+  if (auto grants = process_.scheduler->decide_grants(instant(), all)) {
     if (grants->empty()) {
       process_.scheduler->on_granted({}, std::nullopt, instant());
     } else {
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -54,7 +54,7 @@
                                                         : protocol::CapacityByZone{{Zone("a"), 4, 0, 0, 0}});
     scheduler.on_estimate_response(
         {estimate_request->round, ShardId(0), Term(1), Revision(revision), capacities});
-    auto grants = scheduler.decide(at(time), {{ShardId(0), Term(1)}});
+    auto grants = scheduler.decide_grants(at(time), {{ShardId(0), Term(1)}});
     if (!grants || grants->empty()) return;
     scheduler.on_granted(*grants, Revision(++revision), at(time));
     for (const auto& grant : *grants) {
