--- a/tests/inherited_requirements_test.cpp
+++ b/tests/inherited_requirements_test.cpp
@@ -56,7 +56,7 @@
     scheduler.on_estimate_response({estimate_request->round, ShardId(0), Term(1), Revision(1),
                                     std::vector(estimate_request->resource_requests.size(), capacity)});
     auto grants =
-        scheduler.decide(at(time), {{ShardId(0), Term(1)}}).value_or(std::vector<Scheduler::Grant>{});
+        scheduler.decide_grants(at(time), {{ShardId(0), Term(1)}}).value_or(std::vector<Scheduler::Grant>{});
     scheduler.on_granted(grants, std::nullopt, at(time));
     std::vector<JobId> granted_jobs;
     for (const auto& grant : grants) granted_jobs.push_back(grant.job);
@@ -80,7 +80,7 @@
   // A dependency's terminal state isn't sufficient. The job waits until it is known when its dependencies
   // were done.
   EXPECT_TRUE(fixture.run_round(3).empty());
-  EXPECT_TRUE(fixture.scheduler.busy());
+  EXPECT_TRUE(fixture.scheduler.has_open_jobs());
   fixture.complete_dependencies(2, 7000);
   EXPECT_EQ(fixture.run_round(5), std::vector{job_id(2)});
 }
@@ -110,7 +110,7 @@
   fixture.publish(2, state_store::TerminalState::kCancelled);
   EXPECT_TRUE(fixture.run_round(1).empty());
   EXPECT_EQ(fixture.scheduler.collectable(), std::vector{job_id(2)});
-  EXPECT_FALSE(fixture.scheduler.busy());
+  EXPECT_FALSE(fixture.scheduler.has_open_jobs());
 }
 
 TEST(Pipeline, DependenciesInheritAHigherPriority) {
@@ -138,7 +138,7 @@
   protocol::CapacityByZone capacity{{Zone("a"), 1000, 0, 0, 0}};
   fixture.scheduler.on_estimate_response(
       {estimate_request->round, ShardId(0), Term(1), Revision(1), {capacity, capacity}});
-  auto grants = fixture.scheduler.decide(at(1), {{ShardId(0), Term(1)}});
+  auto grants = fixture.scheduler.decide_grants(at(1), {{ShardId(0), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 2);
   EXPECT_EQ((*grants)[0].grants.chunks.at(0).priority, Priority::kHigh);
   EXPECT_FALSE((*grants)[1].grants.chunks.at(0).priority);
@@ -166,7 +166,7 @@
   ASSERT_TRUE(estimate_request);
   scheduler.on_estimate_response(
       {estimate_request->round, ShardId(0), Term(1), Revision(1), {{{Zone("a"), 48000, 0, 0, 0}}}});
-  auto grants = scheduler.decide(at(1), {{ShardId(0), Term(1)}});
+  auto grants = scheduler.decide_grants(at(1), {{ShardId(0), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 1);
   EXPECT_EQ((*grants)[0].grants.chunks.at(0).tasks.count(), 48000u);
 }
@@ -268,7 +268,7 @@
   protocol::CapacityByZone capacity{{Zone("a"), 1000, 0, 0, 0}};
   fixture.scheduler.on_estimate_response(
       {estimate_request->round, ShardId(0), Term(1), Revision(9), {capacity}});
-  auto grants = fixture.scheduler.decide(at(1), {{ShardId(0), Term(1)}});
+  auto grants = fixture.scheduler.decide_grants(at(1), {{ShardId(0), Term(1)}});
   ASSERT_TRUE(grants && grants->size() == 1);
   const auto& chunks = grants->at(0).grants.chunks;
   ASSERT_EQ(chunks.size(), 2u);
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -226,7 +226,8 @@
   fixture.job("run-1", 10);
   auto indeterminate = fixture.run_round(1, {{0, capacity(100)}});
   ASSERT_EQ(indeterminate.size(), 0u);  // The round waits for shard 1.
-  indeterminate = fixture.scheduler.decide(at(4), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}}).value();
+  indeterminate =
+      fixture.scheduler.decide_grants(at(4), {{ShardId(0), Term(1)}, {ShardId(1), Term(1)}}).value();
   ASSERT_EQ(indeterminate.size(), 1u);
   fixture.scheduler.on_granted(indeterminate, std::nullopt, at(5));
   fixture.job("run-2", 10, [](auto& spec) { spec.priority = Priority::kHigh; });
