--- a/src/api/submission.cpp
+++ b/src/api/submission.cpp
@@ -90,7 +90,7 @@
 
 void Submission::accept(protocol::JobSpec spec, const Reply& reply) const {
   if (!context_.reader->is_responsive()) return reply(retry_later(kUnreachable));
-  if (!spec.depends_on.empty() && !context_.hooks.all_controllers_support(state_store::kDependenciesSince))
+  if (!spec.depends_on.empty() && !context_.hooks.all_controllers_support(state_store::kDependenciesMinVersion))
     return reply(retry_later("not all controllers know of jobs that await others", kRetryLaterS));
   if (context_.overloaded()) return reply(retry_later("too many submissions", kRetryLaterS));
   state_store::JobRecord record{std::make_shared<const protocol::JobSpec>(std::move(spec)),
@@ -101,7 +101,7 @@
     return reply({net::status::kUnprocessableContent,
                   protocol::render_error("its record is larger than the state service takes")});
   if (!values->depends_on.empty() &&
-      !context_.hooks.all_controllers_support(state_store::kUnboundedKeysSince))
+      !context_.hooks.all_controllers_support(state_store::kUnboundedKeysMinVersion))
     return reply(retry_later("not all controllers know of so many awaited jobs", kRetryLaterS));
   write_job(*values, reply);
 }
--- a/src/controller/scheduler_service.cpp
+++ b/src/controller/scheduler_service.cpp
@@ -66,7 +66,7 @@
   const auto& view = ctx_.view();
   const auto* job = view.job(id);
   // Cancelled through others: none of its tasks can be anywhere, and there is nothing to schedule.
-  if (view.dependencies().unrecorded().contains(id)) job = nullptr;
+  if (view.dependencies().unrecorded_cancellations().contains(id)) job = nullptr;
   // Versions before pipelines don't record when a job ended: it counts from when that is seen.
   auto ready_since = view.dependencies().ready_since(id, ctx_.clock.wall());
   leadership_.scheduler().on_job(id, job, view.terminal_state(id), ctx_.now(), ready_since);
--- a/src/controller/terminal_record_writer.cpp
+++ b/src/controller/terminal_record_writer.cpp
@@ -34,7 +34,7 @@
   auto max_records = std::min(leadership_.max_changes_per_txn(), ctx_.store->spare_writes());
   if (!leadership_.still_leader() || max_records == 0 || retry_delayed()) return;
   std::vector<JobId> ids;
-  for (const auto& id : ctx_.view().dependencies().unrecorded()) {
+  for (const auto& id : ctx_.view().dependencies().unrecorded_cancellations()) {
     if (ids.size() >= max_records) break;
     // One batch at a time: only garbage collection waits for these records.
     if (in_progress_.contains(id)) return;
--- a/src/scheduler/reported_progress.cpp
+++ b/src/scheduler/reported_progress.cpp
@@ -13,7 +13,7 @@
     known.term = report.term;
     // Copies may arrive late and in any order: a release under a generation stays valid.
     for (const auto& released : job.released)
-      state_store::released_under(known.progress.released, released.generation).add(released.tasks);
+      state_store::find_or_add_released(known.progress.released, released.generation).add(released.tasks);
   }
 }
 
--- a/src/shard/granted_jobs.cpp
+++ b/src/shard/granted_jobs.cpp
@@ -16,7 +16,7 @@
   for (const auto& [index, task] : job.granted_tasks) {
     if (task.status == Status::kDone) progress.done.add(index);
     if (task.status == Status::kReleased)
-      state_store::released_under(progress.released, task.generation).add(index);
+      state_store::find_or_add_released(progress.released, task.generation).add(index);
   }
   return progress;
 }
--- a/src/state_store/client.cpp
+++ b/src/state_store/client.cpp
@@ -76,7 +76,7 @@
   if (!spdlog::should_log(spdlog::level::debug)) return;
   std::map<std::string, int> counts;
   for (const auto& write : txn.writes)
-    ++counts[write.key.substr(0, write.key.find('/', kPrefix.size())) + (write.value ? "" : ":deleted")];
+    ++counts[write.key.substr(0, write.key.find('/', kKeyPrefix.size())) + (write.value ? "" : ":deleted")];
   for (const auto& [key, count] : counts) spdlog::debug("state_store_writes key={} count={}", key, count);
 }
 
--- a/src/state_store/controller_liveness.cpp
+++ b/src/state_store/controller_liveness.cpp
@@ -31,8 +31,8 @@
 bool ControllerLiveness::all_support(std::uint32_t version,
                                      const std::vector<ControllerName>& controllers) const {
   return std::all_of(controllers.begin(), controllers.end(), [&](const ControllerName& controller) {
-    auto highest = versions_.value.find(controller);
-    if (highest == versions_.value.end() || highest->second < version) return false;
+    auto recorded = versions_.value.find(controller);
+    if (recorded == versions_.value.end() || recorded->second < version) return false;
     return advertised_version(controller).value_or(version) >= version;
   });
 }
--- a/src/state_store/controller_liveness.h
+++ b/src/state_store/controller_liveness.h
@@ -1,4 +1,5 @@
-// Which controllers are alive, and which format versions they support.
+// Tracks which controllers are alive and which format versions they support, from their records in the state
+// store.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +12,24 @@
 
 namespace beaconsill::state_store {
 
-// Built from the liveness records, which disappear with a controller's lease, and from the record of the
-// highest versions ever advertised. Each `apply_...` returns whether the change is newer than what is known,
-// and throws ProtocolError for a value that isn't understood. Not thread-safe.
+// Combines the liveness records, which the state store deletes when a controller's lease expires, with the
+// record of the highest format versions ever advertised. Each `apply_...` function returns whether the change
+// is newer than the stored entry, and throws ProtocolError for a malformed value. Not thread-safe.
 class ControllerLiveness {
  public:
   bool apply_alive(const ControllerName& controller, const protocol::Change& change);
   bool apply_versions(const protocol::Change& change);
   void clear();
 
-  // Whether the controller has a liveness record.
+  // Returns whether the controller has a liveness record.
   bool alive(const ControllerName& controller) const;
-  // The format version that the controller's running process advertises; none: it isn't alive.
+  // Returns the format version that the controller's running process advertises, or std::nullopt if the
+  // controller isn't alive.
   std::optional<std::uint32_t> advertised_version(const ControllerName& controller) const;
-  // The highest format versions ever advertised, as recorded.
+  // Returns the recorded highest format version that each controller has ever advertised.
   const Versioned<Versions>& versions() const { return versions_; }
-  // Whether all these controllers have advertised this version, and none that is alive advertises a lower
-  // one.
+  // Returns whether each of these controllers has advertised at least `version` at some time and none that is
+  // alive advertises a lower version now.
   bool all_support(std::uint32_t version, const std::vector<ControllerName>& controllers) const;
 
  private:
--- a/src/state_store/dependencies.cpp
+++ b/src/state_store/dependencies.cpp
@@ -5,8 +5,8 @@
 
 namespace beaconsill::state_store {
 
-void Dependencies::on_record(const JobId& job, const std::vector<JobId>& depends_on,
-                             const Lookup& terminal_record_of) {
+void Dependencies::on_job_record(const JobId& job, const std::vector<JobId>& depends_on,
+                                 const TerminalRecordLookup& terminal_record_of) {
   if (depends_on.empty()) return;
   auto [it, inserted] = dependents_.try_emplace(job);
   if (!inserted) return;
@@ -21,23 +21,23 @@
       dependent.ready_since = std::max(dependent.ready_since, record->completed_at);
       continue;
     }
-    ++dependent.unfinished;
+    ++dependent.unfinished_count;
     if (record) {
       root = dependency;
-    } else if (const auto* through = cancelled_by(dependency)) {
-      root = *through;
+    } else if (const auto* cancelled_root = cancelled_by(dependency)) {
+      root = *cancelled_root;
     } else {
       dependents_of_[dependency].insert(job);
     }
   }
   if (!root || dependent.has_terminal_record) return;
   dependent.cancelled_by = root;
-  unrecorded_.insert(job);
-  // Changes may be read in any order: what depends on this job may have been there before it.
+  unrecorded_cancellations_.insert(job);
+  // Records may be read in any order, so dependents of this job may have been added before it.
   cancel_dependents(job, *root);
 }
 
-void Dependencies::on_record_dropped(const JobId& job) {
+void Dependencies::on_job_record_deleted(const JobId& job) {
   auto it = dependents_.find(job);
   if (it == dependents_.end()) return;
   for (const auto& dependency : it->second.depends_on) {
@@ -47,12 +47,12 @@
     list->second.erase(job);
     if (list->second.empty()) dependents_of_.erase(list);
   }
-  unrecorded_.erase(job);
+  unrecorded_cancellations_.erase(job);
   dependents_.erase(it);
 }
 
 void Dependencies::on_terminal_record(const JobId& job, const TerminalRecord& record) {
-  unrecorded_.erase(job);
+  unrecorded_cancellations_.erase(job);
   if (auto own = dependents_.find(job); own != dependents_.end()) own->second.has_terminal_record = true;
   if (record.state == TerminalState::kCancelled) return cancel_dependents(job, job);
   auto list = dependents_of_.extract(job);
@@ -61,11 +61,11 @@
     ++visited_count_;
     auto& dependent = dependents_.at(id);
     dependent.ready_since = std::max(dependent.ready_since, record.completed_at);
-    if (--dependent.unfinished == 0) changed_.push_back(id);
+    if (--dependent.unfinished_count == 0) changed_.push_back(id);
   }
 }
 
-// A list of what is left to do instead of recursion: chains may be thousands of jobs long.
+// Iterates over a work list instead of recursing, because dependency chains may be thousands of jobs long.
 void Dependencies::cancel_dependents(const JobId& job, const JobId& root) {
   std::vector<JobId> cancelled{job};
   while (!cancelled.empty()) {
@@ -77,7 +77,7 @@
       auto& dependent = dependents_.at(id);
       if (dependent.cancelled_by || dependent.has_terminal_record) continue;
       dependent.cancelled_by = root;
-      unrecorded_.insert(id);
+      unrecorded_cancellations_.insert(id);
       changed_.push_back(id);
       cancelled.push_back(id);
     }
@@ -87,19 +87,19 @@
 void Dependencies::clear() {
   dependents_.clear();
   dependents_of_.clear();
-  unrecorded_.clear();
+  unrecorded_cancellations_.clear();
   changed_.clear();
 }
 
 bool Dependencies::waiting(const JobId& job) const {
   auto it = dependents_.find(job);
-  return it != dependents_.end() && it->second.unfinished > 0;
+  return it != dependents_.end() && it->second.unfinished_count > 0;
 }
 
-std::optional<WallMs> Dependencies::ready_since(const JobId& job, WallMs if_unknown) const {
+std::optional<WallMs> Dependencies::ready_since(const JobId& job, WallMs fallback) const {
   auto it = dependents_.find(job);
-  if (it == dependents_.end() || it->second.unfinished > 0) return std::nullopt;
-  return it->second.ready_since.value_or(if_unknown);
+  if (it == dependents_.end() || it->second.unfinished_count > 0) return std::nullopt;
+  return it->second.ready_since.value_or(fallback);
 }
 
 const JobId* Dependencies::cancelled_by(const JobId& job) const {
--- a/src/state_store/dependencies.h
+++ b/src/state_store/dependencies.h
@@ -1,7 +1,8 @@
-// Which jobs wait for which, and what follows from how those ended. A job starts only after every job that it
-// depends on is done; it's cancelled as soon as one of them is, directly or through others. Both are
-// functions of records that are written once and never changed (the job's and the terminal record): every
-// controller that has read the same records comes to the same result, and no later record takes it back.
+// Tracks the dependencies between jobs and derives which jobs are ready and which are cancelled. A job starts
+// only after every job that it depends on is done; it is cancelled as soon as one of its direct or transitive
+// dependencies is cancelled. Both states are functions of records that are written once and never changed
+// (job records and terminal records): every controller that has read the same records derives the same
+// states, and no later record reverts them.
 #pragma once
 
 #include <cstdint>
@@ -18,46 +19,49 @@
 // Not thread-safe; StateView owns it.
 class Dependencies {
  public:
-  // The terminal record of a job; null: there is none.
-  using Lookup = std::function<const TerminalRecord*(const JobId&)>;
+  // Returns the terminal record of a job, or null if it has none.
+  using TerminalRecordLookup = std::function<const TerminalRecord*(const JobId&)>;
 
-  // The record of a job with dependencies was read. Repeating it changes nothing.
-  void on_record(const JobId& job, const std::vector<JobId>& depends_on, const Lookup& terminal_record_of);
-  // The record was deleted, which happens only once the job has a terminal record of its own.
-  void on_record_dropped(const JobId& job);
-  // The terminal record of any job was read.
+  // Adds a job with its dependencies after its record was read. Repeated calls for a job have no effect.
+  void on_job_record(const JobId& job, const std::vector<JobId>& depends_on,
+                     const TerminalRecordLookup& terminal_record_of);
+  // Removes a job after its record was deleted, which happens only once the job has a terminal record.
+  void on_job_record_deleted(const JobId& job);
+  // Updates the dependents of `job` after its terminal record was read. `job` may be any job.
   void on_terminal_record(const JobId& job, const TerminalRecord& record);
   void clear();
 
-  // Whether some job that this one depends on isn't done yet.
+  // Returns whether at least one job that this one depends on isn't done yet.
   bool waiting(const JobId& job) const;
-  // When the last job that it depends on was done, `if_unknown` if no record says so; none: it waits, or
-  // depends on nothing.
-  std::optional<WallMs> ready_since(const JobId& job, WallMs if_unknown) const;
-  // The job whose recorded cancellation reaches this one through its dependencies; null: none does.
+  // Returns when the last dependency of the job was done, or `fallback` if no terminal record has a
+  // completion time. Returns std::nullopt if the job still waits for a dependency, or has no dependencies.
+  std::optional<WallMs> ready_since(const JobId& job, WallMs fallback) const;
+  // Returns the direct or transitive dependency whose recorded cancellation cancels this job, or null if
+  // there is none.
   const JobId* cancelled_by(const JobId& job) const;
-  // Cancelled through others, without a terminal record of their own yet.
-  const std::set<JobId>& unrecorded() const { return unrecorded_; }
-  // Jobs that have become ready, or were cancelled through others, since the last call.
+  // Returns the jobs that are cancelled because a dependency is, but have no terminal record yet.
+  const std::set<JobId>& unrecorded_cancellations() const { return unrecorded_cancellations_; }
+  // Returns the jobs that have become ready, or were cancelled because a dependency was, since the last call.
   std::vector<JobId> take_changed();
-  // Jobs looked at so far: an event must cost no more than the jobs whose state it changes.
+  // Returns how many jobs were visited so far. Tests use it to check that an event visits no more jobs than
+  // those whose state it changes.
   std::uint64_t visited_count() const { return visited_count_; }
 
  private:
   struct Dependent {
     std::vector<JobId> depends_on;
-    std::size_t unfinished = 0;  // of them, those that aren't done
+    std::size_t unfinished_count = 0;  // of `depends_on`, how many aren't done
     std::optional<WallMs> ready_since;
     std::optional<JobId> cancelled_by;
     bool has_terminal_record = false;
   };
-  // `job` is cancelled: so is all that depends on it.
+  // Marks all direct and transitive dependents of the cancelled job `job` as cancelled by `root`.
   void cancel_dependents(const JobId& job, const JobId& root);
 
   std::unordered_map<JobId, Dependent> dependents_;
-  // By a job without a terminal record, those that depend on it.
+  // Direct dependents by dependency, only for dependencies that are neither done nor cancelled.
   std::unordered_map<JobId, std::set<JobId>> dependents_of_;
-  std::set<JobId> unrecorded_;
+  std::set<JobId> unrecorded_cancellations_;
   std::vector<JobId> changed_;
   std::uint64_t visited_count_ = 0;
 };
--- a/src/state_store/job.cpp
+++ b/src/state_store/job.cpp
@@ -10,7 +10,7 @@
   return {};
 }
 
-Ranges& released_under(std::vector<ReleasedTasks>& released, Generation generation) {
+Ranges& find_or_add_released(std::vector<ReleasedTasks>& released, Generation generation) {
   auto it = std::find_if(released.begin(), released.end(),
                          [&](const ReleasedTasks& entry) { return entry.generation == generation; });
   if (it == released.end()) it = released.insert(it, {generation, {}});
--- a/src/state_store/job.h
+++ b/src/state_store/job.h
@@ -1,4 +1,4 @@
-// What the state store holds about a job.
+// The records of one job in the state store, and the task sets derived from them.
 #pragma once
 
 #include <map>
@@ -12,24 +12,26 @@
 
 struct Job {
   JobRecord record;
-  Revision created;
-  bool complete = false;  // the record and all keys of its dependencies have been read
+  Revision created;       // revision of the job record; 0 if there is none
+  bool complete = false;  // whether the record and all keys of its dependencies have been read
   Versioned<Grants> grants;
   std::map<ShardId, Versioned<Progress>> progress;
 
-  // Tasks that a shard has recorded as done.
+  // Returns the tasks that any shard has recorded as done.
   Ranges done() const;
-  // Tasks granted to a shard, neither done nor released: they may be on one of its machines.
+  // Returns the tasks that are granted to the shard and neither done nor released. They may be running on one
+  // of its machines.
   Ranges outstanding(ShardId shard) const;
-  // The same for all shards.
+  // Returns the outstanding tasks of all shards.
   Ranges outstanding() const;
-  // Those of a chunk that its shard hasn't recorded as released.
+  // Returns the tasks of the chunk that its shard hasn't recorded as released.
   Ranges unreleased(const Chunk& chunk) const;
 };
 
-// The tasks of a chunk that the shard has released.
+// Returns the tasks of the grant with this generation that the shard has released.
 Ranges released_tasks(const Progress& progress, Generation generation);
-// The same in a list, to be added to. An empty entry is appended if there is none.
-Ranges& released_under(std::vector<ReleasedTasks>& released, Generation generation);
+// Returns the released tasks of this generation for modification. Appends an empty entry to the list if the
+// generation has none.
+Ranges& find_or_add_released(std::vector<ReleasedTasks>& released, Generation generation);
 
 }  // namespace beaconsill::state_store
--- a/src/state_store/job_index.cpp
+++ b/src/state_store/job_index.cpp
@@ -23,12 +23,12 @@
     job.created = change.value ? change.revision : Revision();
     job.complete = false;
     if (!job.record.spec) {
-      result = RecordChange::kDropped;
-    } else if (complete(id, job)) {
+      result = RecordChange::kDeleted;
+    } else if (try_complete(id, job)) {
       result = RecordChange::kCompleted;
     }
   }
-  erase_if_unknown(id);
+  erase_if_empty(id);
   return result;
 }
 
@@ -40,12 +40,12 @@
   if (keys.empty()) dependency_keys_.erase(id);
   auto job = jobs_.find(id);
   if (job == jobs_.end() || !job->second.record.spec) return RecordChange::kNone;
-  return complete(id, job->second) ? RecordChange::kCompleted : RecordChange::kNone;
+  return try_complete(id, job->second) ? RecordChange::kCompleted : RecordChange::kNone;
 }
 
 void JobIndex::apply_grants(const JobId& id, const protocol::Change& change) {
   update(jobs_[id].grants, change, parse_grants);
-  erase_if_unknown(id);
+  erase_if_empty(id);
 }
 
 void JobIndex::apply_progress(const JobId& id, ShardId shard, const protocol::Change& change) {
@@ -53,7 +53,7 @@
   auto& recorded = progress[shard];
   update(recorded, change, parse_progress);
   if (!recorded.exists()) progress.erase(shard);
-  erase_if_unknown(id);
+  erase_if_empty(id);
 }
 
 void JobIndex::clear() {
@@ -61,14 +61,15 @@
   dependency_keys_.clear();
 }
 
-void JobIndex::erase_if_unknown(const JobId& id) {
+void JobIndex::erase_if_empty(const JobId& id) {
   auto it = jobs_.find(id);
   const auto& job = it->second;
   if (!job.record.spec && !job.grants.exists() && job.progress.empty()) jobs_.erase(it);
 }
 
-// Pages are read one after the other, so a record may come before keys that were written earlier.
-bool JobIndex::complete(const JobId& id, Job& job) const {
+// Pages are read one after the other, so a job record may be read before dependency keys that were written
+// earlier.
+bool JobIndex::try_complete(const JobId& id, Job& job) const {
   if (job.complete) return false;
   const auto key_count = job.record.dependency_keys;
   if (key_count > 0) {
--- a/src/state_store/machine_registry.cpp
+++ b/src/state_store/machine_registry.cpp
@@ -15,24 +15,24 @@
   return segments;
 }
 
-// The highest format version that all controllers support.
+// Returns the highest format version that all controllers support.
 std::uint32_t supported_version(const StateView& view, const std::vector<ControllerName>& controllers) {
   auto version = kFormatVersion;
   while (version > 0 && !view.all_support(version, controllers)) --version;
   return version;
 }
 
-// The lowest format version that reads all keys that hold machines now.
+// Returns the lowest format version that can read all keys of the registry that currently contain machines.
 std::uint32_t min_reader_version(const StateView::Registry& registry) {
-  std::uint32_t since = 0;
+  std::uint32_t version = 0;
   for (const auto& [key, machines] : registry)
-    if (!machines.value.empty()) since = std::max(since, registry_key_since(key));
-  return since;
+    if (!machines.value.empty()) version = std::max(version, registry_key_min_version(key));
+  return version;
 }
 
-protocol::Txn raise_role(ShardId shard, const Versioned<Role>& role, std::uint32_t since) {
+protocol::Txn raise_min_reader_version(ShardId shard, const Versioned<Role>& role, std::uint32_t version) {
   auto raised = role.value;
-  raised.min_reader_version = since;
+  raised.min_reader_version = version;
   return {{{shard_role_key(shard), role.revision}}, {{shard_role_key(shard), to_json(raised), std::nullopt}}};
 }
 
@@ -51,7 +51,7 @@
                                           const RegistryLimits& limits) {
   const auto& role = view.shard_role(shard);
   const auto max_segments = readable_segments(supported_version(view, controllers));
-  auto since = min_reader_version(view.registry(shard));
+  auto required_version = min_reader_version(view.registry(shard));
   TxnDraft draft(limits.txn_ops);
   draft.require({shard_role_key(shard), role.revision});
   bool full = false;
@@ -64,10 +64,11 @@
       full = !draft.add({{key, view.machines(shard, number).revision}},
                         {{key, to_json(machines), std::nullopt}});
       if (full) break;
-      since = std::max(since, registry_key_since(number));
+      required_version = std::max(required_version, registry_key_min_version(number));
     }
   }
-  if (since > role.value.min_reader_version) return raise_role(shard, role, since);
+  if (required_version > role.value.min_reader_version)
+    return raise_min_reader_version(shard, role, required_version);
   if (draft.empty()) return std::nullopt;
   return draft.txn();
 }
--- a/src/state_store/record_keys.h
+++ b/src/state_store/record_keys.h
@@ -1,4 +1,4 @@
-// The keys of the service's records in the state store.
+// Builds and parses the keys of records in the state store, and assigns machines to registry keys.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +10,20 @@
 
 namespace beaconsill::state_store {
 
-// All keys of the service begin with it.
-constexpr std::string_view kPrefix = "beaconsill/";
+// The common prefix of all keys of the service.
+constexpr std::string_view kKeyPrefix = "beaconsill/";
 
 std::string job_key(const JobId& id);
 std::string terminal_key(const JobId& id);
-// One of the further keys that hold the dependencies of a job, by their number from 0 on.
+// The key of an additional segment of a job's dependencies. Segments are numbered from 0.
 std::string dependency_key(const JobId& id, std::uint32_t segment);
 std::string grants_key(const JobId& id);
 std::string progress_key(ShardId shard, const JobId& id);
-// A key of a shard's machine registry by its number, see kMachineBuckets.
+// The key with this number in a shard's machine registry, see kMachineBuckets.
 std::string machines_key(ShardId shard, std::uint32_t number);
 std::string shard_role_key(ShardId shard);
 std::string leader_role_key();
-// The liveness record of a controller.
+// The key of a controller's liveness record.
 std::string alive_key(const ControllerName& controller);
 std::string versions_key();
 
@@ -40,25 +40,26 @@
   kVersions
 };
 
-// A key taken apart.
+// The components of a key. Those that the kind of record doesn't use have their default values.
 struct RecordKey {
   RecordKind kind = RecordKind::kJob;
-  std::string name;          // the job's id, or the controller's name of a liveness record
-  ShardId shard;             // of progress, of machines and of a shard's role
-  std::uint32_t number = 0;  // of a key of dependencies or machines
+  std::string name;          // the job's ID, or for liveness records the controller's name
+  ShardId shard;             // for progress, machines and a shard's role
+  std::uint32_t number = 0;  // for dependencies the segment, for machines the number of the registry key
 };
 
-// None for a key that isn't one of the service's records.
+// Returns std::nullopt if the key doesn't belong to one of the service's records.
 std::optional<RecordKey> parse_key(std::string_view key);
 
-// The machines of a shard are spread over buckets by their names. A bucket that outgrows one value goes on in
-// further keys: segment K of bucket B is the key B + K * kMachineBuckets, for any K that the format version
-// which all controllers know allows.
+// The machines of a shard are distributed over this many buckets by a hash of their names. A bucket that
+// exceeds the size limit of a value is continued in further segments: segment K of bucket B has the registry
+// key number B + K * kMachineBuckets. The highest format version that all controllers support limits K.
 constexpr std::uint32_t kMachineBuckets = 16;
+// Returns the bucket of the machine.
 std::uint32_t machine_bucket(const MachineName& name);
-// How many segments of a bucket a controller of this format version reads.
+// Returns how many segments of a bucket a controller of this format version reads.
 std::uint32_t readable_segments(std::uint32_t version);
-// The lowest format version that reads this key of a registry.
-std::uint32_t registry_key_since(std::uint32_t number);
+// Returns the lowest format version that reads the registry key with this number.
+std::uint32_t registry_key_min_version(std::uint32_t number);
 
 }  // namespace beaconsill::state_store
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -12,14 +12,15 @@
 using protocol::Json;
 using protocol::ProtocolError;
 
-// The field that names the holder of a role, by the lowest format version that is to read it.
-constexpr std::array<const char*, 3> kHolderFields{"node", "holder", "owner"};
+// The field that names the controller of a role, indexed by the lowest format version that must be able to
+// read the role.
+constexpr std::array<const char*, 3> kControllerFields{"node", "holder", "owner"};
 
 Ranges parse_ranges(const Json& json, const char* field) {
   const Json& text = protocol::need(json, field);
   if (!text.is_string()) throw protocol::field_error(field, "is not a string");
   auto ranges = Ranges::parse(text.get_ref<const std::string&>());
-  if (!ranges) throw protocol::field_error(field, "is not a set of ranges");
+  if (!ranges) throw protocol::field_error(field, "is not a list of ranges such as 0-9,12");
   return *ranges;
 }
 
@@ -30,7 +31,9 @@
 }
 
 Priority parse_priority(std::uint64_t number) {
-  if (number >= kPriorities) throw ProtocolError("a priority is out of range");
+  if (number >= kPriorities)
+    throw ProtocolError("q has the priority " + std::to_string(number) + ", which is not less than " +
+                        std::to_string(kPriorities));
   return static_cast<Priority>(number);
 }
 
@@ -73,7 +76,7 @@
   if (completed_at <= WallMs()) completed_at.reset();
   if (state == "done") return {TerminalState::kDone, done, completed_at};
   if (state == "cancelled") return {TerminalState::kCancelled, done, completed_at};
-  throw ProtocolError("end is unknown");
+  throw ProtocolError("end is neither done nor cancelled but " + state);
 }
 
 namespace {
@@ -138,15 +141,15 @@
 }
 
 Json to_json(const Role& role) {
-  const auto since = std::min<std::size_t>(role.min_reader_version, kHolderFields.size() - 1);
-  return {{kHolderFields[since], role.controller.value()}, {"term", role.term.value()}};
+  const auto version = std::min<std::size_t>(role.min_reader_version, kControllerFields.size() - 1);
+  return {{kControllerFields[version], role.controller.value()}, {"term", role.term.value()}};
 }
 
 Role parse_role(const Json& json) {
-  std::uint32_t since = kHolderFields.size() - 1;
-  while (since > 0 && !protocol::find(json, kHolderFields[since])) --since;
-  return {ControllerName(protocol::get_string(json, kHolderFields[since])),
-          Term(protocol::get_count(json, "term")), since};
+  std::uint32_t version = kControllerFields.size() - 1;
+  while (version > 0 && !protocol::find(json, kControllerFields[version])) --version;
+  return {ControllerName(protocol::get_string(json, kControllerFields[version])),
+          Term(protocol::get_count(json, "term")), version};
 }
 
 Json to_json(const Versions& versions) {
@@ -160,7 +163,9 @@
   if (!advertised.is_object()) throw ProtocolError("shown is not an object");
   Versions versions;
   for (const auto& [controller, version] : advertised.items()) {
-    if (!version.is_number_unsigned()) throw ProtocolError("a version is not a non-negative integer");
+    if (!version.is_number_unsigned())
+      throw ProtocolError("shown has a version for controller " + controller +
+                          " that is not a non-negative integer");
     versions[ControllerName(controller)] = version.get<std::uint32_t>();
   }
   return versions;
--- a/src/state_store/state_view.cpp
+++ b/src/state_store/state_view.cpp
@@ -40,8 +40,8 @@
   return it == keys.end() ? kNone : it->second;
 }
 
-// Found by reading the code: a leader that kept jobs which were deleted while it couldn't read would grant
-// their tasks again and again, and each such transaction fails with all that it holds.
+// Everything must be erased: a leader that retained jobs which were deleted while it couldn't read would
+// grant their tasks repeatedly, and each such transaction fails together with all the other grants in it.
 void StateView::clear() {
   for (const auto& [id, job] : jobs_.jobs()) changes_.jobs.insert(id);
   for (const auto& [id, record] : terminal_records_.all()) changes_.jobs.insert(id);
@@ -61,7 +61,8 @@
   return std::exchange(changes_, {});
 }
 
-// The protocol promises no order within a response, and its example lists a deletion after a newer change.
+// The protocol guarantees no order of the changes in a response; its own example lists a deletion after a
+// change of a later revision.
 void StateView::apply_all(std::vector<protocol::Change> changes) {
   std::stable_sort(changes.begin(), changes.end(),
                    [](const auto& left, const auto& right) { return left.revision < right.revision; });
@@ -69,8 +70,9 @@
 }
 
 void StateView::apply(const protocol::Change& change) {
-  // Found by reading the code: the late response to an own transaction brought back a key that a read had
-  // already seen deleted, for good.
+  // A deleted key has no entry whose revision could reject an older change. Without this check the late
+  // response to this controller's own transaction would permanently restore a key that a read has already
+  // seen deleted.
   if (change.revision <= complete_to_) return;
   const auto key = parse_key(change.key);
   if (!key) return;
@@ -130,9 +132,9 @@
 }
 
 void StateView::update_dependencies(const JobId& id, JobIndex::RecordChange change) {
-  if (change == JobIndex::RecordChange::kDropped) return dependencies_.on_record_dropped(id);
+  if (change == JobIndex::RecordChange::kDeleted) return dependencies_.on_job_record_deleted(id);
   if (change != JobIndex::RecordChange::kCompleted) return;
-  dependencies_.on_record(id, job(id)->record.spec->depends_on, [this](const JobId& dependency) {
+  dependencies_.on_job_record(id, job(id)->record.spec->depends_on, [this](const JobId& dependency) {
     const auto& record = terminal_record(dependency);
     return record.exists() ? &record.value : nullptr;
   });
--- a/src/state_store/state_view.h
+++ b/src/state_store/state_view.h
@@ -1,4 +1,4 @@
-// The state store's content as this controller knows it, in typed form.
+// Maintains this controller's local copy of the state store's records in typed form.
 #pragma once
 
 #include <algorithm>
@@ -18,47 +18,51 @@
 
 namespace beaconsill::state_store {
 
-// An index of all records, and a log of what has changed in it. Changes may arrive in any order and more than
-// once: for each key the one with the highest version stands. Not thread-safe; WatchCache owns it.
+// An index of all records that also collects which of them have changed. Changes may arrive in any order and
+// more than once; for each key the change with the highest revision wins. Not thread-safe; WatchCache owns
+// it.
 class StateView {
  public:
-  // What a number of changes touched.
+  // The jobs, roles and registries affected by a series of changes.
   struct ChangeSet {
     std::set<JobId> jobs;
-    bool roles = false;  // roles, liveness or versions
-    std::set<ShardId> machines;
+    bool roles = false;          // whether a role, a liveness record or the record of versions changed
+    std::set<ShardId> machines;  // shards whose registry changed
     bool any() const { return roles || !jobs.empty() || !machines.empty(); }
   };
 
-  // A value that isn't understood is logged and left out.
+  // Applies one change. A malformed value is logged and ignored.
   void apply(const protocol::Change& change);
-  // Changes read together, in whatever order they are listed.
+  // Applies changes that were read together, in the order of their revisions and not as listed.
   void apply_all(std::vector<protocol::Change> changes);
-  // All changes up to this revision were applied.
-  void complete_to(Revision revision) { complete_to_ = std::max(complete_to_, revision); }
-  // Forgets everything, for a new load. All that was known counts as touched: it may not come back.
+  // Records that all changes up to this revision were applied. Later calls of `apply` ignore such changes.
+  void mark_complete_up_to(Revision revision) { complete_to_ = std::max(complete_to_, revision); }
+  // Erases all records before a full reload. Reports all of them as changed, because the reload may not
+  // restore them.
   void clear();
-  // What has changed since the last call.
+  // Returns what has changed since the last call.
   ChangeSet take_changes();
 
   const std::map<JobId, Job>& jobs() const { return jobs_.jobs(); }
-  // Null: not known, or not all of its keys have been read.
+  // Returns null if the job is unknown or not all of its keys have been read.
   const Job* job(const JobId& id) const { return jobs_.find(id); }
   using DependencyKeys = state_store::DependencyKeys;
   const DependencyKeys& dependency_keys(const JobId& id) const { return jobs_.dependency_keys(id); }
-  // All jobs that have such keys, also those whose record was deleted or never written.
+  // Returns all additional dependency keys, including those of jobs whose record was deleted or never
+  // written.
   const std::map<JobId, DependencyKeys>& all_dependency_keys() const { return jobs_.all_dependency_keys(); }
 
-  // How the job ended, by its own record or since a dependency was cancelled. Final.
+  // Returns the terminal state from the job's own record, or kCancelled if a direct or transitive dependency
+  // was cancelled. Returns std::nullopt if the job hasn't ended. A terminal state never changes.
   std::optional<TerminalState> terminal_state(const JobId& id) const;
-  // Which jobs wait for which, and what follows from that.
   const Dependencies& dependencies() const { return dependencies_; }
-  // The revision of the record that ended the job: its own, or that of the job through which it's cancelled.
+  // Returns the revision of the terminal record that determines the job's terminal state: its own, or that of
+  // the dependency whose cancellation cancelled it. Returns revision 0 if the job hasn't ended.
   Revision terminal_revision(const JobId& id) const;
   const Versioned<TerminalRecord>& terminal_record(const JobId& id) const {
     return terminal_records_.find(id);
   }
-  // All jobs with the record of a cancellation, the oldest first.
+  // Returns all jobs with a recorded cancellation, ordered by the revision of the record.
   const std::set<protocol::CancelledJob>& cancelled() const { return terminal_records_.cancelled(); }
 
   const Versioned<Role>& leader() const { return leader_; }
@@ -74,9 +78,9 @@
     return controllers_.all_support(version, controllers);
   }
 
-  // One key of a shard's registry.
+  // Returns the machines in one key of a shard's registry.
   const Versioned<std::vector<MachineRecord>>& machines(ShardId shard, std::uint32_t key) const;
-  // All keys of a shard's registry that exist, by their number.
+  // The values of a shard's registry keys by key number. Deleted keys have no machines.
   using Registry = std::map<std::uint32_t, Versioned<std::vector<MachineRecord>>>;
   const Registry& registry(ShardId shard) const;
 
--- a/src/state_store/terminal_records.h
+++ b/src/state_store/terminal_records.h
@@ -1,4 +1,4 @@
-// The terminal records of jobs: whether they are done or cancelled.
+// Indexes the terminal records of jobs, which state whether a job is done or cancelled.
 #pragma once
 
 #include <set>
@@ -13,14 +13,14 @@
 // Not thread-safe.
 class TerminalRecords {
  public:
-  // Applies a change if it's newer than what is known. Returns the record if there is a new one, else null.
-  // Throws ProtocolError for a value that isn't understood.
+  // Applies a change if it is newer than the stored record. Returns the new record, or null if the change was
+  // stale or deleted the record. Throws ProtocolError for a malformed value.
   const TerminalRecord* apply(const JobId& id, const protocol::Change& change);
   void clear();
 
-  // Version 0: none is recorded.
+  // Returns an entry with revision 0 if the job has no terminal record.
   const Versioned<TerminalRecord>& find(const JobId& id) const;
-  // All jobs with the record of a cancellation, the oldest first.
+  // Returns all jobs with a recorded cancellation, ordered by the revision of the record.
   const std::set<protocol::CancelledJob>& cancelled() const { return cancelled_; }
   const std::unordered_map<JobId, Versioned<TerminalRecord>>& all() const { return records_; }
 
--- a/src/state_store/value_sizes.cpp
+++ b/src/state_store/value_sizes.cpp
@@ -17,7 +17,7 @@
 
 void add(Progress& progress, const Span& span) {
   if (!span.released) return progress.done.add_span(span.first, span.end);
-  released_under(progress.released, *span.released).add_span(span.first, span.end);
+  find_or_add_released(progress.released, *span.released).add_span(span.first, span.end);
 }
 
 std::vector<Span> spans_of(const Progress& progress) {
--- a/src/state_store/versioned.h
+++ b/src/state_store/versioned.h
@@ -1,4 +1,4 @@
-// A value of the state store with the revision that wrote it.
+// Pairs a parsed value from the state store with the revision that wrote it.
 #pragma once
 
 #include "protocol/state_store.h"
@@ -8,12 +8,12 @@
 template <class T>
 struct Versioned {
   T value{};
-  Revision revision;  // 0: the key doesn't exist
+  Revision revision;  // 0 if the key doesn't exist
   bool exists() const { return revision.value() != 0; }
 };
 
-// Applies a change if it's newer than the entry. Returns whether it was. Throws what `parse` throws, and then
-// leaves the entry as it is.
+// Applies the change if it is newer than the entry, and returns whether it was. If `parse` throws, the
+// exception propagates and the entry stays unchanged.
 template <class T, class Parse>
 bool update(Versioned<T>& entry, const protocol::Change& change, Parse parse) {
   if (change.revision <= entry.revision) return false;
--- a/src/state_store/watch_cache.cpp
+++ b/src/state_store/watch_cache.cpp
@@ -63,7 +63,7 @@
 // page's revision.
 void WatchCache::load(const std::string& after) {
   const bool first = after.empty();
-  client_->get(protocol::page_target(kPrefix, after, kPageItems), Urgency::kElection,
+  client_->get(protocol::page_target(kKeyPrefix, after, kPageItems), Urgency::kElection,
                [weak = weak_from_this(), first](const ReadResult& result) {
                  if (auto self = weak.lock(); self && !self->stopped_) self->on_page(result, first);
                });
@@ -106,7 +106,7 @@
 void WatchCache::read() {
   const auto started = read_started_ = clock_.now();
   std::swap(active_syncs_, waiting_syncs_);
-  const auto target = protocol::watch_target(kPrefix, ready_ ? revision_ : load_revision_, 0);
+  const auto target = protocol::watch_target(kKeyPrefix, ready_ ? revision_ : load_revision_, 0);
   client_->get(target, Urgency::kUserRequest, [weak = weak_from_this(), started](const ReadResult& result) {
     if (auto self = weak.lock(); self && !self->stopped_) self->on_read(result, started);
   });
@@ -155,7 +155,7 @@
   std::erase_if(changes.changes, [&](const auto& change) { return deleted_later(change); });
   view_.apply_all(std::move(changes.changes));
   revision_ = std::max(revision_, changes.revision);
-  view_.complete_to(revision_);
+  view_.mark_complete_up_to(revision_);
   std::erase_if(own_deletions_, [&](const auto& deletion) { return deletion.second <= revision_; });
   up_to_date_at_ = started;
   ready_ = true;
--- a/tests/encoding_samples_records_test.cpp
+++ b/tests/encoding_samples_records_test.cpp
@@ -1,6 +1,6 @@
-// Samples of the keys and values that this program stores in the state store, written down byte by byte,
-// and of the values that the version in production (commit 60b8ce84) stores. A change of an encoding fails
-// here.
+// Compares the keys and values that this program stores in the state store with byte-exact samples, and
+// parses samples of the values that the version in production (commit 60b8ce84) stores. Any change of an
+// encoding fails these tests.
 #include <gtest/gtest.h>
 
 #include "state_store/records.h"
@@ -12,7 +12,7 @@
 using protocol::Json;
 using protocol::parse_json;
 
-// A value beside the bytes that it's stored as.
+// A value and its stored encoding.
 template <class Value>
 struct Sample {
   const char* name;
@@ -20,7 +20,8 @@
   const char* stored;
 };
 
-// Each value is stored as its sample, and what is parsed from the sample is stored as the same bytes again.
+// Checks that each value is encoded as its sample, and that parsing the sample and encoding the result gives
+// the same bytes again.
 template <class Value>
 void expect_samples(const std::vector<Sample<Value>>& samples, Value (*parse)(const Json&)) {
   for (const auto& sample : samples) {
@@ -29,7 +30,7 @@
   }
 }
 
-TEST(StoredKeys, AreWritten) {
+TEST(StoredKeys, MatchSamples) {
   struct Case {
     const char* name;
     std::string key;
@@ -38,8 +39,8 @@
   const JobId job("run-7");
   for (const auto& c : {
            Case{"job", job_key(job), "beaconsill/jobs/run-7"},
-           Case{"end", terminal_key(job), "beaconsill/ends/run-7"},
-           Case{"awaited jobs", dependency_key(job, 3), "beaconsill/awaits/run-7/3"},
+           Case{"terminal record", terminal_key(job), "beaconsill/ends/run-7"},
+           Case{"dependencies", dependency_key(job, 3), "beaconsill/awaits/run-7/3"},
            Case{"grants", grants_key(job), "beaconsill/grants/run-7"},
            Case{"progress", progress_key(ShardId(2), job), "beaconsill/progress/2/run-7"},
            Case{"registry", machines_key(ShardId(2), 33), "beaconsill/machines/2/33"},
@@ -47,12 +48,12 @@
            Case{"role of the leader", leader_role_key(), "beaconsill/roles/leader"},
            Case{"liveness", alive_key(ControllerName("n1")), "beaconsill/alive/n1"},
            Case{"versions", versions_key(), "beaconsill/versions"},
-           Case{"prefix of all keys", std::string(kPrefix), "beaconsill/"},
+           Case{"prefix of all keys", std::string(kKeyPrefix), "beaconsill/"},
        })
     EXPECT_EQ(c.key, c.expected) << c.name;
 }
 
-TEST(StoredKeys, MachinesStayInTheirBuckets) {
+TEST(StoredKeys, MachineBucketsOfNamesAreStable) {
   struct Case {
     const char* machine;
     std::uint32_t bucket;
@@ -62,16 +63,16 @@
   EXPECT_EQ(kMachineBuckets, 16u);
 }
 
-TEST(StoredKeys, RegistryKeysThatEachVersionReads) {
+TEST(StoredKeys, RegistryKeyNumbersHaveTheExpectedMinVersion) {
   struct Case {
-    std::uint32_t key;
-    std::uint32_t since;
+    std::uint32_t number;
+    std::uint32_t min_version;
   };
   for (const auto& c : {Case{0, 0}, Case{15, 0}, Case{16, 1}, Case{63, 1}, Case{64, 2}, Case{100000, 2}})
-    EXPECT_EQ(registry_key_since(c.key), c.since) << c.key;
+    EXPECT_EQ(registry_key_min_version(c.number), c.min_version) << c.number;
 }
 
-std::shared_ptr<const protocol::JobSpec> job_that_awaits(std::vector<JobId> depends_on) {
+std::shared_ptr<const protocol::JobSpec> job_with_dependencies(std::vector<JobId> depends_on) {
   protocol::JobSpec job;
   job.id = JobId("run-7");
   job.job_class = "serve";
@@ -82,23 +83,23 @@
   return std::make_shared<const protocol::JobSpec>(std::move(job));
 }
 
-TEST(StoredJob, Samples) {
+TEST(StoredJobRecord, MatchesSamples) {
   expect_samples<JobRecord>(
       {
-          {"without awaited jobs",
-           {job_that_awaits({}), WallMs(1700000000123)},
+          {"without dependencies",
+           {job_with_dependencies({}), WallMs(1700000000123)},
            R"({"at":1700000000123,"job":{"berth":"serve","cards":0.0,"cargo":"img-01","crew":"speech",)"
            R"("driftwood":false,"lamps":1,"markS":0.0,"memoryGb":0.0,"precedence":"standard","reckonS":0.0,)"
            R"("ref":"run-7","scatter":false,"shape":"batch","sizeGb":0.0,"stowS":0.0,"together":false,)"
            R"("vcpus":0.0}})"},
-          {"awaited jobs in the record",
-           {job_that_awaits({JobId("run-1"), JobId("run-2")}), WallMs(1700000000123)},
+          {"dependencies in the record",
+           {job_with_dependencies({JobId("run-1"), JobId("run-2")}), WallMs(1700000000123)},
            R"({"at":1700000000123,"job":{"awaits":["run-1","run-2"],"berth":"serve","cards":0.0,)"
            R"("cargo":"img-01","crew":"speech","driftwood":false,"lamps":1,"markS":0.0,"memoryGb":0.0,)"
            R"("precedence":"standard","reckonS":0.0,"ref":"run-7","scatter":false,"shape":"batch",)"
            R"("sizeGb":0.0,"stowS":0.0,"together":false,"vcpus":0.0}})"},
-          {"awaited jobs in further keys",
-           {job_that_awaits({JobId("run-1"), JobId("run-2")}), WallMs(1700000000123), 2},
+          {"dependencies in additional keys",
+           {job_with_dependencies({JobId("run-1"), JobId("run-2")}), WallMs(1700000000123), 2},
            R"({"at":1700000000123,"awaitsKeys":2,"job":{"berth":"serve","cards":0.0,"cargo":"img-01",)"
            R"("crew":"speech","driftwood":false,"lamps":1,"markS":0.0,"memoryGb":0.0,)"
            R"("precedence":"standard","reckonS":0.0,"ref":"run-7","scatter":false,"shape":"batch",)"
@@ -107,7 +108,7 @@
       parse_job_record);
 }
 
-TEST(StoredJob, OfTheVersionInProductionHasNoFurtherKeys) {
+TEST(StoredJobRecord, OfTheVersionInProductionParsesWithoutAdditionalKeys) {
   const auto record = parse_job_record(parse_json(
       R"({"at":1700000000123,"job":{"awaits":["run-1"],"berth":"serve","cards":0.0,"cargo":"img-01",)"
       R"("crew":"speech","driftwood":false,"lamps":1,"markS":0.0,"memoryGb":0.0,"precedence":"standard",)"
@@ -118,7 +119,7 @@
   EXPECT_EQ(record.submitted, WallMs(1700000000123));
 }
 
-TEST(StoredAwaitedJobs, Samples) {
+TEST(StoredDependencySegment, MatchesSamples) {
   expect_samples<DependencySegment>(
       {
           {"two jobs",
@@ -129,7 +130,7 @@
       parse_dependency_segment);
 }
 
-TEST(StoredEnd, Samples) {
+TEST(StoredTerminalRecord, MatchesSamples) {
   expect_samples<TerminalRecord>(
       {
           {"done, at a known time",
@@ -149,7 +150,7 @@
   return {Generation(9), ShardId(2), Term(41), tasks("0-47,50"), Zone("a"), true, Attempt(6), priority};
 }
 
-TEST(StoredGrants, Samples) {
+TEST(StoredGrants, MatchSamples) {
   const Chunk smallest{Generation(8), ShardId(0), Term(3), tasks("7")};
   expect_samples<Grants>(
       {
@@ -165,7 +166,7 @@
       parse_grants);
 }
 
-TEST(StoredGrants, NumberEveryPriority) {
+TEST(StoredGrants, EncodeEachPriorityAsItsNumber) {
   struct Case {
     Priority priority;
     int number;
@@ -178,7 +179,7 @@
   }
 }
 
-TEST(StoredGrants, OfTheVersionInProductionHaveNoPriorityOfTheirOwn) {
+TEST(StoredGrants, OfTheVersionInProductionParseWithoutPriority) {
   const auto grants = parse_grants(
       parse_json(R"({"chunks":[{"a":6,"g":9,"p":2,"r":"0-47,50","t":41,"x":true,"z":"a"}],"last":9})"));
   auto expected = chunk_with_all_fields(Priority::kHigh);
@@ -188,10 +189,10 @@
   EXPECT_FALSE(grants.revoke);
 }
 
-TEST(StoredProgress, Samples) {
+TEST(StoredProgress, MatchesSamples) {
   expect_samples<Progress>(
       {
-          {"done and returned",
+          {"done and released",
            {tasks("0-9,12"), {{Generation(3), tasks("13-15")}, {Generation(4), tasks("20")}}},
            R"({"done":"0-9,12","returned":[{"g":3,"r":"13-15"},{"g":4,"r":"20"}]})"},
           {"nothing", {}, R"({"done":"","returned":[]})"},
@@ -199,17 +200,17 @@
       parse_progress);
 }
 
-TEST(StoredRole, Samples) {
+TEST(StoredRole, MatchesSamples) {
   expect_samples<Role>(
       {
-          {"that every version reads", {ControllerName("n1"), Term(41), 0}, R"({"node":"n1","term":41})"},
-          {"that version 1 reads", {ControllerName("n1"), Term(41), 1}, R"({"holder":"n1","term":41})"},
-          {"that version 2 reads", {ControllerName("n1"), Term(41), 2}, R"({"owner":"n1","term":41})"},
+          {"readable from version 0 on", {ControllerName("n1"), Term(41), 0}, R"({"node":"n1","term":41})"},
+          {"readable from version 1 on", {ControllerName("n1"), Term(41), 1}, R"({"holder":"n1","term":41})"},
+          {"readable from version 2 on", {ControllerName("n1"), Term(41), 2}, R"({"owner":"n1","term":41})"},
       },
       parse_role);
 }
 
-TEST(StoredRole, OfTheVersionInProductionTellsWhoReadsIt) {
+TEST(StoredRole, OfTheVersionInProductionParsesWithItsMinReaderVersion) {
   struct Case {
     const char* stored;
     std::uint32_t min_reader_version;
@@ -222,7 +223,7 @@
   }
 }
 
-TEST(StoredMachines, Samples) {
+TEST(StoredMachines, MatchSamples) {
   expect_samples<std::vector<MachineRecord>>(
       {
           {"all fields",
@@ -236,22 +237,22 @@
       parse_machines);
 }
 
-TEST(StoredVersions, Samples) {
+TEST(StoredVersions, MatchSamples) {
   expect_samples<Versions>(
       {
-          {"of two controllers",
+          {"two controllers",
            {{ControllerName("n1"), 2}, {ControllerName("n2"), 0}},
            R"({"shown":{"n1":2,"n2":0}})"},
-          {"of none", {}, R"({"shown":{}})"},
+          {"no controllers", {}, R"({"shown":{}})"},
       },
       parse_versions);
 }
 
-TEST(StoredLiveness, IsWritten) {
+TEST(StoredLiveness, MatchesSample) {
   EXPECT_EQ(dump(alive_value()), R"({"up":true,"version":2})");
 }
 
-TEST(StoredLiveness, TellsTheVersionOfItsWriter) {
+TEST(StoredLiveness, ParsesToTheVersionOfItsWriter) {
   struct Case {
     const char* stored;
     std::uint32_t version;
--- a/tests/fakes/watch_cache.h
+++ b/tests/fakes/watch_cache.h
@@ -67,7 +67,7 @@
   Revision next_revision() { return revision_ = Revision(revision_.value() + 1); }
   void apply(const protocol::Change& change) {
     view_.apply(change);
-    view_.complete_to(change.revision);
+    view_.mark_complete_up_to(change.revision);
   }
   PendingTxn take_oldest_txn() {
     auto txn = std::move(txns.at(0));
--- a/tests/job_submission.h
+++ b/tests/job_submission.h
@@ -1,4 +1,4 @@
-// A job as users submit it.
+// Builds the JSON of a job submission for tests.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace beaconsill {
 
-// A submission as users send it. `kind`: batch or daemon.
+// Returns a job submission as users send it. `kind` is "batch" or "daemon".
 inline std::string job_json(const std::string& id, const char* kind, int tasks, const char* priority) {
   return protocol::Json{{"ref", id},
                         {"berth", "c"},
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -120,7 +120,7 @@
     service.settle(machines(0, 6000));
     std::uint32_t most = 0;
     for (const auto& [key, value] : service.view.registry(kShard)) most = std::max(most, key);
-    EXPECT_EQ(registry_key_since(most), version);
+    EXPECT_EQ(registry_key_min_version(most), version);
     EXPECT_EQ(service.view.shard_role(kShard).value.min_reader_version, version);
     EXPECT_EQ(service.view.shard_role(kShard).value.term, Term(3));
     EXPECT_EQ(service.names().size() == 6000, version == 2) << version;
@@ -145,7 +145,7 @@
     service.commit(*txn);
     std::uint32_t needed = 0;
     for (const auto& [key, value] : service.view.registry(kShard))
-      needed = std::max(needed, registry_key_since(key));
+      needed = std::max(needed, registry_key_min_version(key));
     further |= needed > 0;
     EXPECT_GE(service.view.shard_role(kShard).value.min_reader_version, needed);
   }
--- a/tests/record_keys_test.cpp
+++ b/tests/record_keys_test.cpp
@@ -1,4 +1,4 @@
-// The keys of records, taken apart.
+// Tests that parse_key reads the keys which record_keys builds and rejects all others.
 #include "state_store/record_keys.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace beaconsill::state_store {
 namespace {
 
-TEST(RecordKeys, EachKeyIsTakenApartIntoWhatItWasMadeOf) {
+TEST(RecordKeys, ParseKeyReturnsTheComponentsOfEachKindOfKey) {
   const JobId job("run-7");
   struct Case {
     std::string key;
@@ -36,7 +36,7 @@
   }
 }
 
-TEST(RecordKeys, OtherKeysAreNone) {
+TEST(RecordKeys, ParseKeyReturnsNulloptForKeysOfNoKnownForm) {
   for (const char* key : {"", "beaconsill", "beaconsill/", "elsewhere/jobs/run-7", "beaconsill/novel/thing",
                           "beaconsill/progress/x/run-7", "beaconsill/awaits/run-7",
                           "beaconsill/awaits/run-7/x", "beaconsill/machines/x/1", "beaconsill/machines/1",
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -33,7 +33,7 @@
     if (has_bug(SeededBug::kJobSkipped) && id == JobId("run-2")) continue;
     const auto& dependencies = view().dependencies();
     // Cancelled through others: there is nothing to serve.
-    const auto* job = dependencies.unrecorded().contains(id) ? nullptr : view().job(id);
+    const auto* job = dependencies.unrecorded_cancellations().contains(id) ? nullptr : view().job(id);
     auto since = dependencies.ready_since(id, WallMs());
     if (has_bug(SeededBug::kDependenciesIgnored)) since = env_.queue.wall();
     process_.scheduler->on_job(id, job, view().terminal_state(id), instant(), since);
@@ -115,7 +115,7 @@
   for (const auto& id : completed)
     if (const auto* job = view().job(id))
       write_terminal_record(id, {end, job->record.spec->tasks, env_.queue.wall()});
-  for (const auto& id : view().dependencies().unrecorded())
+  for (const auto& id : view().dependencies().unrecorded_cancellations())
     write_terminal_record(id, {state_store::TerminalState::kCancelled, 0, {}});
 }
 
--- a/tests/sim/invariants.cpp
+++ b/tests/sim/invariants.cpp
@@ -69,11 +69,11 @@
 }
 
 void InvariantChecker::on_written(const protocol::Write& write) {
-  const std::string grants = std::string(state_store::kPrefix) + "grants/";
+  const std::string grants = std::string(state_store::kKeyPrefix) + "grants/";
   if (write.value && write.key.starts_with(grants))
     if (auto job = ledger_.jobs.find(JobId(write.key.substr(grants.size()))); job != ledger_.jobs.end())
       outcome_.failing_grants += job->second.always_fails;
-  const std::string ends = std::string(state_store::kPrefix) + "ends/";
+  const std::string ends = std::string(state_store::kKeyPrefix) + "ends/";
   if (!write.key.starts_with(ends)) return;
   if (!write.value) return report_violation("went_back", write.key);
   auto it = ledger_.jobs.find(JobId(write.key.substr(ends.size())));
--- a/tests/state_store_test.cpp
+++ b/tests/state_store_test.cpp
@@ -104,7 +104,7 @@
   StateView view;
   for (const char* key : {"jobs/run-1", "grants/run-1", "progress/0/run-1", "ends/run-1", "roles/leader",
                           "machines/0/1", "machines/x/y", "novel/thing"})
-    view.apply(set(std::string(kPrefix) + key, Json{{"odd", 1}}, 1));
+    view.apply(set(std::string(kKeyPrefix) + key, Json{{"odd", 1}}, 1));
   view.apply(set("elsewhere/jobs/run-1", job("run-1", 1), 2));
   EXPECT_EQ(view.job(JobId("run-1")), nullptr);
   EXPECT_FALSE(view.terminal_state(JobId("run-1")));
@@ -117,7 +117,7 @@
 protocol::Txn create(const std::string& key, int writes = 1) {
   protocol::Txn txn;
   for (int i = 0; i < writes; ++i) {
-    auto name = std::string(kPrefix) + "test/" + key + std::to_string(i);
+    auto name = std::string(kKeyPrefix) + "test/" + key + std::to_string(i);
     txn.conditions.push_back({name, Revision()});
     txn.writes.push_back({name, Json{{"key", key}}, std::nullopt});
   }
@@ -168,7 +168,7 @@
   for (int i = 0; i < 12; ++i)
     fixture.client->txn(create("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
-  fixture.client->get(protocol::watch_target(kPrefix, Revision(), 0), Urgency::kUserRequest,
+  fixture.client->get(protocol::watch_target(kKeyPrefix, Revision(), 0), Urgency::kUserRequest,
                       [&](ReadResult result) {
                         EXPECT_TRUE(result);
                         read = true;
@@ -198,7 +198,7 @@
   for (int i = 0; i < 20; ++i)
     fixture.client->txn(create("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
-  fixture.client->get(protocol::watch_target(kPrefix, Revision(), 0), Urgency::kUserRequest,
+  fixture.client->get(protocol::watch_target(kKeyPrefix, Revision(), 0), Urgency::kUserRequest,
                       [&](ReadResult) { read = true; });
   EXPECT_LT(fixture.run_until([&] { return read; }), ms(500));
   EXPECT_TRUE(fixture.client->available());
--- a/tests/state_view_ordering_test.cpp
+++ b/tests/state_view_ordering_test.cpp
@@ -1,5 +1,5 @@
-// The view of the state store when responses are lost or come late while others read and write. See
-// docs/fault-scenarios.md.
+// Tests StateView with changes that arrive late or out of order, as happens when responses are lost or
+// delayed while other controllers read and write. See docs/fault-scenarios.md.
 #include <gtest/gtest.h>
 
 #include "state_store/state_view.h"
@@ -30,21 +30,21 @@
 Json machines() {
   return to_json(std::vector<MachineRecord>{{MachineName("m"), MachineType("t"), Zone("z")}});
 }
-Change set(std::string key, Json value, std::uint64_t revision) {
+Change put_change(std::string key, Json value, std::uint64_t revision) {
   return {std::move(key), std::move(value), Revision(revision)};
 }
-Change drop(std::string key, std::uint64_t revision) {
+Change delete_change(std::string key, std::uint64_t revision) {
   return {std::move(key), std::nullopt, Revision(revision)};
 }
 
-// Each kind of key that is ever deleted or replaced, and whether the view holds it.
-struct Kind {
+// A kind of key that may be deleted or replaced, with a function that returns whether the view contains it.
+struct KeyKind {
   const char* what;
   std::string key;
   Json value;
-  std::function<bool(const StateView&)> held;
+  std::function<bool(const StateView&)> is_present;
 };
-std::vector<Kind> kinds() {
+std::vector<KeyKind> key_kinds() {
   return {
       {"job", job_key(kJob), job(), [](const StateView& view) { return view.job(kJob) != nullptr; }},
       {"grants", grants_key(kJob), grants(),
@@ -62,64 +62,65 @@
   };
 }
 
-// A transaction is carried out at once and only its response is lost, while other controllers read what it
-// wrote. Its writer learns of it late: a read has seen the key written and deleted by then.
-TEST(LateResponse, NeverRestoresAKeyThatAReadHasSeenDeleted) {
-  for (const auto& kind : kinds()) {
+// The state store commits a transaction at once, but its response reaches the writer late. By then a read has
+// already seen the key written and deleted; the late response must not restore it.
+TEST(LateResponse, DoesNotRestoreAKeyThatAReadHasSeenDeleted) {
+  for (const auto& kind : key_kinds()) {
     StateView view;
-    view.apply_all({set(kind.key, kind.value, 10), drop(kind.key, 12)});
-    view.complete_to(Revision(12));
-    view.apply(set(kind.key, kind.value, 10));  // the writer's own response
-    EXPECT_FALSE(kind.held(view)) << kind.what;
-    // What is newer counts, whoever brings it.
-    view.apply(set(kind.key, kind.value, 13));
-    EXPECT_TRUE(kind.held(view)) << kind.what;
+    view.apply_all({put_change(kind.key, kind.value, 10), delete_change(kind.key, 12)});
+    view.mark_complete_up_to(Revision(12));
+    view.apply(put_change(kind.key, kind.value, 10));  // the late response to the writer
+    EXPECT_FALSE(kind.is_present(view)) << kind.what;
+    // A newer change is applied, regardless of whether it comes from a response or from a read.
+    view.apply(put_change(kind.key, kind.value, 13));
+    EXPECT_TRUE(kind.is_present(view)) << kind.what;
   }
 }
 
-// The protocol's own example lists a deletion after a change of a later revision.
-TEST(ChangeList, MayComeInAnyOrder) {
-  for (const auto& kind : kinds()) {
+// The order of the changes in a response is unspecified: the protocol's own example lists a deletion after a
+// change of a later revision.
+TEST(ChangeList, IsAppliedInRevisionOrderRegardlessOfListOrder) {
+  for (const auto& kind : key_kinds()) {
     for (bool backwards : {false, true}) {
-      std::vector<Change> deleted{set(kind.key, kind.value, 10), drop(kind.key, 12)};
-      std::vector<Change> restored{drop(kind.key, 10), set(kind.key, kind.value, 12)};
+      std::vector<Change> deleted{put_change(kind.key, kind.value, 10), delete_change(kind.key, 12)};
+      std::vector<Change> restored{delete_change(kind.key, 10), put_change(kind.key, kind.value, 12)};
       if (backwards)
         std::reverse(deleted.begin(), deleted.end()), std::reverse(restored.begin(), restored.end());
       StateView view;
       view.apply_all(deleted);
-      EXPECT_FALSE(kind.held(view)) << kind.what << backwards;
+      EXPECT_FALSE(kind.is_present(view)) << kind.what << backwards;
       StateView view_with_key;
-      view_with_key.apply(set(kind.key, kind.value, 5));
+      view_with_key.apply(put_change(kind.key, kind.value, 5));
       view_with_key.apply_all(restored);
-      EXPECT_TRUE(kind.held(view_with_key)) << kind.what << backwards;
+      EXPECT_TRUE(kind.is_present(view_with_key)) << kind.what << backwards;
     }
   }
 }
 
-// A reload, after more changes than the state store keeps: what was dropped meanwhile is handled by
-// leader and shard leaders like every other change.
+// A reload is needed after more changes than the state store retains. Keys that were deleted in the meantime
+// must be reported as changed, so that leader and shard leaders handle them like every other change.
 TEST(Reload, KeysThatAreNotReloadedAreReportedAsChanged) {
   StateView view;
-  for (const auto& kind : kinds()) view.apply(set(kind.key, kind.value, 10));
-  view.complete_to(Revision(10));
+  for (const auto& kind : key_kinds()) view.apply(put_change(kind.key, kind.value, 10));
+  view.mark_complete_up_to(Revision(10));
   view.take_changes();
   view.clear();
   auto changes = view.take_changes();
   EXPECT_TRUE(changes.jobs.contains(kJob));
   EXPECT_TRUE(changes.machines.contains(kShard));
   EXPECT_TRUE(changes.roles);
-  // The load's pages hold older versions than what was known before.
-  view.apply(set(job_key(kJob), job(), 8));
+  // The pages of the reload may contain older revisions than those applied before.
+  view.apply(put_change(job_key(kJob), job(), 8));
   EXPECT_NE(view.job(kJob), nullptr);
 }
 
-// Users query all controllers within milliseconds: a terminal state stands whatever arrives afterwards, in
-// any order, also once the job's other keys were dropped.
-TEST(TerminalState, StandsWhateverArrivesAfterwards) {
+// Users may query all controllers within milliseconds and must get the same answer. A terminal state must not
+// change with later changes in any order, also after the job's other keys were deleted.
+TEST(TerminalState, IsUnaffectedByLaterChangesInAnyOrder) {
   const std::vector<Change> changes{
-      set(job_key(kJob), job(), 10), set(grants_key(kJob), grants(), 11),
-      set(terminal_key(kJob), to_json(TerminalRecord{TerminalState::kCancelled, 0}), 12),
-      drop(grants_key(kJob), 13), drop(job_key(kJob), 13)};
+      put_change(job_key(kJob), job(), 10), put_change(grants_key(kJob), grants(), 11),
+      put_change(terminal_key(kJob), to_json(TerminalRecord{TerminalState::kCancelled, 0}), 12),
+      delete_change(grants_key(kJob), 13), delete_change(job_key(kJob), 13)};
   std::vector<std::size_t> order{0, 1, 2, 3, 4};
   do {
     StateView view;
