--- a/src/scheduler/reported_progress.cpp
+++ b/src/scheduler/reported_progress.cpp
@@ -14,7 +14,7 @@
     // Within a term releases are only added: a release of a generation remains valid, and copies of a report
     // may arrive late and in any order.
     for (const auto& released : job.released)
-      state_store::released_under(reported.progress.released, released.generation).add(released.tasks);
+      state_store::find_or_add_released(reported.progress.released, released.generation).add(released.tasks);
   }
 }
 
--- a/src/state_store/watch_cache.cpp
+++ b/src/state_store/watch_cache.cpp
@@ -64,7 +64,7 @@
 // the revision of the first page.
 void WatchCache::load_page(const std::string& after) {
   const bool first = after.empty();
-  client_->get(protocol::page_target(kPrefix, after, kMaxPageKeys), Urgency::kElection,
+  client_->get(protocol::page_target(kKeyPrefix, after, kMaxPageKeys), Urgency::kElection,
                [weak = weak_from_this(), first](const ReadResult& result) {
                  if (auto self = weak.lock(); self && !self->stopped_) self->on_page(result, first);
                });
@@ -107,7 +107,7 @@
 void WatchCache::read_changes() {
   const auto started = read_started_ = clock_.now();
   std::swap(active_syncs_, waiting_syncs_);
-  const auto target = protocol::watch_target(kPrefix, ready_ ? revision_ : load_revision_, 0);
+  const auto target = protocol::watch_target(kKeyPrefix, ready_ ? revision_ : load_revision_, 0);
   client_->get(target, Urgency::kUserRequest, [weak = weak_from_this(), started](const ReadResult& result) {
     if (auto self = weak.lock(); self && !self->stopped_) self->on_changes_read(result, started);
   });
@@ -157,7 +157,7 @@
   std::erase_if(changes.changes, [&](const auto& change) { return predates_own_deletion(change); });
   view_.apply_all(std::move(changes.changes));
   revision_ = std::max(revision_, changes.revision);
-  view_.complete_to(revision_);
+  view_.mark_complete_up_to(revision_);
   std::erase_if(own_deletions_, [&](const auto& deletion) { return deletion.second <= revision_; });
   up_to_date_at_ = started;
   ready_ = true;
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -123,7 +123,7 @@
     store.write_registry(machines(0, 6000));
     std::uint32_t highest_key = 0;
     for (const auto& [key, value] : store.view.registry(kShard)) highest_key = std::max(highest_key, key);
-    EXPECT_EQ(registry_key_since(highest_key), version);
+    EXPECT_EQ(registry_key_min_version(highest_key), version);
     EXPECT_EQ(store.view.shard_role(kShard).value.min_reader_version, version);
     EXPECT_EQ(store.view.shard_role(kShard).value.term, Term(3));
     EXPECT_EQ(store.registered_names().size() == 6000, version == 2) << version;
@@ -149,7 +149,7 @@
     store.commit(*txn);
     std::uint32_t required_version = 0;
     for (const auto& [key, value] : store.view.registry(kShard))
-      required_version = std::max(required_version, registry_key_since(key));
+      required_version = std::max(required_version, registry_key_min_version(key));
     further_key_written |= required_version > 0;
     EXPECT_GE(store.view.shard_role(kShard).value.min_reader_version, required_version);
   }
--- a/tests/state_store_test.cpp
+++ b/tests/state_store_test.cpp
@@ -108,7 +108,7 @@
   StateView view;
   for (const char* key : {"jobs/run-1", "grants/run-1", "progress/0/run-1", "ends/run-1", "roles/leader",
                           "machines/0/1", "machines/x/y", "unknown/key"})
-    view.apply(set_change(std::string(kPrefix) + key, Json{{"unexpected", 1}}, 1));
+    view.apply(set_change(std::string(kKeyPrefix) + key, Json{{"unexpected", 1}}, 1));
   view.apply(set_change("elsewhere/jobs/run-1", job_value("run-1", 1), 2));
   EXPECT_EQ(view.job(JobId("run-1")), nullptr);
   EXPECT_FALSE(view.terminal_state(JobId("run-1")));
@@ -122,7 +122,7 @@
 protocol::Txn create_keys(const std::string& key, int writes = 1) {
   protocol::Txn txn;
   for (int i = 0; i < writes; ++i) {
-    auto name = std::string(kPrefix) + "test/" + key + std::to_string(i);
+    auto name = std::string(kKeyPrefix) + "test/" + key + std::to_string(i);
     txn.conditions.push_back({name, Revision()});
     txn.writes.push_back({name, Json{{"key", key}}, std::nullopt});
   }
@@ -182,7 +182,7 @@
   for (int i = 0; i < 12; ++i)
     fixture.client->txn(create_keys("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
-  fixture.client->get(protocol::watch_target(kPrefix, Revision(), 0), Urgency::kUserRequest,
+  fixture.client->get(protocol::watch_target(kKeyPrefix, Revision(), 0), Urgency::kUserRequest,
                       [&](ReadResult result) {
                         EXPECT_TRUE(result);
                         read = true;
@@ -213,7 +213,7 @@
   for (int i = 0; i < 20; ++i)
     fixture.client->txn(create_keys("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
-  fixture.client->get(protocol::watch_target(kPrefix, Revision(), 0), Urgency::kUserRequest,
+  fixture.client->get(protocol::watch_target(kKeyPrefix, Revision(), 0), Urgency::kUserRequest,
                       [&](ReadResult) { read = true; });
   EXPECT_LT(fixture.run_until([&] { return read; }), ms(500));
   EXPECT_TRUE(fixture.client->available());
