--- a/src/controller/cancellation_visibility.cpp
+++ b/src/controller/cancellation_visibility.cpp
@@ -25,18 +25,18 @@
       barrier_(barrier_params(ctx.settings, contact_timeout), controller_names(ctx.settings.peers),
                ctx.now()) {}
 
-shard::CancellationBarrier::Known CancellationVisibility::known() const {
+shard::CancellationBarrier::Known CancellationVisibility::local_view() const {
   return {ctx_.watch_cache->ready(), ctx_.watch_cache->revision(), ctx_.view().cancelled()};
 }
 
 bool CancellationVisibility::may_reveal(const JobId& id) {
   auto revision = ctx_.view().terminal_revision(id);
   const auto& cancelled = ctx_.view().cancelled();
-  // One transaction may have cancelled several jobs.
+  // One transaction may have cancelled several jobs; all of them have the revision of that transaction.
   auto first = cancelled.lower_bound({revision, JobId(), 0});
   auto last = first;
   for (; last != cancelled.end() && last->revision == revision; ++last)
-    if (!barrier_.may_reveal(*last, known(), ctx_.now())) return false;
+    if (!barrier_.may_reveal(*last, local_view(), ctx_.now())) return false;
   if (first == last) return false;
   acknowledged_until_ = std::max(acknowledged_until(), revision);
   return true;
@@ -47,7 +47,7 @@
   return std::max(ctx_.watch_cache->up_to_date_at(), by_peers);
 }
 
-bool CancellationVisibility::has_cancelled(const state_store::StateView::ChangeSet& changes) const {
+bool CancellationVisibility::contains_cancellation(const state_store::StateView::ChangeSet& changes) const {
   return std::any_of(changes.jobs.begin(), changes.jobs.end(), [this](const JobId& id) {
     return ctx_.view().terminal_state(id) == state_store::TerminalState::kCancelled;
   });
@@ -56,7 +56,7 @@
 Revision CancellationVisibility::acknowledged_until() {
   if (!ctx_.watch_cache->ready()) return Revision(UINT64_MAX);
   if (!acknowledged_until_) {
-    // An earlier process of this controller may have acknowledged any that were read.
+    // An earlier process of this controller may have acknowledged any of the cancellations in the view.
     const auto& cancelled = ctx_.view().cancelled();
     acknowledged_until_ = cancelled.empty() ? Revision() : cancelled.rbegin()->revision;
   }
@@ -65,9 +65,9 @@
 
 CancellationVisibility::NextHeartbeat CancellationVisibility::on_heartbeat(
     const ControllerName& peer, const protocol::Heartbeat& heartbeat) {
-  // Before anything is sent that acknowledges them.
+  // The cancellations are applied before anything is sent that acknowledges them.
   if (heartbeat.cancellation_sync) ctx_.watch_cache->apply_cancelled(heartbeat.cancellation_sync->cancelled);
-  return barrier_.on_heartbeat(peer, heartbeat, known(), ctx_.now());
+  return barrier_.on_heartbeat(peer, heartbeat, local_view(), ctx_.now());
 }
 
 }  // namespace beaconsill::controller
--- a/src/controller/cancellation_visibility.h
+++ b/src/controller/cancellation_visibility.h
@@ -1,4 +1,5 @@
-// When cancellations may be shown to users, and up to when all that were shown are known here.
+// Decides when this controller may report a cancellation to users, and tracks up to which time it knows all
+// cancellations that any controller has reported to users.
 #pragma once
 
 #include <cstdint>
@@ -10,55 +11,64 @@
 
 namespace beaconsill::controller {
 
-// Feeds shard::CancellationBarrier with what the watch cache holds and with the heartbeats of the peers. The
-// peers of all calls are those of the settings. Throws nothing; one thread.
+// Connects shard::CancellationBarrier to the watch cache and to the heartbeats of the peers. Every peer
+// passed to a method must be one of the peers in the settings. Methods don't throw. Single-threaded.
 class CancellationVisibility {
  public:
-  // `contact_timeout`: a peer that has echoed no heartbeat for so long is granted no read lease.
+  // A peer that has echoed no heartbeat for `contact_timeout` is granted no read lease.
   CancellationVisibility(ControllerContext& ctx, Duration contact_timeout);
 
-  // Whether a user may be notified that the job, whose end is known here, is cancelled. If so, the caller
-  // notifies in the same callback; if not, the peers are being asked to acknowledge it, and a retry of the
-  // request will succeed.
+  // Returns whether a user may be notified that the job is cancelled. The job's terminal state must be in the
+  // view. If the result is true, the caller must notify the user in the same callback. If it is false, the
+  // peers are being asked to acknowledge the cancellation, and a later retry of the request succeeds.
   bool may_reveal(const JobId& id);
-  // All cancellations that users were notified of before this time are known here: by the state store, or by
-  // what every peer has sent.
+  // Returns the time before which this controller knows every cancellation that any controller has reported
+  // to a user, either because it was read from the state store or because every peer has sent those it
+  // reported.
   std::optional<Instant> known_until() const;
 
-  // Whether a job of the changed ones is cancelled.
-  bool has_cancelled(const state_store::StateView::ChangeSet& changes) const;
-  // Whether the peer is ready and not known to have all cancellations.
+  // Returns whether any of the changed jobs is cancelled.
+  bool contains_cancellation(const state_store::StateView::ChangeSet& changes) const;
+  // Returns whether the peer is ready but is not known to have all cancellations that this controller has.
   bool lacks_cancellations(const ControllerName& peer) const {
-    return barrier_.lacks_cancellations(peer, known());
+    return barrier_.lacks_cancellations(peer, local_view());
   }
 
-  // The highest revision of a cancellation that this controller may have acknowledged to a user, for peers of
-  // earlier versions.
+  // Returns the highest revision of a cancellation that this controller may have acknowledged to a user. Only
+  // peers that run earlier versions use it.
   Revision acknowledged_until();
-  // What the heartbeat of this number to the peer has to carry. It counts as sent from now on.
-  protocol::CancellationSync outgoing(const ControllerName& peer, std::uint64_t sequence) {
-    return barrier_.outgoing(peer, sequence, known(), ctx_.now());
+  // Returns the cancellations and the read lease that the heartbeat with this sequence number must carry to
+  // the peer. The heartbeat counts as sent, and the read lease as granted, from this call on.
+  protocol::CancellationSync prepare_sync(const ControllerName& peer, std::uint64_t sequence) {
+    return barrier_.outgoing(peer, sequence, local_view(), ctx_.now());
   }
   using NextHeartbeat = shard::CancellationBarrier::NextHeartbeat;
-  // A heartbeat received: its cancellations are applied to the view. Says when the next one has to be sent
-  // back.
+  // Processes a heartbeat that was received from the peer and applies its cancellations to the view. Returns
+  // when the next heartbeat must be sent to the peer.
   NextHeartbeat on_heartbeat(const ControllerName& peer, const protocol::Heartbeat& heartbeat);
 
-  // When the newest heartbeat was sent that the peer has echoed.
-  std::optional<Instant> echoed(const ControllerName& peer) const { return barrier_.echoed(peer); }
-  // Number of the last heartbeat received, to be echoed.
-  std::uint64_t received(const ControllerName& peer) const { return barrier_.received(peer); }
-  // When the oldest heartbeat was sent that may still be echoed; none if there is none.
-  std::optional<Instant> oldest_sent(const ControllerName& peer) const { return barrier_.oldest_sent(peer); }
-  // Forgets which heartbeats were sent, for a new connection: their echoes no longer count.
-  void forget_sent(const ControllerName& peer) { barrier_.forget_sent(peer); }
+  // Returns when the newest heartbeat that the peer has echoed was sent, or std::nullopt if the peer has
+  // echoed none.
+  std::optional<Instant> last_echoed_sent_at(const ControllerName& peer) const {
+    return barrier_.echoed(peer);
+  }
+  // Returns the sequence number of the last heartbeat received from the peer, which the next heartbeat to the
+  // peer echoes.
+  std::uint64_t last_received_sequence(const ControllerName& peer) const { return barrier_.received(peer); }
+  // Returns when the oldest heartbeat that may still be echoed was sent, or std::nullopt if there is none.
+  std::optional<Instant> oldest_awaited_sent_at(const ControllerName& peer) const {
+    return barrier_.oldest_sent(peer);
+  }
+  // Discards the record of sent heartbeats because a new connection is opened: their echoes no longer count.
+  void discard_sent_heartbeats(const ControllerName& peer) { barrier_.forget_sent(peer); }
 
  private:
-  shard::CancellationBarrier::Known known() const;
+  shard::CancellationBarrier::Known local_view() const;
 
   ControllerContext& ctx_;
   shard::CancellationBarrier barrier_;
-  std::optional<Revision> acknowledged_until_;  // none until everything was read
+  std::optional<Revision>
+      acknowledged_until_;  // std::nullopt until the initial read of the state store is complete
 };
 
 }  // namespace beaconsill::controller
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -12,9 +12,10 @@
 
 using CommandResult = shard::ShardManager::CommandResult;
 
-// What the worker made of the commands; `heartbeat` is set if the answer holds its state.
-CommandResult parse_answer(const MachineName& machine, const net::Result& result,
-                           std::optional<protocol::WorkerHeartbeat>& heartbeat) {
+// Converts the HTTP result of a command batch to a CommandResult. Sets `heartbeat` if the worker's response
+// contains its state.
+CommandResult parse_response(const MachineName& machine, const net::Result& result,
+                             std::optional<protocol::WorkerHeartbeat>& heartbeat) {
   if (!result) {
     spdlog::debug("commands_unanswered machine={}", machine.value());
     return CommandResult::kNoAnswer;
@@ -33,10 +34,10 @@
 }
 }  // namespace
 
-CommandSender::CommandSender(ControllerContext& ctx, LedShards& shards, std::function<void()> on_answer)
+CommandSender::CommandSender(ControllerContext& ctx, LedShards& shards, std::function<void()> on_batch_done)
     : ctx_(ctx),
       shards_(shards),
-      on_answer_(std::move(on_answer)),
+      on_batch_done_(std::move(on_batch_done)),
       connections_(ctx.io_context, plan_socket_limits(ctx.settings).commands) {}
 
 void CommandSender::stop() {
@@ -48,7 +49,8 @@
   auto endpoint = net::parse_endpoint(batch.address);
   if (!endpoint) {
     spdlog::error("worker_address_invalid machine={} reason=\"{}\"", batch.machine.value(), batch.address);
-    // Otherwise the shard would wait for an answer for good, and so would the tasks that it placed there.
+    // Without this call the shard would wait for a response forever, and so would the tasks placed on the
+    // machine.
     shard.manager->on_command_result(batch, CommandResult::kNoAnswer, std::nullopt, ctx_.now());
     return;
   }
@@ -68,9 +70,9 @@
   auto* shard = shards_.find(id, term);
   if (!shard) return;
   std::optional<protocol::WorkerHeartbeat> heartbeat;
-  auto outcome = parse_answer(batch.machine, result, heartbeat);
+  auto outcome = parse_response(batch.machine, result, heartbeat);
   shard->manager->on_command_result(batch, outcome, heartbeat, ctx_.now());
-  on_answer_();
+  on_batch_done_();
 }
 
 }  // namespace beaconsill::controller
--- a/src/controller/command_sender.h
+++ b/src/controller/command_sender.h
@@ -1,4 +1,4 @@
-// Sends commands to workers and hands their answers to the shard.
+// Sends command batches to workers over HTTP and passes their responses to the shard manager.
 #pragma once
 
 #include <functional>
@@ -9,18 +9,19 @@
 
 namespace beaconsill::controller {
 
-// Part of the ShardService. Every batch ends in one call of ShardManager::on_command_result, unless the
-// shard's term has ended; a batch without an answer isn't repeated here. Throws nothing; one thread.
+// Part of the ShardService. Calls ShardManager::on_command_result exactly once for every batch, unless the
+// shard's term has ended. Doesn't retry a batch that got no response. Methods don't throw. Single-threaded.
 class CommandSender {
  public:
-  // `on_answer` is called after the shard was notified of an answer, or that there was none.
-  CommandSender(ControllerContext& ctx, LedShards& shards, std::function<void()> on_answer);
-  // No answer is handed on any more.
+  // `on_batch_done` is called after the shard manager was notified of a batch's result, including a missing
+  // response.
+  CommandSender(ControllerContext& ctx, LedShards& shards, std::function<void()> on_batch_done);
+  // Closes all connections. Responses that arrive later are ignored.
   void stop();
 
-  // Sends the commands of a batch to its machine.
+  // Sends the commands of the batch to the machine that the batch names.
   void send(ShardId id, LedShard& shard, shard::ShardManager::Batch batch);
-  // Closes the connection to the machine.
+  // Closes the connection to the terminated machine.
   void on_machine_terminated(const MachineName& machine) { connections_.close(machine); }
 
  private:
@@ -28,7 +29,7 @@
 
   ControllerContext& ctx_;
   LedShards& shards_;
-  std::function<void()> on_answer_;
+  std::function<void()> on_batch_done_;
   WorkerConnectionPool connections_;
   bool stopped_ = false;
 };
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -21,8 +21,8 @@
 net::ServerLimits server_limits(const config::Settings& settings) {
   auto sockets = plan_socket_limits(settings);
   net::ServerLimits limits;
-  limits.max_connections = sockets.served;
-  limits.max_user_connections = sockets.users;
+  limits.max_connections = sockets.accepted;
+  limits.max_user_connections = sockets.accepted_from_users;
   return limits;
 }
 
@@ -179,7 +179,7 @@
 // can read it. If none can, going elsewhere doesn't help them.
 bool Controller::healthy() const {
   if (!ctx_.watch_cache->ready() || !ctx_.catalogue) return false;
-  return ctx_.view_is_newer_than(kUnhealthyAfter) || !peers_->status().others_reach_state_store();
+  return ctx_.view_is_newer_than(kUnhealthyAfter) || !peers_->status().any_peer_reaches_state_store();
 }
 
 }  // namespace beaconsill::controller
--- a/src/controller/garbage_collector.cpp
+++ b/src/controller/garbage_collector.cpp
@@ -7,9 +7,11 @@
 namespace beaconsill::controller {
 namespace {
 constexpr Duration kPeriod = std::chrono::seconds(1);
-// Keys deleted in one transaction: it must not delay changes that somebody waits for.
+// Maximum number of keys deleted in one transaction, so that it doesn't delay changes that users or other
+// components wait for.
 constexpr std::size_t kMaxDeletedKeys = 8;
-// Users retry a submission for a minute; a transaction may be carried out minutes late.
+// Age after which the dependency keys of a job without a record are deleted. Users retry a submission for one
+// minute, and the state store may execute a transaction minutes late.
 constexpr Duration kAbandonedSubmissionAge = std::chrono::minutes(15);
 }  // namespace
 
@@ -27,7 +29,7 @@
 void GarbageCollector::run() {
   auto leader = leadership_.still_leader();
   auto spare_writes = ctx_.store->spare_writes();
-  if (!leader || !collecting_.empty() || spare_writes == 0) return;
+  if (!leader || !jobs_being_deleted_.empty() || spare_writes == 0) return;
   state_store::TxnDraft draft(std::min({ctx_.store->sizes().txn_ops(), kMaxDeletedKeys, spare_writes}));
   draft.require(*leader);
   for (const auto& id : leadership_.scheduler().collectable())
@@ -38,20 +40,21 @@
   auto done = [this, txn = draft.txn()](state_store::TxnResult result) {
     if (result) {
       ctx_.watch_cache->apply_own(txn, *result);
-      collecting_.clear();
+      jobs_being_deleted_.clear();
       return;
     }
-    ctx_.watch_cache->sync([this](bool) { collecting_.clear(); });
+    ctx_.watch_cache->sync([this](bool) { jobs_being_deleted_.clear(); });
   };
   ctx_.store->txn(draft.txn(), state_store::Urgency::kGarbageCollection, std::move(done));
 }
 
 DraftState GarbageCollector::delete_job_keys(const JobId& id, state_store::TxnDraft& draft) {
   const auto* job = ctx_.view().job(id);
-  // Without a terminal record of its own, the jobs that it was cancelled through are still needed to know its
-  // state.
+  // A job without a terminal record of its own was cancelled because another job was. Its keys must remain,
+  // since its state follows from the jobs through which it was cancelled.
   if (!job || !ctx_.view().terminal_record(id).exists()) return DraftState::kOpen;
-  // The job's record last: if not all go at once, what is left is still known to be of a job that is over.
+  // The job's record comes last: if one transaction can't delete all keys, the remaining ones can still be
+  // identified as those of a terminated job.
   std::vector<protocol::Condition> keys;
   if (job->grants.exists()) keys.push_back({state_store::grants_key(id), job->grants.revision});
   for (const auto& [shard, progress] : job->progress)
@@ -61,15 +64,16 @@
   std::vector<protocol::Write> deletions;
   deletions.reserve(keys.size());
   for (const auto& condition : keys) deletions.push_back({condition.key, std::nullopt, std::nullopt});
-  // A job whose keys alone are too many is passed over.
+  // A job is skipped if its keys exceed the limit of an empty draft.
   if (add_changes(draft, keys, deletions) == DraftState::kFull)
     return draft.empty() ? DraftState::kOpen : DraftState::kFull;
-  collecting_.insert(id);
+  jobs_being_deleted_.insert(id);
   return DraftState::kOpen;
 }
 
-// The keys with a job's dependencies go once its record is gone, or was never written and its user has long
-// given up. The first key goes first, on which the record's transaction is conditional.
+// Deletes a job's dependency keys if the job's record was deleted, or if it was never written and the
+// submission was abandoned. The first key is deleted first, because the transaction that writes the record is
+// conditional on it.
 DraftState GarbageCollector::delete_dependency_keys(const JobId& id,
                                                     const state_store::StateView::DependencyKeys& keys,
                                                     state_store::TxnDraft& draft) const {
--- a/src/controller/garbage_collector.h
+++ b/src/controller/garbage_collector.h
@@ -1,4 +1,4 @@
-// Deletes the keys of jobs that are over and that nothing needs any more.
+// Deletes the state store keys of terminated jobs once no other component needs them.
 #pragma once
 
 #include <set>
@@ -10,20 +10,21 @@
 
 namespace beaconsill::controller {
 
-// Part of the SchedulerService. How jobs ended (the terminal records) is kept for good. One transaction at a
-// time, and only with writes that nothing else needs. What isn't deleted is tried again. Throws nothing; one
-// thread.
+// Part of the SchedulerService. Terminal records, which say how jobs ended, are never deleted. Sends one
+// transaction at a time, and only while the rate limit leaves spare writes. Keys that a failed transaction
+// didn't delete are retried in a later run. Methods don't throw. Single-threaded.
 class GarbageCollector {
  public:
   GarbageCollector(ControllerContext& ctx, Leadership& leadership);
   void start();
   void stop();
-  // This controller is no longer the leader.
-  void reset() { collecting_.clear(); }
+  // Must be called when this controller is no longer the leader.
+  void reset() { jobs_being_deleted_.clear(); }
 
  private:
   void run();
-  // Each adds deletions to the draft, if the job's keys are to be deleted.
+  // Both functions add deletions to the draft if the job's keys are to be deleted. kFull means
+  // that the draft has no space left and the remaining jobs have to wait for a later transaction.
   DraftState delete_job_keys(const JobId& id, state_store::TxnDraft& draft);
   DraftState delete_dependency_keys(const JobId& id, const state_store::StateView::DependencyKeys& keys,
                                     state_store::TxnDraft& draft) const;
@@ -31,7 +32,7 @@
   ControllerContext& ctx_;
   Leadership& leadership_;
   PeriodicTimer timer_;
-  std::set<JobId> collecting_;  // jobs whose keys the transaction under way deletes
+  std::set<JobId> jobs_being_deleted_;  // by the transaction in flight
 };
 
 }  // namespace beaconsill::controller
--- a/src/controller/heartbeat_endpoint.cpp
+++ b/src/controller/heartbeat_endpoint.cpp
@@ -1,5 +1,6 @@
 #include "controller/heartbeat_endpoint.h"
 
+#include <string_view>
 #include <utility>
 
 #include "base/log.h"
@@ -9,12 +10,12 @@
 namespace {
 constexpr int kRetryAfterSeconds = 1;
 
-// Left of the time limit for a cancelled task after the last lease granted before. It has to cover the
-// clocks' drift and a worker's timer only: a lease counts from when the heartbeat was sent, however slow its
-// answer is.
+// Time that remains between the end of a lease and the time limit by which a cancelled task must have ended.
+// It only has to cover clock drift and the precision of a worker's timer, because a lease counts from when
+// the worker sent its heartbeat, however slow the response is.
 constexpr double kCancelMarginSeconds = 1;
 
-net::Response unavailable(const char* reason) {
+net::Response unavailable(std::string_view reason) {
   return {net::status::kServiceUnavailable, protocol::render_error(reason), kRetryAfterSeconds};
 }
 }  // namespace
@@ -29,7 +30,7 @@
       on_heartbeat_(std::move(on_heartbeat)),
       relay_(ctx, messenger, peers) {}
 
-LedShard* HeartbeatEndpoint::find_current(ShardId id) {
+LedShard* HeartbeatEndpoint::find_unsuperseded(ShardId id) {
   auto* shard = shards_.find(id);
   return shard && !shard->manager->superseded() ? shard : nullptr;
 }
@@ -48,54 +49,57 @@
     return;
   }
   auto id = ctx_.partitioning.shard_of(heartbeat.zone, heartbeat.machine);
-  auto* shard = find_current(id);
+  auto* shard = find_unsuperseded(id);
   if (!shard) {
     relay_.relay(id, request.body, reply);
     return;
   }
-  auto response = answer(*shard, id, heartbeat);
+  auto response = make_response(*shard, id, heartbeat);
   shard->manager->on_direct_contact(heartbeat.machine);
   reply(std::move(response));
   on_heartbeat_();
 }
 
-net::Response HeartbeatEndpoint::answer(LedShard& shard, ShardId id,
-                                        const protocol::WorkerHeartbeat& heartbeat) {
+net::Response HeartbeatEndpoint::make_response(LedShard& shard, ShardId id,
+                                               const protocol::WorkerHeartbeat& heartbeat) {
   auto& manager = *shard.manager;
-  // After this long without knowing all cancellations, the leases of tasks that may be cancelled have to run
-  // out.
+  // If this controller hasn't known all cancellations for longer than this, some of the machine's tasks may
+  // be cancelled. Leases are not renewed then, so that they expire before the time limit for cancelled tasks.
   auto max_age = from_seconds(ctx_.settings.cancel_s - ctx_.settings.lease_s - kCancelMarginSeconds);
   auto known_until = cancellations_.known_until();
-  if (!known_until || ctx_.now() - *known_until > max_age) return unavailable("out of touch");
+  if (!known_until || ctx_.now() - *known_until > max_age)
+    return unavailable("this controller may not know all cancellations");
   manager.on_worker_heartbeat(heartbeat, ctx_.now());
   if (manager.superseded()) {
     ctx_.watch_cache->sync([](bool) {});
     return {net::status::kMisdirectedRequest, protocol::render_redirect(relay_.shard_leader(id))};
   }
-  // A stale heartbeat is answered as well: its worker is there, and commands may have overtaken it.
-  if (!manager.find_machine(heartbeat.machine)) return unavailable("machine is gone");
+  // A stale heartbeat is answered as well: its worker is alive, and newer commands may have reached the
+  // worker before this heartbeat arrived.
+  if (!manager.find_machine(heartbeat.machine))
+    return unavailable("machine " + heartbeat.machine.value() + " is not registered");
   auto response = manager.heartbeat_response(heartbeat.machine, ctx_.now());
   return {net::status::kOk, protocol::render_heartbeat_response(response.token, response.commands)};
 }
 
 void HeartbeatEndpoint::on_relayed_heartbeat(const ControllerName& from,
                                              const protocol::RelayedHeartbeat& relayed) {
-  messenger_.send(from, answer_relayed(relayed));
+  messenger_.send(from, make_relayed_reply(relayed));
 }
 
-protocol::RelayedReply HeartbeatEndpoint::answer_relayed(const protocol::RelayedHeartbeat& relayed) {
+protocol::RelayedReply HeartbeatEndpoint::make_relayed_reply(const protocol::RelayedHeartbeat& relayed) {
   protocol::RelayedReply reply{relayed.id, net::status::kMisdirectedRequest,
                                protocol::render_redirect(ctx_.settings.controller)};
   try {
     auto heartbeat = protocol::parse_worker_heartbeat(protocol::parse_object(relayed.heartbeat));
     auto id = ctx_.partitioning.shard_of(heartbeat.zone, heartbeat.machine);
-    auto* shard = find_current(id);
+    auto* shard = find_unsuperseded(id);
     if (!shard) {
       reply.body = protocol::render_redirect(relay_.shard_leader(id));
       return reply;
     }
     if (shard->manager->should_redirect_here(heartbeat, ctx_.now())) return reply;
-    auto response = answer(*shard, id, heartbeat);
+    auto response = make_response(*shard, id, heartbeat);
     reply.status = response.status;
     reply.body = std::move(response.body);
     on_heartbeat_();
--- a/src/controller/heartbeat_endpoint.h
+++ b/src/controller/heartbeat_endpoint.h
@@ -1,4 +1,4 @@
-// Answers heartbeats of workers, which come directly or are relayed by another controller.
+// Handles heartbeats of workers that arrive directly or are relayed by another controller.
 #pragma once
 
 #include <functional>
@@ -14,27 +14,31 @@
 
 namespace beaconsill::controller {
 
-// Part of the ShardService. Heartbeats of led shards are answered here, the others passed on to their
-// leaders. Malformed ones are logged and refused (400); nothing is thrown. One thread.
+// Part of the ShardService. Answers the heartbeats of machines in the led shards and relays the others to the
+// leaders of their shards. Malformed heartbeats are logged and rejected with status 400. Methods don't throw.
+// Single-threaded.
 class HeartbeatEndpoint {
  public:
-  // `on_heartbeat` is called after a shard has taken in a heartbeat.
+  // `on_heartbeat` is called after a shard manager has processed a heartbeat.
   HeartbeatEndpoint(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers,
                     const CancellationVisibility& cancellations, LedShards& shards,
                     std::function<void()> on_heartbeat);
 
-  // `reply` is called once, now or within a second.
+  // Handles a heartbeat that a worker sent to this controller. Calls `reply` exactly once, either within this
+  // call or within one second.
   void on_request(const net::Request& request, const net::HttpServer::Reply& reply);
-  // A heartbeat that came to another controller, and the answer to one that came here.
+  // Handles a heartbeat that a worker sent to the controller `from` and sends the reply to `from`.
   void on_relayed_heartbeat(const ControllerName& from, const protocol::RelayedHeartbeat& relayed);
+  // Handles a shard leader's reply to a heartbeat that this controller relayed.
   void on_relayed_reply(const protocol::RelayedReply& relayed) { relay_.on_relayed_reply(relayed); }
+  // Redirects the workers whose relayed heartbeats got no reply in time.
   void redirect_expired() { relay_.redirect_expired(); }
 
  private:
-  // The shard if this controller leads it and knows of no higher term.
-  LedShard* find_current(ShardId id);
-  net::Response answer(LedShard& shard, ShardId id, const protocol::WorkerHeartbeat& heartbeat);
-  protocol::RelayedReply answer_relayed(const protocol::RelayedHeartbeat& relayed);
+  // Returns the shard if this controller leads it and has seen no higher term for it; otherwise nullptr.
+  LedShard* find_unsuperseded(ShardId id);
+  net::Response make_response(LedShard& shard, ShardId id, const protocol::WorkerHeartbeat& heartbeat);
+  protocol::RelayedReply make_relayed_reply(const protocol::RelayedHeartbeat& relayed);
 
   ControllerContext& ctx_;
   PeerMessenger& messenger_;
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -15,7 +15,7 @@
     : ctx_(ctx),
       messenger_(messenger),
       peers_(peers),
-      max_pending_(plan_socket_limits(ctx.settings).served) {}
+      max_pending_(plan_socket_limits(ctx.settings).accepted) {}
 
 std::optional<ControllerName> HeartbeatRelay::shard_leader(ShardId shard) const {
   const auto& role = ctx_.view().shard_role(shard);
--- a/src/controller/heartbeat_relay.h
+++ b/src/controller/heartbeat_relay.h
@@ -1,4 +1,4 @@
-// Passes on heartbeats of workers whose shard another controller leads.
+// Relays heartbeats of workers whose shard another controller leads to that controller.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +13,25 @@
 
 namespace beaconsill::controller {
 
-// Part of the HeartbeatEndpoint. A worker that comes here may be cut off from its shard leader: whether it is
-// redirected there, or answered through this controller, is for the shard leader to say. Without an answer in
-// time the worker is redirected. Throws nothing; one thread.
+// Part of the HeartbeatEndpoint. A worker that sends its heartbeat to this controller may be unable to reach
+// its shard leader. The shard leader decides whether the worker is redirected to it or answered through this
+// controller. If the leader doesn't reply in time, the worker is redirected. Methods don't throw.
+// Single-threaded.
 class HeartbeatRelay {
  public:
   HeartbeatRelay(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers);
 
-  // Passes the heartbeat (as it came) on to the shard's leader, or redirects the worker. `reply` is called
-  // once.
+  // Relays the unchanged body of a heartbeat to the shard's leader. Redirects the worker instead if no leader
+  // is reachable or too many heartbeats await a reply. Calls `reply` exactly once.
   void relay(ShardId shard, const std::string& heartbeat, const net::HttpServer::Reply& reply);
-  // The shard leader's answer; ignored if the worker was redirected meanwhile.
+  // Answers the worker with the shard leader's reply. The reply is ignored if the worker was already
+  // redirected.
   void on_relayed_reply(const protocol::RelayedReply& relayed);
-  // Redirects the workers whose heartbeats got no answer in time.
+  // Redirects the workers whose heartbeats got no reply in time.
   void redirect_expired();
-  // The leader of the shard under the highest term that the state store or a peer has shown, if it is alive
-  // or reachable and not this controller.
+  // Returns the shard's leader under the highest known term, which is either the role in the state store (if
+  // its holder is alive) or the term that a peer advertises (if that peer is reachable). Returns std::nullopt
+  // if there is none or if it is this controller.
   std::optional<ControllerName> shard_leader(ShardId shard) const;
 
  private:
@@ -42,7 +45,7 @@
   ControllerContext& ctx_;
   PeerMessenger& messenger_;
   const PeerStatus& peers_;
-  std::size_t max_pending_;  // each occupies the connection that it came by
+  std::size_t max_pending_;  // each pending reply occupies a worker's connection
   std::map<std::uint64_t, PendingReply> pending_;
   std::uint64_t next_id_ = 1;
 };
--- a/src/controller/leader_notifier.cpp
+++ b/src/controller/leader_notifier.cpp
@@ -4,7 +4,7 @@
 
 namespace beaconsill::controller {
 namespace {
-// Everything unwritten is sent again this often, in case that a message was lost.
+// All progress that isn't in the state store yet is sent again at this interval, in case a message was lost.
 constexpr Duration kFullNotificationPeriod = std::chrono::seconds(2);
 }  // namespace
 
--- a/src/controller/leader_notifier.h
+++ b/src/controller/leader_notifier.h
@@ -1,4 +1,4 @@
-// Notifies the leader of the progress of the led shards.
+// Reports the progress of jobs in the led shards to the leader.
 #pragma once
 
 #include <functional>
@@ -8,14 +8,16 @@
 
 namespace beaconsill::controller {
 
-// Part of the ShardService, which calls run() on its timer. The leader counts progress at once, in its ledger
-// of the teams' usage; the record in the state store follows later (ProgressWriter). One thread.
+// Part of the ShardService, which calls run() on its timer. The leader adds reported progress to its ledger
+// of the teams' usage immediately; ProgressWriter writes the record in the state store later.
+// Single-threaded.
 class LeaderNotifier {
  public:
   using Send = std::function<void(protocol::ProgressReport)>;
-  // `send` delivers a report to the leader, or loses it.
+  // `send` sends a report to the leader. Reports may be lost.
   LeaderNotifier(ControllerContext& ctx, Send send);
-  // Sends what is new, or everything unwritten if the leader is new or the last time is long ago.
+  // Sends the progress made since the last report. Sends all progress that isn't in the state store yet if
+  // the leader's term has changed or if the last full report is more than 2 s ago.
   void run(ShardId id, LedShard& shard);
 
  private:
--- a/src/controller/peer_heartbeats.cpp
+++ b/src/controller/peer_heartbeats.cpp
@@ -6,15 +6,17 @@
 namespace beaconsill::controller {
 namespace {
 constexpr Duration kHeartbeatPeriod = std::chrono::milliseconds(500);
-// A connection that takes heartbeats for so long without any answer is opened anew.
+// A connection on which no heartbeat has been echoed for this long is closed and opened again.
 constexpr Duration kResetTimeout = std::chrono::seconds(4);
-// Heartbeats that don't wait for the period are this far apart, so that dozens of cancellations go in one.
-constexpr Duration kDueHeartbeatGap = std::chrono::milliseconds(20);
-// The state store answers this controller if its last read is no older than this.
-constexpr Duration kStateStoreTimeout = std::chrono::milliseconds(1200);
-
-// Heartbeats are numbered from the wall clock's milliseconds, shifted by so many bits.
-constexpr unsigned kSequenceBits = 16;
+// Minimum time between immediate heartbeats, which are sent outside the period. It lets one heartbeat carry
+// dozens of cancellations.
+constexpr Duration kMinImmediateHeartbeatGap = std::chrono::milliseconds(20);
+// This controller reports that it reaches the state store if its last read is no older than this.
+constexpr Duration kMaxStateStoreReadAge = std::chrono::milliseconds(1200);
+
+// The first sequence number of a process is the wall-clock time in milliseconds, shifted left by this many
+// bits.
+constexpr unsigned kSequenceShiftBits = 16;
 }  // namespace
 
 PeerHeartbeats::PeerHeartbeats(ControllerContext& ctx, PeerConnections& connections,
@@ -24,9 +26,9 @@
       cancellations_(cancellations),
       led_terms_(std::move(led_terms)),
       heartbeat_timer_(ctx.io_context, [this] { send_heartbeats(); }),
-      due_heartbeats_timer_(ctx.io_context, [this] { send_due_heartbeats(); }),
-      // Numbers of an earlier process of this controller must not be taken for this one's.
-      sequence_(static_cast<std::uint64_t>(ctx.clock.wall().value()) << kSequenceBits) {
+      immediate_heartbeat_timer_(ctx.io_context, [this] { send_immediate_heartbeats(); }),
+      // An earlier process of this controller must not have used the same sequence numbers.
+      sequence_(static_cast<std::uint64_t>(ctx.clock.wall().value()) << kSequenceShiftBits) {
   for (const auto& peer : ctx.settings.peers) peers_[peer.controller] = {};
 }
 
@@ -36,17 +38,17 @@
 
 void PeerHeartbeats::stop() {
   heartbeat_timer_.stop();
-  due_heartbeats_timer_.stop();
+  immediate_heartbeat_timer_.stop();
 }
 
 bool PeerHeartbeats::reachable(const ControllerName& controller) const {
   if (controller == ctx_.settings.controller) return true;
   if (!peers_.contains(controller)) return false;
-  auto echoed = cancellations_.echoed(controller);
+  auto echoed = cancellations_.last_echoed_sent_at(controller);
   return echoed && ctx_.now() - *echoed < kReachableTimeout;
 }
 
-bool PeerHeartbeats::others_reach_state_store() const {
+bool PeerHeartbeats::any_peer_reaches_state_store() const {
   return std::any_of(peers_.begin(), peers_.end(), [this](const auto& entry) {
     return reachable(entry.first) && entry.second.reaches_state_store;
   });
@@ -58,21 +60,21 @@
   return it->second;
 }
 
-// ---- Heartbeats sent
+// ---- Sending heartbeats
 
 protocol::Heartbeat PeerHeartbeats::make_heartbeat() {
   protocol::Heartbeat heartbeat;
   heartbeat.acknowledged_until = cancellations_.acknowledged_until();
   heartbeat.terms = led_terms_();
-  heartbeat.reaches_state_store = ctx_.watch_cache->ready() && ctx_.view_is_newer_than(kStateStoreTimeout);
+  heartbeat.reaches_state_store = ctx_.watch_cache->ready() && ctx_.view_is_newer_than(kMaxStateStoreReadAge);
   return heartbeat;
 }
 
 void PeerHeartbeats::send_heartbeat(const ControllerName& name, Peer& peer, protocol::Heartbeat heartbeat) {
-  peer.heartbeat_due = false;
+  peer.immediate_heartbeat_scheduled = false;
   heartbeat.sequence = ++sequence_;
-  heartbeat.echo = cancellations_.received(name);
-  heartbeat.cancellation_sync = cancellations_.outgoing(name, heartbeat.sequence);
+  heartbeat.echo = cancellations_.last_received_sequence(name);
+  heartbeat.cancellation_sync = cancellations_.prepare_sync(name, heartbeat.sequence);
   connections_.send(name, std::move(heartbeat));
 }
 
@@ -86,33 +88,34 @@
 
 void PeerHeartbeats::reset_if_unanswered(const ControllerName& name) {
   auto now = ctx_.now();
-  auto oldest_sent = cancellations_.oldest_sent(name);
-  auto echoed = cancellations_.echoed(name);
+  auto oldest_sent = cancellations_.oldest_awaited_sent_at(name);
+  auto echoed = cancellations_.last_echoed_sent_at(name);
   bool unanswered =
       (!echoed || now - *echoed > kResetTimeout) && oldest_sent && now - *oldest_sent > kResetTimeout;
   if (!connections_.connected(name) || !unanswered) return;
-  cancellations_.forget_sent(name);
+  cancellations_.discard_sent_heartbeats(name);
   connections_.reset(name);
 }
 
-void PeerHeartbeats::schedule_heartbeat(Peer& peer) {
-  peer.heartbeat_due = true;
-  if (due_heartbeats_timer_.pending()) return;
+void PeerHeartbeats::schedule_immediate_heartbeat(Peer& peer) {
+  peer.immediate_heartbeat_scheduled = true;
+  if (immediate_heartbeat_timer_.pending()) return;
   Duration delay(0);
-  if (last_due_heartbeats_) delay = std::max(delay, *last_due_heartbeats_ + kDueHeartbeatGap - ctx_.now());
-  due_heartbeats_timer_.set(delay);
+  if (last_immediate_heartbeats_at_)
+    delay = std::max(delay, *last_immediate_heartbeats_at_ + kMinImmediateHeartbeatGap - ctx_.now());
+  immediate_heartbeat_timer_.set(delay);
 }
 
-void PeerHeartbeats::send_due_heartbeats() {
-  last_due_heartbeats_ = ctx_.now();
+void PeerHeartbeats::send_immediate_heartbeats() {
+  last_immediate_heartbeats_at_ = ctx_.now();
   auto heartbeat = make_heartbeat();
   for (auto& [name, peer] : peers_)
-    if (peer.heartbeat_due) send_heartbeat(name, peer, heartbeat);
+    if (peer.immediate_heartbeat_scheduled) send_heartbeat(name, peer, heartbeat);
 }
 
-// ---- Heartbeats received
+// ---- Receiving heartbeats
 
-void PeerHeartbeats::note_shard_leaders(const ControllerName& from, const protocol::Heartbeat& heartbeat) {
+void PeerHeartbeats::record_shard_leaders(const ControllerName& from, const protocol::Heartbeat& heartbeat) {
   for (const auto& advertised : heartbeat.terms) {
     auto& leader = shard_leaders_[advertised.shard];
     if (advertised.term > leader.term) leader = {from, advertised.term};
@@ -121,16 +124,17 @@
 
 void PeerHeartbeats::on_heartbeat(const ControllerName& from, const protocol::Heartbeat& heartbeat) {
   auto& peer = peers_.at(from);
-  auto echoed = cancellations_.echoed(from);
+  auto echoed = cancellations_.last_echoed_sent_at(from);
   if (cancellations_.on_heartbeat(from, heartbeat) == CancellationVisibility::NextHeartbeat::kAtOnce)
-    schedule_heartbeat(peer);
-  if (cancellations_.echoed(from) >= echoed) peer.reaches_state_store = heartbeat.reaches_state_store;
+    schedule_immediate_heartbeat(peer);
+  if (cancellations_.last_echoed_sent_at(from) >= echoed)
+    peer.reaches_state_store = heartbeat.reaches_state_store;
 }
 
 void PeerHeartbeats::on_view(const state_store::StateView::ChangeSet& changes) {
-  if (!cancellations_.has_cancelled(changes)) return;
+  if (!cancellations_.contains_cancellation(changes)) return;
   for (auto& [name, peer] : peers_)
-    if (reachable(name) && cancellations_.lacks_cancellations(name)) schedule_heartbeat(peer);
+    if (reachable(name) && cancellations_.lacks_cancellations(name)) schedule_immediate_heartbeat(peer);
 }
 
 }  // namespace beaconsill::controller
--- a/src/controller/peer_heartbeats.h
+++ b/src/controller/peer_heartbeats.h
@@ -1,4 +1,4 @@
-// Heartbeats between the controllers.
+// Exchanges heartbeats with the other controllers and tracks the status that they report.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,14 @@
 
 namespace beaconsill::controller {
 
-// Sends a heartbeat to each peer periodically, and at once where cancellations have to get there; keeps what
-// the heartbeats of the peers show. Throws nothing; one thread.
+// Sends a heartbeat to each peer periodically, and an immediate one to a peer that needs cancellations.
+// Stores the reachability, shard leaders and state store access that the heartbeats of the peers report.
+// Methods don't throw. Single-threaded.
 class PeerHeartbeats : public PeerStatus {
  public:
   using LedTerms = std::function<std::vector<protocol::ShardTerm>()>;
 
-  // `led_terms`: the shards that this controller leads, for its heartbeats.
+  // `led_terms` returns the shards that this controller leads, with their terms, for its heartbeats.
   PeerHeartbeats(ControllerContext& ctx, PeerConnections& connections, CancellationVisibility& cancellations,
                  LedTerms led_terms);
   // Sends the first heartbeats within this call.
@@ -30,24 +31,25 @@
   void stop();
 
   bool reachable(const ControllerName& controller) const override;
-  bool others_reach_state_store() const override;
+  bool any_peer_reaches_state_store() const override;
   std::optional<AdvertisedLeader> shard_leader(ShardId shard) const override;
 
-  // What a peer's heartbeat shows; first which shards the peer leads, then the rest.
-  void note_shard_leaders(const ControllerName& from, const protocol::Heartbeat& heartbeat);
+  // Records which shards the peer leads, as its heartbeat says. Must be called before on_heartbeat().
+  void record_shard_leaders(const ControllerName& from, const protocol::Heartbeat& heartbeat);
+  // Processes the rest of the peer's heartbeat.
   void on_heartbeat(const ControllerName& from, const protocol::Heartbeat& heartbeat);
-  // Cancellations that have become known here are sent to the peers that may lack them.
+  // Must be called after the view has changed. Sends new cancellations to the peers that may not have them.
   void on_view(const state_store::StateView::ChangeSet& changes);
 
  private:
   struct Peer {
     bool reaches_state_store = false;
-    bool heartbeat_due = false;  // without waiting for the period
+    bool immediate_heartbeat_scheduled = false;
   };
 
   void send_heartbeats();
-  void schedule_heartbeat(Peer& peer);
-  void send_due_heartbeats();
+  void schedule_immediate_heartbeat(Peer& peer);
+  void send_immediate_heartbeats();
   protocol::Heartbeat make_heartbeat();
   void send_heartbeat(const ControllerName& name, Peer& peer, protocol::Heartbeat heartbeat);
   void reset_if_unanswered(const ControllerName& name);
@@ -57,8 +59,8 @@
   CancellationVisibility& cancellations_;
   LedTerms led_terms_;
   PeriodicTimer heartbeat_timer_;
-  OneShotTimer due_heartbeats_timer_;
-  std::optional<Instant> last_due_heartbeats_;
+  OneShotTimer immediate_heartbeat_timer_;
+  std::optional<Instant> last_immediate_heartbeats_at_;
   std::map<ControllerName, Peer> peers_;
   std::uint64_t sequence_;  // of the last heartbeat sent
   std::map<ShardId, AdvertisedLeader> shard_leaders_;
--- a/src/controller/peer_links.cpp
+++ b/src/controller/peer_links.cpp
@@ -7,12 +7,13 @@
 
 namespace beaconsill::controller {
 namespace {
-// Of the controller's memory, what may be queued for all peers together if they stall: summaries grow with
-// the number of machines, as the memory of a controller has to.
+// Share of the controller's memory that messages queued for all peers together may take if the peers stall.
+// It is a share because summaries grow with the number of machines, and a controller's memory has to as well.
 constexpr double kQueueShareOfMemory = 1.0 / 16;
 constexpr double kBytesPerMegabyte = 1024 * 1024;
 
-// Accepted connections: a peer that reconnects may leave some behind that aren't closed yet.
+// Limits on accepted connections. A peer that reconnects may leave earlier connections that aren't closed
+// yet.
 constexpr std::size_t kMaxConnectionsPerPeer = 4;
 constexpr std::size_t kSpareConnections = 4;
 
--- a/src/controller/peer_links.h
+++ b/src/controller/peer_links.h
@@ -1,4 +1,4 @@
-// The connections to the other controllers, and the messages that come and go over them.
+// Manages the connections to the other controllers, and sends and receives messages over them.
 #pragma once
 
 #include <functional>
@@ -12,15 +12,15 @@
 
 namespace beaconsill::controller {
 
-// Owns a link to each peer and the receiver for all of them. Messages that can't be decoded, or that name an
-// unknown controller as their sender, are logged and dropped. Nothing is thrown, except by start() if the
-// address can't be bound (std::system_error). One thread.
+// Owns one sender for each peer and one receiver for all of them. Messages that can't be decoded, or whose
+// sender is an unknown controller, are logged and dropped. Only start() throws: std::system_error if the
+// listen address can't be bound. Single-threaded.
 class PeerLinks : public PeerConnections {
  public:
   using MessageHandler = std::function<void(const protocol::PeerMessage&)>;
 
   PeerLinks(ControllerContext& ctx, MessageHandler on_message);
-  // Listens, and connects to all peers.
+  // Starts listening and connects to all peers.
   void start();
   void stop();
 
--- a/src/controller/peer_message_dispatcher.h
+++ b/src/controller/peer_message_dispatcher.h
@@ -1,4 +1,4 @@
-// Hands the messages of other controllers to the components that they are for.
+// Dispatches the messages of other controllers to the components that handle them.
 #pragma once
 
 #include "controller/controller_context.h"
@@ -10,7 +10,7 @@
 
 namespace beaconsill::controller {
 
-// Throws nothing; one thread.
+// Methods don't throw. Single-threaded.
 class PeerMessageDispatcher {
  public:
   PeerMessageDispatcher(ControllerContext& ctx, PeerMessenger& messenger, ShardService& shards,
@@ -19,7 +19,7 @@
   void dispatch(const protocol::PeerMessage& message);
 
  private:
-  // One for each alternative of protocol::PeerPayload.
+  // There is one overload for each alternative of protocol::PeerPayload.
   void handle(const ControllerName& from, const protocol::Heartbeat& heartbeat);
   void handle(const ControllerName& from, const protocol::ChangeNotification& notification);
   void handle(const ControllerName& from, const protocol::EstimateRequest& request);
--- a/src/controller/peer_service.cpp
+++ b/src/controller/peer_service.cpp
@@ -28,7 +28,7 @@
     on_message_(message);
     return;
   }
-  heartbeats_.note_shard_leaders(message.from, *heartbeat);
+  heartbeats_.record_shard_leaders(message.from, *heartbeat);
   if (!heartbeat->terms.empty()) on_message_(message);
   heartbeats_.on_heartbeat(message.from, *heartbeat);
 }
--- a/src/controller/peer_service.h
+++ b/src/controller/peer_service.h
@@ -1,4 +1,4 @@
-// What connects this controller with the others.
+// Combines the components through which this controller communicates with the other controllers.
 #pragma once
 
 #include "controller/cancellation_visibility.h"
@@ -8,20 +8,21 @@
 
 namespace beaconsill::controller {
 
-// Owns the links, the heartbeats and what they say of cancellations. Nothing is thrown, except by start() if
-// the address can't be bound (std::system_error). One thread.
+// Owns the peer links, the peer heartbeats and the cancellation visibility that depends on them. Only start()
+// throws: std::system_error if the listen address can't be bound. Single-threaded.
 class PeerService {
  public:
   using MessageHandler = PeerLinks::MessageHandler;
 
-  // `on_message` gets every message but heartbeats that name no shard. `led_terms`: the shards that this
-  // controller leads, for its heartbeats.
+  // `on_message` is called for every message except heartbeats without shard terms. `led_terms` returns the
+  // shards that this controller leads, with their terms, for its heartbeats.
   PeerService(ControllerContext& ctx, MessageHandler on_message, PeerHeartbeats::LedTerms led_terms);
   void start();
   void stop();
+  // Must be called after the view of the state store has changed.
   void on_view(const state_store::StateView::ChangeSet& changes) { heartbeats_.on_view(changes); }
 
-  // What its parts offer to the other components.
+  // Interfaces for the other components.
   PeerMessenger& messenger() { return links_; }
   const PeerStatus& status() const { return heartbeats_; }
   CancellationVisibility& cancellations() { return cancellations_; }
--- a/src/controller/peer_status.h
+++ b/src/controller/peer_status.h
@@ -1,4 +1,5 @@
-// What the heartbeats of the other controllers show, as an interface: components run in tests without peers.
+// Interface to the status that the heartbeats of the other controllers report. It lets tests run components
+// without peers.
 #pragma once
 
 #include <optional>
@@ -7,24 +8,25 @@
 
 namespace beaconsill::controller {
 
-// A peer is reachable for so long after it has answered a heartbeat.
+// A peer counts as reachable until this long after the sending of the newest heartbeat that it has echoed.
 constexpr Duration kReachableTimeout = std::chrono::milliseconds(1700);
 
-// A controller that leads a shard, as it says in its heartbeats.
+// A controller that advertises in its heartbeats that it leads a shard, with the shard's term.
 struct AdvertisedLeader {
   ControllerName controller;
   Term term;
 };
 
-// Throws nothing; one thread.
+// Methods don't throw. Single-threaded.
 class PeerStatus {
  public:
   virtual ~PeerStatus() = default;
-  // Whether the controller has answered a recent heartbeat; this controller itself always has.
+  // Returns whether the controller has echoed a recent heartbeat. Always true for this controller itself.
   virtual bool reachable(const ControllerName& controller) const = 0;
-  // Some reachable peer says that the state store answers it.
-  virtual bool others_reach_state_store() const = 0;
-  // The controller under the highest term that any peer has advertised for the shard.
+  // Returns whether any reachable peer reports that it reaches the state store.
+  virtual bool any_peer_reaches_state_store() const = 0;
+  // Returns the controller that advertised the highest term for the shard, or std::nullopt if no peer has
+  // advertised the shard.
   virtual std::optional<AdvertisedLeader> shard_leader(ShardId shard) const = 0;
 };
 
--- a/src/controller/socket_limits.h
+++ b/src/controller/socket_limits.h
@@ -1,4 +1,4 @@
-// How a controller's sockets are divided, so that no one use of them can take what another needs.
+// Divides a controller's sockets among their uses, so that no use can take the sockets that another needs.
 #pragma once
 
 #include <algorithm>
@@ -10,19 +10,21 @@
 
 // Numbers of sockets.
 struct SocketLimits {
-  std::size_t own = 0;       // to state store, cloud and peers
-  std::size_t commands = 0;  // open connections to workers; beyond that the longest idle is closed
-  std::size_t served = 0;    // connections from workers, users and health checks
-  std::size_t users = 0;     // of `served`, at most for users: workers keep as many when users flood
+  std::size_t infrastructure = 0;  // connections to the state store, the cloud and the peers
+  std::size_t commands = 0;        // connections to workers; at the limit the longest idle one is closed
+  std::size_t accepted = 0;        // connections from workers, users and health checks
+  // Maximum number of `accepted` that users may have. At least as many remain for workers when users open too
+  // many connections.
+  std::size_t accepted_from_users = 0;
 };
 
 inline SocketLimits plan_socket_limits(const config::Settings& settings) {
   SocketLimits limits;
-  std::size_t all = settings.max_connections;
-  limits.own = std::min(std::size_t{40} + 8 * settings.peers.size(), all / 2);
-  limits.commands = (all - limits.own) / 3;
-  limits.served = all - limits.own - limits.commands;
-  limits.users = limits.served / 2;
+  std::size_t total = settings.max_connections;
+  limits.infrastructure = std::min(std::size_t{40} + 8 * settings.peers.size(), total / 2);
+  limits.commands = (total - limits.infrastructure) / 3;
+  limits.accepted = total - limits.infrastructure - limits.commands;
+  limits.accepted_from_users = limits.accepted / 2;
   return limits;
 }
 
--- a/src/controller/summary_exchange.cpp
+++ b/src/controller/summary_exchange.cpp
@@ -30,7 +30,7 @@
 void SummaryExchange::on_page(const ControllerName& from, const protocol::Summary& page) {
   auto summary = assemblers_[from].add(page);
   if (!summary) return;
-  auto& counts = running_elsewhere_[summary->shard];
+  auto& counts = peer_running_tasks_[summary->shard];
   counts.clear();
   for (const auto& count : summary->running) counts[count.job] = count.running;
   scheduler_.on_summary(*summary);
@@ -38,7 +38,7 @@
 
 std::uint32_t SummaryExchange::running(const JobId& id) const {
   std::uint32_t running = shards_.running(id);
-  for (const auto& [shard, counts] : running_elsewhere_) {
+  for (const auto& [shard, counts] : peer_running_tasks_) {
     if (shards_.leads(shard)) continue;
     if (auto it = counts.find(id); it != counts.end()) running += it->second;
   }
--- a/src/controller/summary_exchange.h
+++ b/src/controller/summary_exchange.h
@@ -1,4 +1,4 @@
-// Exchanges the shards' summaries between the controllers: their machines and what runs on them.
+// Exchanges the summaries of shards, which list machines and running tasks, between the controllers.
 #pragma once
 
 #include <cstdint>
@@ -13,17 +13,18 @@
 
 namespace beaconsill::controller {
 
-// Sends the summaries of the led shards to the peers, and hands all of them to the scheduler. Throws nothing;
-// one thread.
+// Sends the summaries of the led shards to the peers, and passes the summaries of all shards to the
+// scheduler. Methods don't throw. Single-threaded.
 class SummaryExchange {
  public:
   SummaryExchange(ControllerContext& ctx, PeerMessenger& messenger, ShardService& shards,
                   SchedulerService& scheduler);
   void start();
   void stop();
-  // A peer's summary comes in pages, in order.
+  // Processes one page of a peer's summary. The pages of a summary arrive in order.
   void on_page(const ControllerName& from, const protocol::Summary& page);
-  // Tasks of the job that run, in all shards, as far as is known here.
+  // Returns the number of running tasks of the job in the led shards and in all shards that peers have
+  // reported.
   std::uint32_t running(const JobId& id) const;
 
  private:
@@ -35,7 +36,7 @@
   SchedulerService& scheduler_;
   PeriodicTimer timer_;
   std::map<ControllerName, protocol::SummaryAssembler> assemblers_;
-  std::map<ShardId, std::map<JobId, std::uint32_t>> running_elsewhere_;  // tasks
+  std::map<ShardId, std::map<JobId, std::uint32_t>> peer_running_tasks_;  // number of running tasks
 };
 
 }  // namespace beaconsill::controller
--- a/src/controller/worker_connection_pool.cpp
+++ b/src/controller/worker_connection_pool.cpp
@@ -22,7 +22,7 @@
   }
   if (connections_.size() >= max_connections_) close_longest_idle();
   auto& connection = connections_[machine];
-  connection = {address, std::make_shared<net::HttpClient>(io_, endpoint, 1), 0, now};
+  connection = {address, std::make_shared<net::HttpClient>(io_context_, endpoint, 1), 0, now};
   return connection;
 }
 
@@ -46,7 +46,8 @@
 void WorkerConnectionPool::close(const MachineName& machine) {
   auto it = connections_.find(machine);
   if (it == connections_.end()) return;
-  // Out of the pool first: stopping the client ends its requests, whose callbacks may come back here.
+  // The connection is removed from the pool first, because stopping the client ends its requests, whose
+  // callbacks may call this pool.
   auto client = it->second.client;
   connections_.erase(it);
   client->stop();
--- a/tests/controller_component_fixture.h
+++ b/tests/controller_component_fixture.h
@@ -1,4 +1,5 @@
-// One component of a controller between fakes: no sockets, and the time is what the test says.
+// Test fixture for a single component of a controller. Other components are fakes, no sockets are used, and
+// the test controls the clock.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -46,7 +47,7 @@
   return settings;
 }
 
-// The client is never asked to send anything: it only says what the state store takes.
+// The state store client sends no requests. Components only read its size and rate limits.
 struct ComponentFixture : testing::Test {
   explicit ComponentFixture(config::Settings settings = component_settings())
       : context(io, clock, settings, config::load_policy("", settings)) {
@@ -60,10 +61,11 @@
     context.watch_cache = cache;
   }
 
-  // The controller acquires the role under this term.
+  // Gives the controller the role of shard leader under this term and returns the revision of the write.
   Revision set_shard_role(const ControllerName& controller, Term term) {
     return cache->put(state_store::shard_role_key(kShard), to_json(state_store::Role{controller, term}));
   }
+  // Gives the controller the role of leader under this term and returns the revision of the write.
   Revision set_leader(const ControllerName& controller, Term term) {
     return cache->put(state_store::leader_role_key(), to_json(state_store::Role{controller, term}));
   }
@@ -79,7 +81,7 @@
   fakes::PeerStatus peers;
 };
 
-// The record of a job whose tasks take one CPU each.
+// Returns the record of a job with this number of tasks, each of which requests one CPU.
 inline protocol::Json job_record_json(const JobId& id, std::uint32_t tasks) {
   protocol::JobSpec spec;
   spec.id = id;
--- a/tests/fakes/peers.h
+++ b/tests/fakes/peers.h
@@ -34,7 +34,7 @@
   bool reachable(const ControllerName& controller) const override {
     return reachable_controllers.contains(controller);
   }
-  bool others_reach_state_store() const override { return false; }
+  bool any_peer_reaches_state_store() const override { return false; }
   std::optional<controller::AdvertisedLeader> shard_leader(ShardId shard) const override {
     auto it = advertised_leaders.find(shard);
     if (it == advertised_leaders.end()) return std::nullopt;
--- a/tests/pause_detector_test.cpp
+++ b/tests/pause_detector_test.cpp
@@ -7,18 +7,19 @@
 namespace beaconsill {
 namespace {
 
-TEST(PauseDetector, FindsAGapBetweenObservations) {
+TEST(PauseDetector, ReportsTheEndOfTheLastGapOfMoreThanOneSecondBetweenObservations) {
   struct Case {
-    std::vector<double> observed;
-    std::optional<double> pause_end;  // none: no pause
+    std::vector<double> observed_seconds;
+    std::optional<double> pause_end_seconds;  // std::nullopt if no pause is expected
   };
-  for (const auto& c : {Case{{5}, std::nullopt}, Case{{5, 5.1, 5.9}, std::nullopt}, Case{{5, 6.2}, 6.2},
-                        Case{{5, 25, 25.1, 25.5}, 25}, Case{{5, 10, 11, 30, 30.4}, 30}}) {
+  for (const auto& test_case :
+       {Case{{5}, std::nullopt}, Case{{5, 5.1, 5.9}, std::nullopt}, Case{{5, 6.2}, 6.2},
+        Case{{5, 25, 25.1, 25.5}, 25}, Case{{5, 10, 11, 30, 30.4}, 30}}) {
     controller::PauseDetector detector;
-    for (double time : c.observed) detector.observe(Instant{} + from_seconds(time));
+    for (double seconds : test_case.observed_seconds) detector.observe(Instant{} + from_seconds(seconds));
     std::optional<Instant> expected;
-    if (c.pause_end) expected = Instant{} + from_seconds(*c.pause_end);
-    EXPECT_EQ(detector.last_pause_end(), expected) << c.observed.back();
+    if (test_case.pause_end_seconds) expected = Instant{} + from_seconds(*test_case.pause_end_seconds);
+    EXPECT_EQ(detector.last_pause_end(), expected) << test_case.observed_seconds.back();
   }
 }
 
--- a/tests/socket_limits_test.cpp
+++ b/tests/socket_limits_test.cpp
@@ -5,22 +5,23 @@
 namespace beaconsill {
 namespace {
 
-// Whatever the limit, no use of sockets takes what another needs, and the largest fleets fit at one
-// controller.
-TEST(SocketLimits, LeaveEnoughForEachUse) {
+// For any connection limit, no use of sockets takes the sockets that another needs, and the workers of the
+// largest clusters can all connect to one controller.
+TEST(SocketLimits, ReserveEnoughSocketsForEachUse) {
   struct Case {
-    std::uint32_t limit;
-    std::size_t workers;  // of machines that all report to one controller
+    std::uint32_t max_connections;
+    std::size_t workers;  // number of workers that all send heartbeats to one controller
   };
-  for (const auto& c : {Case{16, 1}, Case{600, 60}, Case{1557, 590}, Case{2693, 1054}}) {
+  for (const auto& test_case : {Case{16, 1}, Case{600, 60}, Case{1557, 590}, Case{2693, 1054}}) {
     config::Settings settings;
-    settings.max_connections = c.limit;
+    settings.max_connections = test_case.max_connections;
     settings.peers.resize(2);
     auto limits = controller::plan_socket_limits(settings);
-    EXPECT_LE(limits.own + limits.commands + limits.served, c.limit);
-    EXPECT_GE(limits.served, c.workers + c.workers / 4) << c.limit;
-    EXPECT_GT(limits.users, 0u) << c.limit;
-    EXPECT_GE(limits.served - limits.users, limits.users) << c.limit;
+    EXPECT_LE(limits.infrastructure + limits.commands + limits.accepted, test_case.max_connections);
+    EXPECT_GE(limits.accepted, test_case.workers + test_case.workers / 4) << test_case.max_connections;
+    EXPECT_GT(limits.accepted_from_users, 0u) << test_case.max_connections;
+    EXPECT_GE(limits.accepted - limits.accepted_from_users, limits.accepted_from_users)
+        << test_case.max_connections;
   }
 }
 
--- a/tests/timers_test.cpp
+++ b/tests/timers_test.cpp
@@ -5,9 +5,9 @@
 namespace beaconsill {
 namespace {
 
-// Found when a controller was ended just as a timer of its had come due: the timer's work ran on what was
-// freed.
-TEST(OneShotTimer, DoesNotRunOnceItIsDestroyed) {
+// Guards against a use after free: a controller was stopped just as one of its timers expired, and the
+// timer's callback accessed the destroyed component.
+TEST(OneShotTimer, DoesNotRunItsCallbackAfterItIsDestroyed) {
   asio::io_context io;
   int runs = 0;
   auto second = std::make_unique<controller::OneShotTimer>(io, [&] { runs += 10; });
@@ -15,19 +15,19 @@
     ++runs;
     second.reset();
   });
-  // Both are due, and their handlers queued, when the first one runs.
+  // Both timers have expired and their handlers are queued when the first handler runs.
   first.set(Duration(0));
   second->set(Duration(0));
   io.run();
   EXPECT_EQ(runs, 1);
 }
 
-TEST(OneShotTimer, RunsOnceForTheTimeThatWasSetLast) {
+TEST(OneShotTimer, RunsItsCallbackOnceForTheDelayThatWasSetLast) {
   asio::io_context io;
   int runs = 0;
   controller::OneShotTimer timer(io, [&] { ++runs; });
   EXPECT_FALSE(timer.pending());
-  // The handler of the first time is queued when the second one is set.
+  // The handler of the first delay is already queued when the second delay is set.
   timer.set(Duration(0));
   timer.set(std::chrono::milliseconds(5));
   EXPECT_TRUE(timer.pending());
@@ -36,7 +36,7 @@
   EXPECT_FALSE(timer.pending());
 }
 
-TEST(OneShotTimer, MayBeSetAnewByItsWork) {
+TEST(OneShotTimer, CanBeSetAgainByItsCallback) {
   asio::io_context io;
   int runs = 0;
   std::unique_ptr<controller::OneShotTimer> timer;
@@ -49,7 +49,7 @@
   EXPECT_EQ(runs, 3);
 }
 
-TEST(OneShotTimer, DoesNotRunOnceStopped) {
+TEST(OneShotTimer, DoesNotRunItsCallbackAfterItIsStopped) {
   asio::io_context io;
   int runs = 0;
   controller::OneShotTimer timer(io, [&] { ++runs; });
@@ -60,7 +60,7 @@
   EXPECT_EQ(runs, 0);
 }
 
-TEST(PeriodicTimer, RunsAtOnceAndThenEveryPeriodUntilItIsStopped) {
+TEST(PeriodicTimer, RunsItsCallbackImmediatelyAndThenEveryPeriodUntilItIsStopped) {
   asio::io_context io;
   constexpr Duration kPeriod = std::chrono::milliseconds(5);
   int runs = 0;
@@ -68,12 +68,12 @@
   timer = std::make_unique<controller::PeriodicTimer>(io, [&] {
     if (++runs == 4) timer->stop();
   });
-  auto begun = std::chrono::steady_clock::now();
+  auto started_at = std::chrono::steady_clock::now();
   timer->start(kPeriod);
   EXPECT_EQ(runs, 1);
   io.run();
   EXPECT_EQ(runs, 4);
-  EXPECT_GE(std::chrono::steady_clock::now() - begun, 3 * kPeriod);
+  EXPECT_GE(std::chrono::steady_clock::now() - started_at, 3 * kPeriod);
 }
 
 }  // namespace
--- a/tests/worker_connection_pool_test.cpp
+++ b/tests/worker_connection_pool_test.cpp
@@ -13,9 +13,9 @@
   return Instant{} + from_seconds(seconds);
 }
 
-// A pool of two connections. None of them is opened, since no request is sent.
-struct PoolFixture : testing::Test {
-  // A request to the machine begins; returns the client that sends it.
+// A pool of at most two connections. No socket is opened because the tests send no requests.
+struct WorkerConnectionPoolTest : testing::Test {
+  // Starts a request to the machine and returns the client that would send it.
   std::shared_ptr<net::HttpClient> acquire(const char* machine, double seconds,
                                            const std::string& address = kAddress) {
     return pool.acquire(MachineName(machine), address, *net::parse_endpoint(address), at_second(seconds))
@@ -24,8 +24,8 @@
   void release(const char* machine, const std::shared_ptr<net::HttpClient>& client) {
     pool.release(MachineName(machine), client);
   }
-  // The same for a request that has ended.
-  std::weak_ptr<net::HttpClient> use(const char* machine, double seconds) {
+  // Starts and ends a request to the machine. The returned pointer expires when the connection is closed.
+  std::weak_ptr<net::HttpClient> complete_request(const char* machine, double seconds) {
     auto client = acquire(machine, seconds);
     release(machine, client);
     return client;
@@ -35,55 +35,56 @@
   WorkerConnectionPool pool{io, 2};
 };
 
-TEST_F(PoolFixture, KeepsTheConnectionToAMachine) {
+TEST_F(WorkerConnectionPoolTest, ReusesTheConnectionToAMachine) {
   auto first = acquire("m1", 1);
   EXPECT_EQ(acquire("m1", 2), first);
 }
 
-TEST_F(PoolFixture, OpensANewConnectionForANewAddress) {
+TEST_F(WorkerConnectionPoolTest, OpensANewConnectionForANewAddress) {
   auto first = acquire("m1", 1);
   auto second = acquire("m1", 2, "10.0.0.2:80");
   EXPECT_NE(second, first);
   EXPECT_EQ(acquire("m1", 3, "10.0.0.2:80"), second);
 }
 
-TEST_F(PoolFixture, ClosesTheLongestIdleConnectionBeyondTheLimit) {
-  auto first = use("m1", 1);
-  auto second = use("m2", 2);
-  use("m1", 3);
-  auto third = use("m3", 4);
+TEST_F(WorkerConnectionPoolTest, ClosesTheLongestIdleConnectionWhenTheLimitIsExceeded) {
+  auto first = complete_request("m1", 1);
+  auto second = complete_request("m2", 2);
+  complete_request("m1", 3);
+  auto third = complete_request("m3", 4);
   EXPECT_FALSE(first.expired());
   EXPECT_TRUE(second.expired());
   EXPECT_FALSE(third.expired());
 }
 
-// Otherwise the commands in flight would count as unanswered.
-TEST_F(PoolFixture, NeverClosesAConnectionWithARequestInFlightForTheLimit) {
+// Commands in flight on a closed connection would count as unanswered.
+TEST_F(WorkerConnectionPoolTest, DoesNotCloseAConnectionWithARequestInFlightBecauseOfTheLimit) {
   std::weak_ptr<net::HttpClient> busy = acquire("m1", 1);
-  auto idle = use("m2", 2);
+  auto idle = complete_request("m2", 2);
   std::weak_ptr<net::HttpClient> third = acquire("m3", 3);
   EXPECT_FALSE(busy.expired());
   EXPECT_TRUE(idle.expired());
-  // Nothing is idle: the pool grows beyond its limit for a while.
+  // No connection is idle, so the pool exceeds its limit temporarily.
   std::weak_ptr<net::HttpClient> fourth = acquire("m4", 4);
   EXPECT_FALSE(busy.expired());
   EXPECT_FALSE(third.expired());
   EXPECT_FALSE(fourth.expired());
 }
 
-// A request that ends late, by a connection that was closed meanwhile, says nothing about the new one.
-TEST_F(PoolFixture, AnEndedRequestOfAClosedConnectionDoesNotCount) {
+// A request that ends after its connection was closed must not be counted as an ended request of the new
+// connection to the same machine.
+TEST_F(WorkerConnectionPoolTest, EndOfARequestOnAClosedConnectionDoesNotAffectTheNewConnection) {
   auto closed = acquire("m1", 1);
   pool.close(MachineName("m1"));
   std::weak_ptr<net::HttpClient> busy = acquire("m1", 2);
   release("m1", closed);
-  use("m2", 3);
-  use("m3", 4);
+  complete_request("m2", 3);
+  complete_request("m3", 4);
   EXPECT_FALSE(busy.expired());
 }
 
-TEST_F(PoolFixture, ClosesAllConnectionsWhenStopped) {
-  auto idle = use("m1", 1);
+TEST_F(WorkerConnectionPoolTest, ClosesAllConnectionsWhenStopped) {
+  auto idle = complete_request("m1", 1);
   std::weak_ptr<net::HttpClient> busy = acquire("m2", 2);
   pool.stop();
   EXPECT_TRUE(idle.expired());
