--- a/src/controller/cancellation_visibility.h
+++ b/src/controller/cancellation_visibility.h
@@ -67,8 +67,9 @@
 
   ControllerContext& ctx_;
   shard::CancellationBarrier barrier_;
-  std::optional<Revision>
-      acknowledged_until_;  // std::nullopt until the initial read of the state store is complete
+  // std::nullopt until acknowledged_until() or may_reveal() first uses it after the initial read of the state
+  // store.
+  std::optional<Revision> acknowledged_until_;
 };
 
 }  // namespace beaconsill::controller
--- a/src/controller/garbage_collector.h
+++ b/src/controller/garbage_collector.h
@@ -23,8 +23,8 @@
 
  private:
   void run();
-  // Both functions add deletions to the draft if the job's keys are to be deleted. kFull means
-  // that the draft has no space left and the remaining jobs have to wait for a later transaction.
+  // Both functions add deletions to the draft if the job's keys are to be deleted. kFull means that
+  // the draft has no space left and the remaining jobs have to wait for a later transaction.
   DraftState delete_job_keys(const JobId& id, state_store::TxnDraft& draft);
   DraftState delete_dependency_keys(const JobId& id, const state_store::StateView::DependencyKeys& keys,
                                     state_store::TxnDraft& draft) const;
--- a/src/controller/heartbeat_endpoint.cpp
+++ b/src/controller/heartbeat_endpoint.cpp
@@ -77,7 +77,7 @@
   // A stale heartbeat is answered as well: its worker is alive, and newer commands may have reached the
   // worker before this heartbeat arrived.
   if (!manager.find_machine(heartbeat.machine))
-    return unavailable("machine " + heartbeat.machine.value() + " is not registered");
+    return unavailable("machine " + heartbeat.machine.value() + " was terminated");
   auto response = manager.heartbeat_response(heartbeat.machine, ctx_.now());
   return {net::status::kOk, protocol::render_heartbeat_response(response.token, response.commands)};
 }
--- a/src/controller/peer_heartbeats.cpp
+++ b/src/controller/peer_heartbeats.cpp
@@ -27,7 +27,7 @@
       led_terms_(std::move(led_terms)),
       heartbeat_timer_(ctx.io_context, [this] { send_heartbeats(); }),
       immediate_heartbeat_timer_(ctx.io_context, [this] { send_immediate_heartbeats(); }),
-      // An earlier process of this controller must not have used the same sequence numbers.
+      // Sequence numbers must not be confused with those of an earlier process of this controller.
       sequence_(static_cast<std::uint64_t>(ctx.clock.wall().value()) << kSequenceShiftBits) {
   for (const auto& peer : ctx.settings.peers) peers_[peer.controller] = {};
 }
@@ -44,8 +44,8 @@
 bool PeerHeartbeats::reachable(const ControllerName& controller) const {
   if (controller == ctx_.settings.controller) return true;
   if (!peers_.contains(controller)) return false;
-  auto echoed = cancellations_.last_echoed_sent_at(controller);
-  return echoed && ctx_.now() - *echoed < kReachableTimeout;
+  auto echoed_sent_at = cancellations_.last_echoed_sent_at(controller);
+  return echoed_sent_at && ctx_.now() - *echoed_sent_at < kReachableTimeout;
 }
 
 bool PeerHeartbeats::any_peer_reaches_state_store() const {
@@ -88,10 +88,10 @@
 
 void PeerHeartbeats::reset_if_unanswered(const ControllerName& name) {
   auto now = ctx_.now();
-  auto oldest_sent = cancellations_.oldest_awaited_sent_at(name);
-  auto echoed = cancellations_.last_echoed_sent_at(name);
-  bool unanswered =
-      (!echoed || now - *echoed > kResetTimeout) && oldest_sent && now - *oldest_sent > kResetTimeout;
+  auto oldest_sent_at = cancellations_.oldest_awaited_sent_at(name);
+  auto echoed_sent_at = cancellations_.last_echoed_sent_at(name);
+  bool unanswered = (!echoed_sent_at || now - *echoed_sent_at > kResetTimeout) && oldest_sent_at &&
+                    now - *oldest_sent_at > kResetTimeout;
   if (!connections_.connected(name) || !unanswered) return;
   cancellations_.discard_sent_heartbeats(name);
   connections_.reset(name);
@@ -124,10 +124,10 @@
 
 void PeerHeartbeats::on_heartbeat(const ControllerName& from, const protocol::Heartbeat& heartbeat) {
   auto& peer = peers_.at(from);
-  auto echoed = cancellations_.last_echoed_sent_at(from);
+  auto previous_echoed_sent_at = cancellations_.last_echoed_sent_at(from);
   if (cancellations_.on_heartbeat(from, heartbeat) == CancellationVisibility::NextHeartbeat::kAtOnce)
     schedule_immediate_heartbeat(peer);
-  if (cancellations_.last_echoed_sent_at(from) >= echoed)
+  if (cancellations_.last_echoed_sent_at(from) >= previous_echoed_sent_at)
     peer.reaches_state_store = heartbeat.reaches_state_store;
 }
 
--- a/src/controller/peer_heartbeats.h
+++ b/src/controller/peer_heartbeats.h
@@ -44,7 +44,7 @@
  private:
   struct Peer {
     bool reaches_state_store = false;
-    bool immediate_heartbeat_scheduled = false;
+    bool immediate_heartbeat_scheduled = false;  // to be sent without waiting for the period
   };
 
   void send_heartbeats();
