--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -16,7 +16,7 @@
 }
 
 // Whether a task fits a machine of this type in some zone that it may use.
-bool fits_type(const protocol::JobSpec& spec, const protocol::TypeInfo& info, const MachineType& type) {
+bool fits_type(const protocol::JobSpec& spec, const protocol::MachineTypeInfo& info, const MachineType& type) {
   const auto request = shard::request_of(spec, 1);
   const bool allowed = std::any_of(info.zones.begin(), info.zones.end(), [&](const Zone& zone) {
     return shard::is_allowed(request, type, zone, false);
--- a/src/api/job_status.cpp
+++ b/src/api/job_status.cpp
@@ -38,7 +38,7 @@
 
 net::Response JobStatus::accepted_response(const JobId& id, JobState state) const {
   if (acknowledgement_pending(id, state)) return retry_later(kNotAcknowledged);
-  return {net::status::kOk, protocol::render_accepted(id, state)};
+  return {net::status::kOk, protocol::render_submission_response(id, state)};
 }
 
 net::Response JobStatus::status_response(const JobId& id, JobState state) const {
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -144,7 +144,7 @@
 }
 
 void CloudClient::remove(const std::vector<MachineName>& machines, RemoveCallback done) {
-  enqueue(QueuePosition::kFront, "POST", "/machines/delete", protocol::render_delete(machines),
+  enqueue(QueuePosition::kFront, "POST", "/machines/delete", protocol::render_delete_request(machines),
           [done = std::move(done)](const net::Result& result) {
             if (result && result->status == net::status::kOk) {
               done({});
@@ -156,13 +156,13 @@
 
 void CloudClient::rent(const protocol::RentRequest& request, RentCallback done) {
   auto on_answer = [done = std::move(done)](const net::Result& result) {
-    auto machines = parse_answer(result, "rent_machines", protocol::parse_rented);
+    auto machines = parse_answer(result, "rent_machines", protocol::parse_rented_machines);
     if (result && machines == tl::unexpected(CloudError::kRejected))
       spdlog::error("cloud_request_refused request=rent_machines reason=\"{}\"",
                     result->body.substr(0, kMaxLoggedBody));
     done(std::move(machines));
   };
-  enqueue(QueuePosition::kBack, "POST", "/machines", protocol::render_rent(request), std::move(on_answer));
+  enqueue(QueuePosition::kBack, "POST", "/machines", protocol::render_rent_request(request), std::move(on_answer));
 }
 
 void CloudClient::stop() {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -151,7 +151,7 @@
     scheduler_->on_progress_report(report);
     return;
   }
-  for (auto& page : protocol::paged(std::move(report))) peers_->messenger().send(leader, std::move(page));
+  for (auto& page : protocol::split_into_pages(std::move(report))) peers_->messenger().send(leader, std::move(page));
 }
 
 void Controller::on_request(const net::Request& request, net::HttpServer::Reply reply) {
--- a/src/controller/summary_exchange.cpp
+++ b/src/controller/summary_exchange.cpp
@@ -23,7 +23,7 @@
 void SummaryExchange::send() {
   for (auto& summary : shards_.summaries()) {
     scheduler_.on_summary(summary);
-    for (auto& page : protocol::paged(std::move(summary))) messenger_.broadcast(std::move(page));
+    for (auto& page : protocol::split_into_pages(std::move(summary))) messenger_.broadcast(std::move(page));
   }
 }
 
--- a/src/protocol/api.cpp
+++ b/src/protocol/api.cpp
@@ -13,6 +13,9 @@
 
 constexpr std::string_view kIdPrefix = "run-";
 constexpr std::size_t kMaxIdBytes = 32;
+constexpr char kExpectedJobId[] = "must be a job id (run- followed by digits, at most 32 bytes in total)";
+constexpr char kExpectedJobIds[] =
+    "must contain only job ids (run- followed by digits, at most 32 bytes in total)";
 
 constexpr NamedValue<JobKind> kJobKinds[] = {
     {JobKind::kArray, "batch"}, {JobKind::kGang, "group"}, {JobKind::kService, "daemon"}};
@@ -28,23 +31,28 @@
                                                {JobState::kCancelled, "withdrawn"}};
 
 template <class Enum, std::size_t Size>
-Enum parse_named(const NamedValue<Enum> (&table)[Size], const Json& json, const char* field) {
+Enum parse_enum(const NamedValue<Enum> (&table)[Size], const Json& json, const char* field) {
   const auto value = find_value(table, get_string(json, field));
-  if (!value) throw field_error(field, "is unknown");
+  if (!value) throw field_error(field, "is not one of the defined names");
   return *value;
 }
 
 std::uint32_t parse_task_count(const Json& json) {
   const auto tasks = get_count(json, field::kTasks);
-  if (tasks < 1 || tasks > kMaxTasks) throw field_error(field::kTasks, "is out of range");
+  if (tasks < 1 || tasks > kMaxTasks)
+    throw field_error(field::kTasks,
+                      "must be from 1 to " + std::to_string(kMaxTasks) + ", got " + std::to_string(tasks));
   return static_cast<std::uint32_t>(tasks);
 }
 
 std::vector<MachineType> parse_types(const Json& list) {
-  if (!list.is_array()) throw field_error(field::kMachineTypes, "is not a list");
+  if (!list.is_array())
+    throw field_error(field::kMachineTypes, std::string("must be an array, got ") + list.type_name());
   std::vector<MachineType> types;
   for (const Json& name : list) {
-    if (!name.is_string()) throw field_error(field::kMachineTypes, "holds something other than a name");
+    if (!name.is_string())
+      throw field_error(field::kMachineTypes,
+                        std::string("must contain only strings, got ") + name.type_name());
     types.emplace_back(name.get<std::string>());
   }
   return types;
@@ -52,15 +60,17 @@
 
 std::vector<JobId> parse_dependencies(const Json& list, const JobId& job) {
   auto depends_on = parse_job_ids(list);
-  std::set<JobId> names{job};
+  std::set<JobId> known_ids{job};
   for (const auto& dependency : depends_on) {
-    if (dependency == job) throw field_error(field::kDependsOn, "names the job itself");
-    if (!names.insert(dependency).second) throw field_error(field::kDependsOn, "names a job twice");
+    if (dependency == job)
+      throw field_error(field::kDependsOn, "contains the id of the job itself, " + job.value());
+    if (!known_ids.insert(dependency).second)
+      throw field_error(field::kDependsOn, "contains " + dependency.value() + " more than once");
   }
   return depends_on;
 }
 
-// What a task needs, and how long it takes.
+// Parses the resources and the image of a task.
 void parse_task(const Json& json, JobSpec& spec) {
   spec.each = {get_amount(json, field::kCpus), get_amount(json, field::kGpus),
                get_amount(json, field::kMemoryGb)};
@@ -68,10 +78,10 @@
   spec.image_gb = get_amount(json, field::kImageGb);
 }
 
-// Where the tasks may run.
+// Parses the constraints on the machines that may run the tasks.
 void parse_constraints(const Json& json, JobSpec& spec) {
-  if (const Json* types = find(json, field::kMachineTypes)) spec.types = parse_types(*types);
-  if (find(json, field::kZone)) spec.zone = Zone(get_string(json, field::kZone));
+  if (const Json* types = find_field(json, field::kMachineTypes)) spec.types = parse_types(*types);
+  if (find_field(json, field::kZone)) spec.zone = Zone(get_string(json, field::kZone));
   spec.one_zone = get_bool(json, field::kOneZone);
   spec.spread = get_bool(json, field::kSpread);
   spec.spot = get_bool(json, field::kSpot);
@@ -81,7 +91,7 @@
   spec.estimate_s = get_amount(json, field::kEstimateS);
   spec.checkpoint_s = get_amount(json, field::kCheckpointS);
   spec.save_s = get_amount(json, field::kSaveS);
-  if (find(json, field::kDeadlineS)) spec.deadline_s = get_amount(json, field::kDeadlineS);
+  if (find_field(json, field::kDeadlineS)) spec.deadline_s = get_amount(json, field::kDeadlineS);
 }
 
 }  // namespace
@@ -96,16 +106,16 @@
 JobSpec parse_job(const Json& json) {
   JobSpec spec;
   spec.id = JobId(get_string(json, field::kId));
-  if (!valid_job_id(spec.id.value())) throw field_error(field::kId, "is not a job id");
+  if (!valid_job_id(spec.id.value())) throw field_error(field::kId, kExpectedJobId);
   spec.job_class = get_string(json, field::kJobClass);
   spec.team = Team(get_string(json, field::kTeam));
-  spec.kind = parse_named(kJobKinds, json, field::kJobKind);
-  spec.priority = parse_named(kPriorityNames, json, field::kPriority);
+  spec.kind = parse_enum(kJobKinds, json, field::kJobKind);
+  spec.priority = parse_enum(kPriorityNames, json, field::kPriority);
   spec.tasks = parse_task_count(json);
   parse_task(json, spec);
   parse_constraints(json, spec);
   parse_times(json, spec);
-  if (const Json* depends_on = find(json, field::kDependsOn))
+  if (const Json* depends_on = find_field(json, field::kDependsOn))
     spec.depends_on = parse_dependencies(*depends_on, spec.id);
   return spec;
 }
@@ -146,17 +156,18 @@
 }
 
 std::vector<JobId> parse_job_ids(const Json& list) {
-  if (!list.is_array()) throw field_error(field::kDependsOn, "is not a list");
+  if (!list.is_array())
+    throw field_error(field::kDependsOn, std::string("must be an array, got ") + list.type_name());
   std::vector<JobId> ids;
   for (const Json& name : list) {
     if (!name.is_string() || !valid_job_id(name.get_ref<const std::string&>()))
-      throw field_error(field::kDependsOn, "holds something other than a job id");
+      throw field_error(field::kDependsOn, kExpectedJobIds);
     ids.emplace_back(name.get<std::string>());
   }
   return ids;
 }
 
-std::string render_accepted(const JobId& id, JobState state) {
+std::string render_submission_response(const JobId& id, JobState state) {
   return dump(Json{{field::kId, id.value()}, {field::kState, find_name(kJobStates, state)}});
 }
 
--- a/src/protocol/cloud.cpp
+++ b/src/protocol/cloud.cpp
@@ -10,13 +10,14 @@
 constexpr char kBooting[] = "starting";
 constexpr char kRunning[] = "running";
 
-std::string get_name(const Json& json, const char* field) {
-  if (!json.is_string()) throw field_error(field, "holds something other than a name");
+std::string parse_name(const Json& json, const char* field) {
+  if (!json.is_string())
+    throw field_error(field, std::string("must contain only strings, got ") + json.type_name());
   return json.get<std::string>();
 }
 
-TypeInfo parse_type(const Json& json) {
-  TypeInfo type;
+MachineTypeInfo parse_type(const Json& json) {
+  MachineTypeInfo type;
   type.name = MachineType(get_string(json, field::kTypeName));
   type.total = {get_amount(json, field::kCpus), get_amount(json, field::kGpus),
                 get_amount(json, field::kMemoryGb)};
@@ -26,7 +27,7 @@
   type.spot_price = get_amount(json, field::kSpotPrice);
   type.boot_s = get_amount(json, field::kBootS);
   for (const Json& zone : get_list(json, field::kZones))
-    type.zones.emplace_back(get_name(zone, field::kZones));
+    type.zones.emplace_back(parse_name(zone, field::kZones));
   return type;
 }
 
@@ -38,7 +39,7 @@
 ListedMachine parse_machine(const Json& json) {
   ListedMachine machine;
   machine.name = MachineName(get_string(json, field::kId));
-  if (find(json, field::kAddress)) machine.address = get_string(json, field::kAddress);
+  if (find_field(json, field::kAddress)) machine.address = get_string(json, field::kAddress);
   machine.type = MachineType(get_string(json, field::kMachineType));
   machine.zone = Zone(get_string(json, field::kZone));
   machine.spot = get_bool(json, field::kSpot);
@@ -66,14 +67,14 @@
   return page;
 }
 
-std::vector<MachineName> parse_rented(const Json& json) {
+std::vector<MachineName> parse_rented_machines(const Json& json) {
   std::vector<MachineName> names;
   for (const Json& name : get_list(json, field::kMachines))
-    names.emplace_back(get_name(name, field::kMachines));
+    names.emplace_back(parse_name(name, field::kMachines));
   return names;
 }
 
-std::string render_rent(const RentRequest& request) {
+std::string render_rent_request(const RentRequest& request) {
   return dump(Json{{field::kRequestId, request.request},
                    {field::kMachineType, request.type.value()},
                    {field::kZone, request.zone.value()},
@@ -81,14 +82,14 @@
                    {field::kCount, request.count}});
 }
 
-std::string render_delete(const std::vector<MachineName>& names) {
+std::string render_delete_request(const std::vector<MachineName>& names) {
   Json list = Json::array();
   for (const auto& name : names) list.push_back(name.value());
   return dump(Json{{field::kMachines, std::move(list)}});
 }
 
 std::string machine_page_target(const std::optional<MachineName>& after) {
-  std::string target = "/machines?page=" + std::to_string(kMachinePage);
+  std::string target = "/machines?page=" + std::to_string(kMachinesPerPage);
   if (after) target += "&after=" + after->value();
   return target;
 }
--- a/src/protocol/field_names.h
+++ b/src/protocol/field_names.h
@@ -1,5 +1,6 @@
-// The JSON field names of the protocols with users, agents, the cloud and the state store. This is the only
-// place that holds the protocols' own words; everywhere else the code uses the terms of the field.
+// The JSON field names of the protocols with users, agents, the cloud and the state store. Code outside
+// src/protocol refers to these fields by their constants, which are named in the usual terms of cluster
+// scheduling.
 #pragma once
 
 namespace beaconsill::protocol::field {
@@ -18,7 +19,7 @@
 inline constexpr char kMore[] = "more";
 inline constexpr char kSpot[] = "driftwood";
 inline constexpr char kTask[] = "lamp";
-inline constexpr char kTasks[] = "lamps";  // of a job their count, in a heartbeat the list of them
+inline constexpr char kTasks[] = "lamps";  // in a job: the number of tasks; in a heartbeat: the list of tasks
 inline constexpr char kZone[] = "harbour";
 inline constexpr char kZones[] = "harbours";
 
@@ -72,10 +73,10 @@
 inline constexpr char kKey[] = "path";
 inline constexpr char kLease[] = "moorage";
 inline constexpr char kPut[] = "set";
-inline constexpr char kRevision[] = "logline";  // of the whole store
+inline constexpr char kRevision[] = "logline";  // the revision of the whole store
 inline constexpr char kTtlMs[] = "ttlMs";
 inline constexpr char kValue[] = "v";
-inline constexpr char kVersion[] = "entry";  // the revision that wrote a key last
+inline constexpr char kVersion[] = "entry";  // the revision that last wrote the key
 inline constexpr char kWrites[] = "writes";
 
 }  // namespace beaconsill::protocol::field
--- a/src/protocol/named_values.h
+++ b/src/protocol/named_values.h
@@ -1,4 +1,4 @@
-// Enumerators and their names in a protocol.
+// Maps enumerators to their names in a protocol and back.
 #pragma once
 
 #include <cstddef>
@@ -7,14 +7,14 @@
 
 namespace beaconsill::protocol {
 
-// An enumerator and its name; a protocol has a table of them for each enumeration.
+// An enumerator and its name in a protocol. Each enumeration has a table of these entries.
 template <class Enum>
 struct NamedValue {
   Enum value;
   const char* name;
 };
 
-// None: no enumerator has this name.
+// Returns std::nullopt if no enumerator has this name.
 template <class Enum, std::size_t Size>
 std::optional<Enum> find_value(const NamedValue<Enum> (&table)[Size], std::string_view name) {
   for (const auto& entry : table)
@@ -22,7 +22,7 @@
   return std::nullopt;
 }
 
-// The table must hold all enumerators.
+// Returns the name of the enumerator. The table must contain all enumerators.
 template <class Enum, std::size_t Size>
 const char* find_name(const NamedValue<Enum> (&table)[Size], Enum value) {
   for (const auto& entry : table)
--- a/src/protocol/paging.cpp
+++ b/src/protocol/paging.cpp
@@ -7,68 +7,73 @@
 namespace beaconsill::protocol {
 namespace {
 
-// Bytes of the fixed fields of an entry with its pointers, and of a text with its padding (Cap'n Proto).
+// Encoded sizes with Cap'n Proto, in bytes: the fixed fields of an entry with its pointers, and the padding
+// of a text.
 constexpr std::size_t kMachineBytes = 72;
 constexpr std::size_t kJobCountBytes = 16;
 constexpr std::size_t kJobProgressBytes = 40;
 constexpr std::size_t kReleasedTasksBytes = 24;
 constexpr std::size_t kTextPaddingBytes = 8;
 
-std::size_t text_bytes(const std::string& text) {
+std::size_t estimated_text_bytes(const std::string& text) {
   return text.size() + kTextPaddingBytes;
 }
 
-std::size_t bytes_of(const MachineCapacity& machine) {
-  return kMachineBytes + text_bytes(machine.name.value()) + text_bytes(machine.type.value()) +
-         text_bytes(machine.zone.value());
+std::size_t estimated_bytes(const MachineCapacity& machine) {
+  return kMachineBytes + estimated_text_bytes(machine.name.value()) +
+         estimated_text_bytes(machine.type.value()) + estimated_text_bytes(machine.zone.value());
 }
 
-std::size_t bytes_of(const JobCount& count) {
-  return kJobCountBytes + text_bytes(count.job.value());
+std::size_t estimated_bytes(const JobCount& count) {
+  return kJobCountBytes + estimated_text_bytes(count.job.value());
 }
 
-std::size_t bytes_of(const JobProgress& progress) {
-  auto bytes = kJobProgressBytes + text_bytes(progress.job.value()) + text_bytes(progress.done.str());
+std::size_t estimated_bytes(const JobProgress& progress) {
+  auto bytes = kJobProgressBytes + estimated_text_bytes(progress.job.value()) +
+               estimated_text_bytes(progress.done.str());
   for (const auto& released : progress.released)
-    bytes += kReleasedTasksBytes + text_bytes(released.tasks.str());
+    bytes += kReleasedTasksBytes + estimated_text_bytes(released.tasks.str());
   return bytes;
 }
 
-// Spreads the entries of a message over pages, each a copy of `blank` with some of the entries.
+// Distributes the entries of a message over pages. Each page starts as a copy of `empty_page`, which has the
+// fields of the message but no entries.
 template <class Message>
-class Pager {
+class PageBuilder {
  public:
-  Pager(Message blank, std::size_t page_bytes)
-      : blank_(std::move(blank)), page_bytes_(page_bytes), pages_{blank_} {}
+  PageBuilder(Message empty_page, std::size_t max_page_bytes)
+      : empty_page_(std::move(empty_page)), max_page_bytes_(max_page_bytes), pages_{empty_page_} {}
 
-  // The page that takes an entry of this size. A page takes one entry at least.
+  // Returns the page to which an entry of this size must be added. Each page can contain at least one entry,
+  // even if the entry is larger than the page size.
   Message& page_for(std::size_t entry_bytes) {
-    if (bytes_ > 0 && bytes_ + entry_bytes > page_bytes_) {
-      pages_.push_back(blank_);
-      bytes_ = 0;
+    if (last_page_bytes_ > 0 && last_page_bytes_ + entry_bytes > max_page_bytes_) {
+      pages_.push_back(empty_page_);
+      last_page_bytes_ = 0;
     }
-    bytes_ += entry_bytes;
+    last_page_bytes_ += entry_bytes;
     return pages_.back();
   }
-  std::vector<Message> take() { return std::move(pages_); }
+  std::vector<Message> take_pages() { return std::move(pages_); }
 
  private:
-  Message blank_;
-  std::size_t page_bytes_;
+  Message empty_page_;
+  std::size_t max_page_bytes_;
   std::vector<Message> pages_;
-  std::size_t bytes_ = 0;  // of the last page
+  std::size_t last_page_bytes_ = 0;
 };
 
 }  // namespace
 
-std::vector<Summary> paged(Summary summary, std::size_t page_bytes) {
+std::vector<Summary> split_into_pages(Summary summary, std::size_t page_bytes) {
   auto machines = std::exchange(summary.machines, {});
   auto running = std::exchange(summary.running, {});
   const bool more_follow = summary.more;
-  Pager<Summary> pager(std::move(summary), page_bytes);
-  for (auto& machine : machines) pager.page_for(bytes_of(machine)).machines.push_back(std::move(machine));
-  for (auto& count : running) pager.page_for(bytes_of(count)).running.push_back(std::move(count));
-  auto pages = pager.take();
+  PageBuilder<Summary> builder(std::move(summary), page_bytes);
+  for (auto& machine : machines)
+    builder.page_for(estimated_bytes(machine)).machines.push_back(std::move(machine));
+  for (auto& count : running) builder.page_for(estimated_bytes(count)).running.push_back(std::move(count));
+  auto pages = builder.take_pages();
   for (std::size_t i = 0; i < pages.size(); ++i) {
     if (i > 0) pages[i].page = static_cast<std::uint32_t>(i);
     pages[i].more = i + 1 < pages.size() || more_follow;
@@ -76,20 +81,20 @@
   return pages;
 }
 
-std::vector<ProgressReport> paged(ProgressReport progress_report, std::size_t page_bytes) {
+std::vector<ProgressReport> split_into_pages(ProgressReport progress_report, std::size_t page_bytes) {
   auto jobs = std::exchange(progress_report.jobs, {});
-  Pager<ProgressReport> pager(std::move(progress_report), page_bytes);
-  for (auto& job : jobs) pager.page_for(bytes_of(job)).jobs.push_back(std::move(job));
-  return pager.take();
+  PageBuilder<ProgressReport> builder(std::move(progress_report), page_bytes);
+  for (auto& job : jobs) builder.page_for(estimated_bytes(job)).jobs.push_back(std::move(job));
+  return builder.take_pages();
 }
 
 SummaryAssembler::AppendResult SummaryAssembler::append(Summary page) {
   auto it = incomplete_.find(page.shard);
-  if (it == incomplete_.end()) return AppendResult::kPageLost;
+  if (it == incomplete_.end()) return AppendResult::kMissingPage;
   auto& summary = it->second;
   if (summary.term != page.term || summary.page + 1 != page.page) {
     incomplete_.erase(it);
-    return AppendResult::kPageLost;
+    return AppendResult::kMissingPage;
   }
   std::move(page.machines.begin(), page.machines.end(), std::back_inserter(summary.machines));
   std::move(page.running.begin(), page.running.end(), std::back_inserter(summary.running));
@@ -102,7 +107,7 @@
   const auto shard = page.shard;
   if (page.page == 0) {
     incomplete_.insert_or_assign(shard, std::move(page));
-  } else if (append(std::move(page)) == AppendResult::kPageLost) {
+  } else if (append(std::move(page)) == AppendResult::kMissingPage) {
     return std::nullopt;
   }
   auto it = incomplete_.find(shard);
--- a/src/protocol/paging.h
+++ b/src/protocol/paging.h
@@ -1,5 +1,5 @@
-// Messages between controllers that grow with the number of machines and jobs, in pages that each fit into a
-// frame however many there are.
+// Splits messages between controllers whose size grows with the number of machines and jobs into pages, each
+// of which fits into one frame, and reassembles them.
 #pragma once
 
 #include <cstddef>
@@ -11,30 +11,34 @@
 
 namespace beaconsill::protocol {
 
-// Bytes of a page, about: half of what receivers of all versions accept in one frame (1 MiB), since the size
-// of an entry is reckoned, not measured.
+// The approximate maximum size of a page, in bytes. It is half of the 1 MiB that receivers of all versions
+// accept in one frame, because the encoded size of an entry is only estimated.
 constexpr std::size_t kPageBytes = std::size_t{512} * 1024;
 
-// The summary in pages, in order; a single one if all fits. Earlier versions take the last page for the
-// whole: they think that the shard has less capacity than it has.
-std::vector<Summary> paged(Summary summary, std::size_t page_bytes = kPageBytes);
+// Splits a summary into pages, in order. Returns a single page if the summary fits into one. Receivers of
+// versions without paging treat the last page as the whole summary, and so underestimate the capacity of the
+// shard.
+std::vector<Summary> split_into_pages(Summary summary, std::size_t page_bytes = kPageBytes);
 
-// The same for progress reports; each page stands for itself.
-std::vector<ProgressReport> paged(ProgressReport progress_report, std::size_t page_bytes = kPageBytes);
+// Splits a progress report into pages. Each page is a complete report about the jobs in it, so the pages need
+// no reassembly.
+std::vector<ProgressReport> split_into_pages(ProgressReport progress_report,
+                                             std::size_t page_bytes = kPageBytes);
 
-// Puts the pages of summaries together. A summary of which a page is lost is dropped: the next one follows.
-// Not thread-safe.
+// Reassembles summaries from their pages. If a page of a summary is lost, the rest of that summary is
+// dropped; shards send summaries periodically, so the next one replaces it. Not thread-safe.
 class SummaryAssembler {
  public:
-  // The whole summary if this is its last page.
+  // Adds a received page. Returns the whole summary if the page completes it, otherwise std::nullopt.
   std::optional<Summary> add(Summary page);
 
  private:
-  enum class AppendResult { kAppended, kPageLost };
-  // Appends a page to the summary that it belongs to, unless the page before it was lost.
+  enum class AppendResult { kAppended, kMissingPage };
+  // Appends a page to the incomplete summary of its shard. Discards that summary if its previous page is
+  // missing or the term has changed.
   AppendResult append(Summary page);
 
-  std::map<ShardId, Summary> incomplete_;
+  std::map<ShardId, Summary> incomplete_;  // summaries of which the last page has not arrived
 };
 
 }  // namespace beaconsill::protocol
--- a/src/protocol/peer.capnp
+++ b/src/protocol/peer.capnp
@@ -3,10 +3,11 @@
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("beaconsill::peer");
 
-# One message between two controllers. All of them only make things quick: losing or repeating any of them
-# breaks nothing, the state store and the agents hold the truth.
+# A message between two controllers. Messages only reduce latency: losing or repeating any of them is
+# harmless, because the state store and the agents are the source of truth.
 #
-# Ordinals and types never change: controllers of several versions run side by side. Names aren't sent.
+# Ordinals and types never change, because controllers of several versions run at the same time. Names are not
+# part of the encoding.
 struct Message {
   from @0 :Text;
   union {
@@ -24,37 +25,41 @@
 }
 
 struct Heartbeat {
-  # The sender has acknowledged to no user a cancellation that is newer than this revision. 2^64-1: not known
-  # yet. Only for receivers of a version without `cancellationSync`: they take an echoed heartbeat as proof that
-  # they know all cancellations if this revision isn't above what they have read. So it covers the earlier
-  # processes of the sender too, and such a receiver needs no read lease.
+  # The sender has not acknowledged to any user a cancellation that is newer than this revision. The value
+  # 2^64-1 means that the revision is not known yet. Only receivers of versions without `cancellationSync`
+  # use this field: such a receiver concludes from an echoed heartbeat that it knows all cancellations if it
+  # has read the state store at least up to this revision. The revision therefore also covers the earlier
+  # processes of the sender, and such a receiver needs no read lease.
   acknowledgedRevision @0 :UInt64;
-  # The sender accepts no machine of this shard under a term lower than the one given.
+  # For each listed shard, the sender does not accept machines under a term lower than the given one.
   terms @1 :List(ShardTerm);
-  # Numbers this heartbeat, and gives the last number received: what the sender states here it stated after the
-  # receiver had sent that one. Without it a message that was held up would pass for fresh.
+  # The number of this heartbeat, and the number of the last heartbeat that the sender received from the
+  # receiver (`echo`). The echo proves that this heartbeat was sent after the echoed one. Without it, a
+  # delayed message would be treated as recent.
   sequence @2 :UInt64;
   echo @3 :UInt64;
-  # The sender's own requests to the state store succeed.
+  # Whether the sender's own requests to the state store succeed.
   reachesStateStore @4 :Bool;
-  # Absent in heartbeats of versions before it: their senders acknowledge cancellations to users without asking
-  # anybody, so such a heartbeat proves nothing beyond the time of what it echoes.
+  # Absent in heartbeats of versions that do not support it. Controllers of those versions acknowledge
+  # cancellations to users without confirmation from other controllers, so such a heartbeat proves nothing
+  # beyond the time at which the echoed heartbeat was sent.
   cancellationSync @5 :CancellationSync;
 }
 
-# What the receiver may conclude about cancelled jobs that the sender has acknowledged to users or will
-# acknowledge. The echo of a heartbeat confirms all that its `cancelled` holds.
+# Informs the receiver about cancellations that the sender has acknowledged to users or will acknowledge.
+# When the receiver echoes a heartbeat, it confirms that it has received all entries of its `cancelled`
+# list.
 struct CancellationSync {
-  # The sender has read the whole state store since it started, and acknowledges nothing before that.
+  # The sender has read the whole state store since it started. It acknowledges no cancellations before that.
   ready @0 :Bool;
-  # The sender has read all changes up to this revision; 0 while it isn't ready.
+  # The sender has read all changes up to this revision. 0 while `ready` is false.
   readRevision @1 :UInt64;
-  # A read lease, in milliseconds: for so long after this was sent, the sender acknowledges no cancellation that
-  # the receiver hasn't confirmed.
+  # The duration of a read lease, in milliseconds. For this long after sending the heartbeat, the sender
+  # does not acknowledge to users any cancellation that the receiver has not confirmed.
   readLeaseMs @2 :UInt32;
-  # The receiver has all cancellations that the sender knows, once it has those in `cancelled`.
+  # With the entries of `cancelled`, the receiver has all cancellations that the sender knows.
   complete @3 :Bool;
-  # Cancellations that the receiver isn't known to have, the oldest first; a bounded number.
+  # Cancellations that the receiver has not confirmed, oldest first. Their number is limited.
   cancelled @4 :List(CancelledJob);
 }
 
@@ -62,7 +67,7 @@
 struct CancelledJob {
   job @0 :Text;
   revision @1 :UInt64;
-  # Tasks that had completed.
+  # The number of tasks that had completed.
   done @2 :UInt32;
 }
 
@@ -71,12 +76,12 @@
   term @1 :UInt64;
 }
 
-# The state store has changes up to this revision that the receiver should read.
+# Notifies the receiver that the state store has changes up to this revision, which it should read.
 struct ChangeNotification {
   revision @0 :UInt64;
 }
 
-# What a task needs, and where it may run.
+# The resources that a task requires, and the machines that it may use.
 struct ResourceRequest {
   cpus @0 :Float64;
   gpus @1 :Float64;
@@ -87,25 +92,25 @@
   spot @6 :Bool;
   image @7 :Text;
   priority @8 :UInt8;
-  # No more tasks than this need to be counted.
+  # The estimate may stop counting at this number of tasks.
   wanted @9 :UInt32;
 }
 
-# Asks for how many tasks of each kind the shard has capacity.
+# Asks a shard for how many tasks of each resource request it has capacity.
 struct EstimateRequest {
   round @0 :UInt64;
   resourceRequests @1 :List(ResourceRequest);
 }
 
-# For how many tasks a zone has capacity.
+# The capacity of a zone, in tasks.
 struct ZoneCapacity {
   zone @0 :Text;
   free @1 :UInt32;
-  # Of the free, on machines that hold the image already.
+  # The part of `free` that is on machines with the image in their cache.
   imageCached @2 :UInt32;
-  # Further capacity if work of lower priority were preempted.
+  # Capacity in addition to `free` if tasks of lower priority were preempted.
   preemptible @3 :UInt32;
-  # Of the preemptible, on machines that hold the image already.
+  # The part of `preemptible` that is on machines with the image in their cache.
   imageCachedPreemptible @4 :UInt32;
 }
 
@@ -113,9 +118,9 @@
   round @0 :UInt64;
   shard @1 :UInt32;
   term @2 :UInt64;
-  # Grants up to this revision were known when the shard made the estimate.
+  # The estimate includes all grants up to this revision.
   seenRevision @3 :UInt64;
-  # One for each resource request.
+  # One entry for each resource request, in the same order.
   capacities @4 :List(CapacityByZone);
 }
 
@@ -123,20 +128,21 @@
   zones @0 :List(ZoneCapacity);
 }
 
-# The machines of a shard and what runs there.
+# The machines of a shard and the tasks that run on them.
 struct Summary {
   shard @0 :UInt32;
   term @1 :UInt64;
   seenRevision @2 :UInt64;
   machines @3 :List(MachineCapacity);
   running @4 :List(JobCount);
-  # A summary that outgrows a frame goes in several messages, numbered from 0; `more` follow. Versions without
-  # these fields send a single one.
+  # A summary that does not fit into one frame is sent as several messages. `page` is the number of the
+  # message, from 0; `more` is true for all but the last one. Versions without these fields send a single
+  # message.
   page @5 :UInt32;
   more @6 :Bool;
 }
 
-# A machine and what is free there.
+# A machine and its free resources.
 struct MachineCapacity {
   name @0 :Text;
   type @1 :Text;
@@ -149,27 +155,29 @@
   usable @8 :Bool;
 }
 
-# The tasks of a job that run in the shard.
+# The number of tasks of a job that run in the shard.
 struct JobCount {
   job @0 :Text;
   running @1 :UInt32;
 }
 
-# An agent's heartbeat, as it came, to the leader of its shard: the agent may be unable to reach that leader.
+# An agent's heartbeat, forwarded unchanged to the leader of the agent's shard, because the agent may be
+# unable to reach that leader itself.
 struct RelayedHeartbeat {
   id @0 :UInt64;
   heartbeat @1 :Text;
 }
 
-# The shard leader's reply, to be passed on as it is.
+# The shard leader's response to a relayed heartbeat, to be forwarded to the agent unchanged.
 struct RelayedReply {
   id @0 :UInt64;
-  # Of HTTP.
+  # The HTTP status code.
   status @1 :UInt16;
   body @2 :Text;
 }
 
-# What became of tasks granted to a shard, as far as its record may not hold it yet.
+# The progress of tasks granted to a shard, as far as the shard's record in the state store may not include
+# it yet.
 struct ProgressReport {
   shard @0 :UInt32;
   term @1 :UInt64;
@@ -178,19 +186,20 @@
 
 struct JobProgress {
   job @0 :Text;
-  # Sets of task numbers as in the state store.
+  # The completed tasks, as a set of task numbers in the format of the state store. `tasks` in ReleasedTasks
+  # has the same format.
   done @1 :Text;
   released @2 :List(ReleasedTasks);
-  # What the shard leader has newly found out about a job of which tasks failed. Sent once, and not repeated if
-  # it's lost; versions before it send nothing.
+  # A new finding of the shard leader about a job of which tasks have failed. It is sent once, and not
+  # repeated if the message is lost. Versions that do not support this field omit it.
   health @3 :JobHealth;
 }
 
 enum JobHealth {
   none @0;
-  # Its tasks fail on several machines, and none is known to work.
+  # Tasks of the job fail on several machines, and none is known to work.
   fails @1;
-  # It was taken to fail, but some task has completed or runs well.
+  # The job was considered failing, but one of its tasks has completed or runs well.
   works @2;
 }
 
--- a/src/protocol/peer.cpp
+++ b/src/protocol/peer.cpp
@@ -16,7 +16,7 @@
   write_payload(root, message.payload);
   auto words = capnp::messageToFlatArray(builder);
   auto bytes = words.asBytes();
-  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): Cap'n Proto's bytes are unsigned.
+  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): Cap'n Proto uses unsigned bytes.
   return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
--- a/src/protocol/peer.h
+++ b/src/protocol/peer.h
@@ -1,4 +1,5 @@
-// The protocol between controllers: messages, and their encoding with Cap'n Proto (peer.capnp).
+// Messages that controllers send each other, and their encoding and decoding. The wire format is defined in
+// peer.capnp.
 #pragma once
 
 #include <chrono>
@@ -16,14 +17,14 @@
 
 namespace beaconsill::protocol {
 
-// A shard and the term under which its leader leads it.
+// A shard and a term of its leadership.
 struct ShardTerm {
   ShardId shard;
   Term term;
 };
 
-// What the receiver of a heartbeat may conclude about cancellations that its sender acknowledges to users;
-// the fields are explained in peer.capnp.
+// The part of a heartbeat from which its receiver learns which cancellations the sender may acknowledge to
+// users. The fields are documented in peer.capnp.
 struct CancellationSync {
   bool ready = false;
   Revision read_until;
@@ -32,119 +33,122 @@
   std::vector<CancelledJob> cancelled;
 };
 
-// Sent to each controller periodically; the fields are explained in peer.capnp.
+// A message that each controller periodically sends to each other controller. The fields are documented in
+// peer.capnp.
 struct Heartbeat {
   Revision acknowledged_until;
   std::vector<ShardTerm> terms;
   std::uint64_t sequence = 0;
   std::uint64_t echo = 0;
   bool reaches_state_store = false;
-  std::optional<CancellationSync> cancellation_sync;  // none: the sender is of a version without it
+  std::optional<CancellationSync>
+      cancellation_sync;  // std::nullopt: the sender's version does not support it
 };
 
-// The state store has changes up to this revision.
+// Notifies the receiver that the state store has changes up to this revision.
 struct ChangeNotification {
   Revision revision;
 };
 
-// What a task needs, and the machines that it may use.
+// The resources that a task requires, and the machines that it may use.
 struct ResourceRequest {
   Resources each;
-  std::optional<std::vector<MachineType>> types;  // none: any
-  std::optional<Zone> zone;                       // none: any
+  std::optional<std::vector<MachineType>> types;  // std::nullopt: any
+  std::optional<Zone> zone;                       // std::nullopt: any
   bool spot = false;
   ImageName image;
   Priority priority = Priority::kNormal;
-  std::uint32_t wanted = 0;  // no more tasks than this need to be counted
+  std::uint32_t wanted = 0;  // the estimate may stop counting at this number of tasks
   bool operator==(const ResourceRequest&) const = default;
 };
 
-// The leader asks each shard for how many tasks it has capacity.
+// Asks a shard for how many tasks of each resource request it has capacity. Sent by the leader to all shards.
 struct EstimateRequest {
   std::uint64_t round = 0;
   std::vector<ResourceRequest> resource_requests;
 };
 
-// For how many tasks a zone of a shard has capacity.
+// The capacity of one zone of a shard, in tasks.
 struct ZoneCapacity {
   Zone zone;
   std::uint32_t free = 0;
-  std::uint32_t image_cached = 0;              // of the free, on machines that hold the image
-  std::uint32_t preemptible = 0;               // further ones, if work of lower priority were preempted
-  std::uint32_t image_cached_preemptible = 0;  // of the preemptible, on machines that hold the image
+  std::uint32_t image_cached = 0;  // part of `free`: on machines that have the image cached
+  std::uint32_t preemptible = 0;   // in addition to `free`, if tasks of lower priority were preempted
+  std::uint32_t image_cached_preemptible =
+      0;  // part of `preemptible`: on machines that have the image cached
   bool operator==(const ZoneCapacity&) const = default;
 };
 // The zones of a shard that have capacity.
 using CapacityByZone = std::vector<ZoneCapacity>;
 
-// A shard's answer to an EstimateRequest.
+// The response of a shard to an EstimateRequest.
 struct EstimateResponse {
   std::uint64_t round = 0;
   ShardId shard;
   Term term;
-  Revision seen;                           // grants up to it were known
+  Revision seen;                           // the estimate includes all grants up to this revision
   std::vector<CapacityByZone> capacities;  // one for each resource request
 };
 
-// A machine of a shard and what is free there.
+// A machine of a shard and its free resources.
 struct MachineCapacity {
   MachineName name;
   MachineType type;
   Zone zone;
   bool spot = false;
   Resources free;
-  double idle_s = 0;
+  double idle_s = 0;  // seconds
   bool usable = true;
 };
 
-// How many tasks of a job run in a shard.
+// The number of tasks of a job that run in a shard.
 struct JobCount {
   JobId job;
   std::uint32_t running = 0;
 };
 
-// What a shard reports to the leader periodically.
+// The machines and running tasks of a shard. Sent periodically to the leader.
 struct Summary {
   ShardId shard;
   Term term;
   Revision seen;
   std::vector<MachineCapacity> machines;
   std::vector<JobCount> running;
-  std::uint32_t page = 0;  // see protocol/paging.h
-  bool more = false;
+  std::uint32_t page = 0;  // number of this page, from 0; see protocol/paging.h
+  bool more = false;       // further pages follow
 };
 
-// The leader asks a shard to release these machines, so that they can be returned to the cloud.
+// Asks a shard to release these machines so that they can be deleted in the cloud.
 struct ReleaseMachines {
   std::vector<MachineName> machines;
 };
 
-// These machines are proved to be terminated.
+// Reports machines that are known for certain to be terminated.
 struct TerminatedMachines {
   std::vector<MachineName> machines;
 };
 
-// An agent's heartbeat, passed on to the leader of its shard.
+// An agent's heartbeat, forwarded by the controller that received it to the leader of the agent's shard.
 struct RelayedHeartbeat {
   std::uint64_t id = 0;
   std::string heartbeat;
 };
 
-// The shard leader's reply to it.
+// The shard leader's response to a RelayedHeartbeat with the same id.
 struct RelayedReply {
   std::uint64_t id = 0;
-  int status = 0;  // of HTTP
+  int status = 0;  // HTTP status code
   std::string body;
 };
 
-// What a shard leader has found out about a job of which tasks failed.
+// A shard leader's new findings about a job of which tasks have failed.
 enum class JobHealth {
-  kNone,   // nothing new
-  kFails,  // its tasks fail on several machines, and none is known to work
-  kWorks   // it was taken to fail, but some task has completed or runs well
+  kNone,     // no new finding
+  kFailing,  // tasks of the job fail on several machines, and none is known to work
+  kHealthy   // the job was considered failing, but one of its tasks has completed or runs well
 };
 
-// What became of the granted tasks of one job.
+// The progress of the granted tasks of one job.
 struct JobProgress {
   JobId job;
   Ranges done;
@@ -152,27 +156,28 @@
   JobHealth health = JobHealth::kNone;
 };
 
-// What became of tasks granted to a shard, as far as its record may not hold it yet.
+// The progress of tasks granted to a shard, as far as the shard's record in the state store may not include
+// it yet.
 struct ProgressReport {
   ShardId shard;
   Term term;
   std::vector<JobProgress> jobs;
 };
 
-// Everything that controllers send each other.
+// All kinds of messages between controllers.
 using PeerPayload =
     std::variant<Heartbeat, ChangeNotification, EstimateRequest, EstimateResponse, Summary, ReleaseMachines,
                  TerminatedMachines, RelayedHeartbeat, RelayedReply, ProgressReport>;
 
-// A message with its sender.
+// A message and the name of the controller that sent it.
 struct PeerMessage {
   ControllerName from;
   PeerPayload payload;
 };
 
-// The bytes of a frame.
+// Encodes a message as the content of a frame.
 std::string encode_peer(const PeerMessage& message);
-// None for anything that isn't a well-formed message.
+// Decodes the content of a frame. Returns std::nullopt if it is not a well-formed message.
 std::optional<PeerMessage> decode_peer(std::string_view bytes);
 
 }  // namespace beaconsill::protocol
--- a/src/protocol/peer_messages.h
+++ b/src/protocol/peer_messages.h
@@ -1,4 +1,5 @@
-// Conversions between messages and their Cap'n Proto form. Used by encode_peer() and decode_peer() alone.
+// Converts peer messages between their C++ types and their Cap'n Proto types. Only encode_peer() and
+// decode_peer() use these functions.
 #pragma once
 
 #include "protocol/peer.capnp.h"
@@ -6,9 +7,9 @@
 
 namespace beaconsill::protocol {
 
-// Fills in everything of the message but its sender.
+// Writes all fields of the message except the sender.
 void write_payload(peer::Message::Builder builder, const PeerPayload& payload);
-// Throws kj::Exception for a message that isn't well-formed.
+// Reads the payload of a message. Throws kj::Exception if the message is malformed.
 PeerPayload read_payload(peer::Message::Reader reader);
 
 }  // namespace beaconsill::protocol
--- a/src/protocol/peer_reader.cpp
+++ b/src/protocol/peer_reader.cpp
@@ -1,4 +1,4 @@
-// Messages from their Cap'n Proto form.
+// Converts received peer messages from their Cap'n Proto types.
 #include <kj/debug.h>
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 
 Ranges read_ranges(capnp::Text::Reader reader) {
   auto ranges = Ranges::parse(read_text(reader));
-  KJ_REQUIRE(ranges.has_value(), "not a set of ranges");
+  KJ_REQUIRE(ranges.has_value(), "a set of task numbers is malformed");
   return std::move(*ranges);
 }
 
@@ -52,10 +52,10 @@
   return sync;
 }
 
-// A value that only a later version knows says nothing here.
+// Values that only later versions define are treated as kNone.
 JobHealth from_peer_health(peer::JobHealth health) {
-  if (health == peer::JobHealth::FAILS) return JobHealth::kFails;
-  return health == peer::JobHealth::WORKS ? JobHealth::kWorks : JobHealth::kNone;
+  if (health == peer::JobHealth::FAILS) return JobHealth::kFailing;
+  return health == peer::JobHealth::WORKS ? JobHealth::kHealthy : JobHealth::kNone;
 }
 
 Heartbeat read_heartbeat(peer::Heartbeat::Reader reader) {
@@ -79,7 +79,7 @@
   return request;
 }
 
-CapacityByZone read_zones(peer::CapacityByZone::Reader reader) {
+CapacityByZone read_capacity_by_zone(peer::CapacityByZone::Reader reader) {
   CapacityByZone capacity;
   for (auto zone : reader.getZones())
     capacity.push_back({Zone(read_text(zone.getZone())), zone.getFree(), zone.getImageCached(),
@@ -93,7 +93,7 @@
   response.shard = ShardId(reader.getShard());
   response.term = Term(reader.getTerm());
   response.seen = Revision(reader.getSeenRevision());
-  for (auto capacity : reader.getCapacities()) response.capacities.push_back(read_zones(capacity));
+  for (auto capacity : reader.getCapacities()) response.capacities.push_back(read_capacity_by_zone(capacity));
   return response;
 }
 
@@ -173,7 +173,7 @@
     case peer::Message::PROGRESS_REPORT:
       return read_progress_report(reader.getProgressReport());
   }
-  KJ_FAIL_REQUIRE("unknown kind of message");
+  KJ_FAIL_REQUIRE("the kind of the peer message is unknown");
 }
 
 }  // namespace beaconsill::protocol
--- a/src/protocol/peer_writer.cpp
+++ b/src/protocol/peer_writer.cpp
@@ -1,4 +1,4 @@
-// Messages into their Cap'n Proto form.
+// Converts peer messages into their Cap'n Proto types for sending.
 #include "protocol/peer_messages.h"
 
 namespace beaconsill::protocol {
@@ -40,9 +40,9 @@
 
 peer::JobHealth to_peer_health(JobHealth health) {
   switch (health) {
-    case JobHealth::kFails:
+    case JobHealth::kFailing:
       return peer::JobHealth::FAILS;
-    case JobHealth::kWorks:
+    case JobHealth::kHealthy:
       return peer::JobHealth::WORKS;
     case JobHealth::kNone:
       break;
@@ -50,7 +50,7 @@
   return peer::JobHealth::NONE;
 }
 
-void write_zones(peer::CapacityByZone::Builder builder, const CapacityByZone& capacity) {
+void write_capacity_by_zone(peer::CapacityByZone::Builder builder, const CapacityByZone& capacity) {
   auto zones = builder.initZones(capacity.size());
   for (std::size_t i = 0; i < capacity.size(); ++i) {
     zones[i].setZone(capacity[i].zone.value());
@@ -84,7 +84,8 @@
   }
 }
 
-// Writes each kind of message. The order in which the fields are set is the order of their bytes.
+// Writes each kind of payload. Lists and texts are placed in the encoded message in the order in which they
+// are set here, so this order determines the encoded bytes.
 class PayloadWriter {
  public:
   explicit PayloadWriter(peer::Message::Builder builder) : builder_(builder) {}
@@ -120,7 +121,8 @@
     builder.setTerm(response.term.value());
     builder.setSeenRevision(response.seen.value());
     auto list = builder.initCapacities(response.capacities.size());
-    for (std::size_t i = 0; i < response.capacities.size(); ++i) write_zones(list[i], response.capacities[i]);
+    for (std::size_t i = 0; i < response.capacities.size(); ++i)
+      write_capacity_by_zone(list[i], response.capacities[i]);
   }
   void operator()(const Summary& summary) {
     auto builder = builder_.initSummary();
--- a/src/protocol/state_store.cpp
+++ b/src/protocol/state_store.cpp
@@ -9,9 +9,9 @@
 
 Change parse_change(const Json& json) {
   Change change;
-  if (find(json, field::kPut)) {
+  if (find_field(json, field::kPut)) {
     change.key = get_string(json, field::kPut);
-    change.value = need(json, field::kValue);
+    change.value = required_field(json, field::kValue);
   } else {
     change.key = get_string(json, field::kDelete);
   }
@@ -29,7 +29,7 @@
 }  // namespace
 
 Item parse_item(const Json& json) {
-  return {get_string(json, field::kKey), need(json, field::kValue),
+  return {get_string(json, field::kKey), required_field(json, field::kValue),
           Revision(get_count(json, field::kVersion))};
 }
 
@@ -43,7 +43,7 @@
 
 Changes parse_changes(const Json& json) {
   Changes changes;
-  if (find(json, field::kChanges))
+  if (find_field(json, field::kChanges))
     for (const Json& change : get_list(json, field::kChanges))
       changes.changes.push_back(parse_change(change));
   changes.revision = parse_revision(json);
@@ -67,7 +67,7 @@
   return dump(Json{{field::kConditions, std::move(conditions)}, {field::kWrites, std::move(writes)}});
 }
 
-std::string render_lease(std::uint32_t ttl_ms) {
+std::string render_lease_request(std::uint32_t ttl_ms) {
   return dump(Json{{field::kTtlMs, ttl_ms}});
 }
 
--- a/src/protocol/state_store.h
+++ b/src/protocol/state_store.h
@@ -1,5 +1,5 @@
-// The protocol of the state store: a key-value store with revisions, transactions on conditions, leases, and
-// a log of changes.
+// Messages of the state store's HTTP API. The state store is a key-value store with revisions, conditional
+// transactions, leases, and a log of changes that clients watch.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,24 @@
 
 namespace beaconsill::protocol {
 
-// A key with its value and the revision that wrote it.
+// A key with its value and the revision that last wrote it.
 struct Item {
   std::string key;
   Json value;
   Revision revision;
 };
 
-// A change of a key; no value: the key was deleted.
+// A change of a key. `value` is std::nullopt if the key was deleted.
 struct Change {
   std::string key;
   std::optional<Json> value;
   Revision revision;
 };
 
-// A page of keys, and the revision of the store when it was read.
+// One page of a list of keys, and the revision of the store at which the page was read.
 struct Page {
   std::vector<Item> items;
-  bool more = false;  // pages follow
+  bool more = false;  // further pages follow
   Revision revision;
 };
 
@@ -40,46 +40,47 @@
   Revision revision;
 };
 
-// A key has this version.
+// A condition of a transaction: the key was last written by this revision.
 struct Condition {
   std::string key;
-  Revision revision;  // 0: the key doesn't exist
+  Revision revision;  // 0: the key does not exist
 };
 
-// A put or a delete.
+// One put or delete of a transaction.
 struct Write {
   std::string key;
-  std::optional<Json> value;     // none: delete
-  std::optional<LeaseId> lease;  // the key disappears when this lease expires
+  std::optional<Json> value;     // std::nullopt: delete the key
+  std::optional<LeaseId> lease;  // the key is deleted when this lease expires
 };
 
-// Writes that are carried out together if all conditions hold.
+// A transaction: all writes are applied atomically if all conditions are true, otherwise none of them.
 struct Txn {
   std::vector<Condition> conditions;
   std::vector<Write> writes;
 };
 
-// These throw ProtocolError.
+// Parsers of the responses. They throw ProtocolError if a field is missing or invalid.
 Item parse_item(const Json& json);
 Page parse_page(const Json& json);
 Changes parse_changes(const Json& json);
 Revision parse_revision(const Json& json);
 LeaseId parse_lease(const Json& json);
 
-// The body of a request to carry out the transaction.
+// Renders the body of a request to carry out the transaction.
 std::string render_txn(const Txn& txn);
-// A lease that expires after so many milliseconds without a renewal.
-std::string render_lease(std::uint32_t ttl_ms);
+// Renders the body of a request for a lease that expires when it has not been renewed for `ttl_ms`
+// milliseconds.
+std::string render_lease_request(std::uint32_t ttl_ms);
 
-// Where the page of keys with this prefix after a key is, of at most `limit` keys. No `after`: the first
-// page.
+// Returns the HTTP request target of a page of at most `limit` keys with this prefix: the page that follows
+// the key `after`, or the first page if `after` is empty.
 std::string page_target(std::string_view prefix, std::string_view after, std::uint32_t limit);
-// Where the changes of keys with this prefix after a revision are. If there are none the service waits for
-// them, for at most `wait_ms`.
+// Returns the HTTP request target of the changes, after a revision, of keys with this prefix. If there are
+// none, the state store delays its response until a change occurs, for at most `wait_ms` milliseconds.
 std::string watch_target(std::string_view prefix, Revision after, std::uint32_t wait_ms);
-// Where leases are granted.
+// Returns the HTTP request target at which leases are granted.
 std::string leases_target();
-// A lease.
+// Returns the HTTP request target of an existing lease.
 std::string lease_target(LeaseId id);
 
 }  // namespace beaconsill::protocol
--- a/src/protocol/worker.cpp
+++ b/src/protocol/worker.cpp
@@ -26,18 +26,18 @@
 
 TaskState parse_state(const std::string& name) {
   const auto state = find_value(kTaskStates, name);
-  if (!state) throw field_error(field::kState, "of a task is unknown");
+  if (!state) throw field_error(field::kState, "is not one of the defined task states");
   return *state;
 }
 
 TaskStatus parse_task_status(const Json& json) {
   TaskStatus status;
   auto id = parse_task_id(get_string(json, field::kTask));
-  if (!id) throw field_error(field::kTask, "is not a task id");
+  if (!id) throw field_error(field::kTask, "must be a task id of the form JOB/INDEX");
   status.task = std::move(*id);
   status.attempt = Attempt(get_count(json, field::kAttempt));
   status.state = parse_state(get_string(json, field::kState));
-  // A cause that isn't known yet: the task ended without being done.
+  // A cause that only later versions define means that the task ended without completing its work.
   if (status.state == TaskState::kEnded)
     status.cause = find_value(kEndCauses, get_string(json, field::kCause)).value_or(EndCause::kError);
   status.saved = get_bool_or(json, field::kSaved, false);
@@ -79,8 +79,8 @@
   heartbeat.incarnation = Incarnation(get_count(json, field::kIncarnation));
   heartbeat.sequence = Sequence(get_count(json, field::kSequence));
   heartbeat.token = FencingToken(get_count(json, field::kFencingToken));
-  if (find(json, field::kTerminationNoticeS))
-    heartbeat.notice_s = get_amount(json, field::kTerminationNoticeS);
+  if (find_field(json, field::kTerminationNoticeS))
+    heartbeat.termination_notice_s = get_amount(json, field::kTerminationNoticeS);
   const Json& tasks = get_list(json, field::kTasks);
   heartbeat.tasks.reserve(tasks.size());
   for (const Json& task : tasks) heartbeat.tasks.push_back(parse_task_status(task));
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -1,4 +1,5 @@
-// The protocol between agents, one on each machine, and controllers.
+// Messages between controllers and agents. One agent runs on each machine; it reports the machine's tasks in
+// heartbeats and executes commands.
 #pragma once
 
 #include <optional>
@@ -12,19 +13,19 @@
 
 // The phase of a task on its machine.
 enum class TaskState { kFetching, kWaiting, kRunning, kSaving, kEnded };
-// Why a task ended, as the agent reports it. kError also stands for causes that aren't known.
+// Why a task ended, as reported by the agent. kError also represents causes that this version does not know.
 enum class EndCause { kDone, kStopped, kPeersGone, kAlone, kError, kNoCapacityLeft, kBusy, kUnknown };
 
-// A task on a machine.
+// The status of a task on a machine, as reported by the agent.
 struct TaskStatus {
   TaskId task;
   Attempt attempt;
   TaskState state = TaskState::kFetching;
-  EndCause cause = EndCause::kDone;  // meaningful once ended
-  bool saved = false;                // it has saved a checkpoint
+  EndCause cause = EndCause::kDone;  // only meaningful if `state` is kEnded
+  bool saved = false;                // the task has saved a checkpoint
 };
 
-// What an agent reports of its machine.
+// The state of a machine and its tasks, as reported by the agent.
 struct WorkerHeartbeat {
   MachineName machine;
   std::string address;  // of the agent: "HOST:PORT"
@@ -32,36 +33,39 @@
   Zone zone;
   bool spot = false;
   Incarnation incarnation;
-  Sequence sequence;               // within the incarnation
-  FencingToken token;              // the highest fencing token that the agent has seen
-  std::optional<double> notice_s;  // of a spot machine: time until the cloud terminates it
+  Sequence sequence;   // number of the heartbeat within the incarnation
+  FencingToken token;  // the highest fencing token that the agent has seen
+  // Seconds until the cloud terminates the machine. Only set for a spot machine that has received a notice.
+  std::optional<double> termination_notice_s;
   std::vector<TaskStatus> tasks;
 
-  // Of two heartbeats of a machine, the one with the larger (incarnation, sequence) is the newer.
-  bool newer_than(Incarnation other_incarnation, Sequence other_sequence) const {
+  // Of two heartbeats from the same machine, the one with the larger (incarnation, sequence) is newer.
+  bool is_newer_than(Incarnation other_incarnation, Sequence other_sequence) const {
     return incarnation != other_incarnation ? incarnation > other_incarnation : sequence > other_sequence;
   }
 };
 
-// The body of a heartbeat, or of an agent's answer to commands. Throws ProtocolError.
+// Parses the body of a heartbeat or of an agent's response to commands, which have the same form. Throws
+// ProtocolError if a field is missing or invalid.
 WorkerHeartbeat parse_worker_heartbeat(const Json& json);
 
-// What an agent is to do with a task.
+// A command to an agent to start, stop or forget a task.
 struct Command {
   enum class Op { kStart, kStop, kForget };
   Op op = Op::kStart;
   TaskId task;
   Attempt attempt;
-  double grace_s = 0;  // of kStop: time to save a checkpoint
+  double grace_s = 0;  // only for kStop: seconds that the task has to save a checkpoint
 };
 
-// The response to a heartbeat.
+// Renders the body of the response to a heartbeat.
 std::string render_heartbeat_response(FencingToken token, const std::vector<Command>& commands);
-// A call of the agent by the controller.
+// Renders the body of a request by which a controller sends commands to an agent between heartbeats.
 std::string render_commands(FencingToken token, Incarnation incarnation,
                             const std::vector<Command>& commands);
-// The response to a heartbeat by a controller that doesn't lead the machine's shard. None: the shard has no
-// leader.
+// Renders the body of the response to a heartbeat from a controller that does not lead the machine's shard.
+// The body names the shard leader; it is an empty object if `shard_leader` is std::nullopt because there is
+// none.
 std::string render_redirect(const std::optional<ControllerName>& shard_leader);
 
 }  // namespace beaconsill::protocol
--- a/src/scheduler/autoscaler.cpp
+++ b/src/scheduler/autoscaler.cpp
@@ -173,7 +173,7 @@
       tasks += other.wanted * other.each.cpus / cpus_each;
   }
   auto count = static_cast<std::uint32_t>(
-      std::clamp(std::ceil(tasks / option.tasks_per_instance), 1.0, static_cast<double>(protocol::kMaxRent)));
+      std::clamp(std::ceil(tasks / option.tasks_per_instance), 1.0, static_cast<double>(protocol::kMaxRentedPerRequest)));
   open_request_ = protocol::RentRequest{prefix_ + std::to_string(next_request_number_++), kind.type,
                                         kind.zone, kind.spot, count};
   request_sent_ = true;
@@ -206,7 +206,7 @@
   std::vector<MachineName> failed;
   if (!catalogue_) return failed;
   for (const auto& [name, machine] : listed_) {
-    if (deleted_.contains(name) || failed.size() >= protocol::kMaxDelete) continue;
+    if (deleted_.contains(name) || failed.size() >= protocol::kMaxDeletedPerRequest) continue;
     bool timed_out = boot_timed_out(machine);
     if (machine.state != protocol::MachineState::kFailed && !timed_out) continue;
     if (timed_out) on_boot_timeout(machine, now);
--- a/src/scheduler/crash_loop_backoff.cpp
+++ b/src/scheduler/crash_loop_backoff.cpp
@@ -14,8 +14,8 @@
 
 void CrashLoopBackoff::on_job_health(const JobId& id, protocol::JobHealth health,
                                      std::optional<Instant> last_granted, Instant now) {
-  if (health == protocol::JobHealth::kWorks) erase(id);
-  if (health != protocol::JobHealth::kFails) return;
+  if (health == protocol::JobHealth::kHealthy) erase(id);
+  if (health != protocol::JobHealth::kFailing) return;
   auto [it, is_new] = jobs_.try_emplace(id);
   auto& backoff = it->second;
   if (is_new) spdlog::info("crash_loop_backoff_started job={} reason=fails_on_several_machines", id.value());
--- a/src/shard/heartbeat_reconciler.cpp
+++ b/src/shard/heartbeat_reconciler.cpp
@@ -41,7 +41,7 @@
   if (state_.terminated.contains(heartbeat.machine) || is_of_later_term(heartbeat))
     return HeartbeatResult::kDropped;
   auto& machine = find_or_add_machine(heartbeat);
-  if (!heartbeat.newer_than(machine.incarnation, machine.sequence)) {
+  if (!heartbeat.is_newer_than(machine.incarnation, machine.sequence)) {
     spdlog::debug("heartbeat_dropped shard={} machine={} incarnation={} sequence={} reason=stale",
                   state_.id.value(), machine.name.value(), heartbeat.incarnation.value(),
                   heartbeat.sequence.value());
@@ -94,14 +94,14 @@
 
 void HeartbeatReconciler::update_reclaim_notice(Machine& machine,
                                                 const protocol::WorkerHeartbeat& heartbeat) const {
-  if (!heartbeat.notice_s) {
+  if (!heartbeat.termination_notice_s) {
     machine.reclaimed_at.reset();
     return;
   }
   if (!machine.reclaimed_at)
     spdlog::info("spot_reclaim_notice shard={} machine={} seconds={:.1f}", state_.id.value(),
-                 machine.name.value(), *heartbeat.notice_s);
-  machine.reclaimed_at = now_ + from_seconds(*heartbeat.notice_s);
+                 machine.name.value(), *heartbeat.termination_notice_s);
+  machine.reclaimed_at = now_ + from_seconds(*heartbeat.termination_notice_s);
 }
 
 void HeartbeatReconciler::update_tasks(Machine& machine, const protocol::WorkerHeartbeat& heartbeat) {
@@ -214,7 +214,7 @@
   attribution.on_failed(machine.name, id, job && job->works, now_);
   machine.avoided_until = attribution.suspect_until(machine.name);
   quarantine_if_faulty(machine);
-  if (job && attribution.job_fails(id, now_)) job->report_health(protocol::JobHealth::kFails);
+  if (job && attribution.job_fails(id, now_)) job->report_health(protocol::JobHealth::kFailing);
 }
 
 void HeartbeatReconciler::on_task_worked(Machine& machine, const JobId& id, Instant placed) {
@@ -222,7 +222,7 @@
   auto* job = state_.jobs.find(id);
   if (job) job->works = true;
   if (!attribution.concerns(machine.name, id)) return;
-  if (job && attribution.job_fails(id, now_)) job->report_health(protocol::JobHealth::kWorks);
+  if (job && attribution.job_fails(id, now_)) job->report_health(protocol::JobHealth::kHealthy);
   attribution.on_worked(machine.name, id, placed);
   machine.avoided_until = attribution.suspect_until(machine.name);
   for (const auto& name : attribution.failed_on(id, now_))
--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -199,7 +199,7 @@
       static_cast<std::size_t>(std::count_if(state_.machines.begin(), state_.machines.end(),
                                              [](const auto& entry) { return entry.second.deleting; }));
   for (auto& [name, machine] : state_.machines) {
-    if (names.size() + under_way >= protocol::kMaxDelete) break;
+    if (names.size() + under_way >= protocol::kMaxDeletedPerRequest) break;
     if (machine.deleting || (machine.retry_deletion_at && now < *machine.retry_deletion_at)) continue;
     bool partitioned = partitioned_zones.contains(machine.zone);
     auto reason = state_.failure_detector.reason_to_delete(machine, partitioned, now);
--- a/src/state_store/client.cpp
+++ b/src/state_store/client.cpp
@@ -154,7 +154,7 @@
   StoreRequest request;
   request.method = "POST";
   request.target = protocol::leases_target();
-  request.body = protocol::render_lease(ttl_ms);
+  request.body = protocol::render_lease_request(ttl_ms);
   enqueue_read(std::move(request), Urgency::kElection, std::move(done));
 }
 
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -16,7 +16,7 @@
 constexpr std::array<const char*, 3> kHolderFields{"node", "holder", "owner"};
 
 Ranges parse_ranges(const Json& json, const char* field) {
-  const Json& text = protocol::need(json, field);
+  const Json& text = protocol::required_field(json, field);
   if (!text.is_string()) throw protocol::field_error(field, "is not a string");
   auto ranges = Ranges::parse(text.get_ref<const std::string&>());
   if (!ranges) throw protocol::field_error(field, "is not a set of ranges");
@@ -24,7 +24,7 @@
 }
 
 WallMs parse_wall_time(const Json& json, const char* field) {
-  const Json& number = protocol::need(json, field);
+  const Json& number = protocol::required_field(json, field);
   if (!number.is_number_integer()) throw protocol::field_error(field, "is not an integer");
   return WallMs(number.get<std::int64_t>());
 }
@@ -45,8 +45,8 @@
 }
 
 JobRecord parse_job_record(const Json& json) {
-  const auto keys = protocol::find(json, "awaitsKeys") ? protocol::get_count(json, "awaitsKeys") : 0;
-  return {std::make_shared<const protocol::JobSpec>(protocol::parse_job(protocol::need(json, "job"))),
+  const auto keys = protocol::find_field(json, "awaitsKeys") ? protocol::get_count(json, "awaitsKeys") : 0;
+  return {std::make_shared<const protocol::JobSpec>(protocol::parse_job(protocol::required_field(json, "job"))),
           parse_wall_time(json, "at"), static_cast<std::uint32_t>(keys)};
 }
 
@@ -55,7 +55,7 @@
 }
 
 DependencySegment parse_dependency_segment(const Json& json) {
-  return {protocol::parse_job_ids(protocol::need(json, "awaits")), parse_wall_time(json, "at")};
+  return {protocol::parse_job_ids(protocol::required_field(json, "awaits")), parse_wall_time(json, "at")};
 }
 
 Json to_json(const TerminalRecord& record) {
@@ -68,7 +68,7 @@
   const auto state = protocol::get_string(json, "end");
   const auto done = static_cast<std::uint32_t>(protocol::get_count(json, "done"));
   std::optional<WallMs> completed_at;
-  if (const Json* field = protocol::find(json, "at"); field && field->is_number_integer())
+  if (const Json* field = protocol::find_field(json, "at"); field && field->is_number_integer())
     completed_at = WallMs(field->get<std::int64_t>());
   if (completed_at <= WallMs()) completed_at.reset();
   if (state == "done") return {TerminalState::kDone, done, completed_at};
@@ -96,10 +96,10 @@
   chunk.shard = ShardId(static_cast<std::uint32_t>(protocol::get_count(json, "p")));
   chunk.term = Term(protocol::get_count(json, "t"));
   chunk.tasks = parse_ranges(json, "r");
-  if (protocol::find(json, "z")) chunk.zone = Zone(protocol::get_string(json, "z"));
+  if (protocol::find_field(json, "z")) chunk.zone = Zone(protocol::get_string(json, "z"));
   chunk.preempt = protocol::get_bool_or(json, "x", false);
-  if (protocol::find(json, "a")) chunk.gang_attempt = Attempt(protocol::get_count(json, "a"));
-  if (protocol::find(json, "q")) chunk.priority = parse_priority(protocol::get_count(json, "q"));
+  if (protocol::find_field(json, "a")) chunk.gang_attempt = Attempt(protocol::get_count(json, "a"));
+  if (protocol::find_field(json, "q")) chunk.priority = parse_priority(protocol::get_count(json, "q"));
   return chunk;
 }
 
@@ -144,7 +144,7 @@
 
 Role parse_role(const Json& json) {
   std::uint32_t since = kHolderFields.size() - 1;
-  while (since > 0 && !protocol::find(json, kHolderFields[since])) --since;
+  while (since > 0 && !protocol::find_field(json, kHolderFields[since])) --since;
   return {ControllerName(protocol::get_string(json, kHolderFields[since])),
           Term(protocol::get_count(json, "term")), since};
 }
@@ -156,7 +156,7 @@
 }
 
 Versions parse_versions(const Json& json) {
-  const Json& advertised = protocol::need(json, "shown");
+  const Json& advertised = protocol::required_field(json, "shown");
   if (!advertised.is_object()) throw ProtocolError("shown is not an object");
   Versions versions;
   for (const auto& [controller, version] : advertised.items()) {
@@ -171,7 +171,7 @@
 }
 
 std::uint32_t parse_alive(const Json& json) {
-  if (!protocol::find(json, "version")) return 0;
+  if (!protocol::find_field(json, "version")) return 0;
   return static_cast<std::uint32_t>(protocol::get_count(json, "version"));
 }
 
@@ -195,7 +195,7 @@
     machines.push_back({MachineName(protocol::get_string(machine, "n")),
                         MachineType(protocol::get_string(machine, "t")),
                         Zone(protocol::get_string(machine, "z")), protocol::get_bool(machine, "s"),
-                        protocol::find(machine, "a") ? protocol::get_string(machine, "a") : std::string(),
+                        protocol::find_field(machine, "a") ? protocol::get_string(machine, "a") : std::string(),
                         protocol::get_bool_or(machine, "k", false)});
   return machines;
 }
--- a/tests/crash_loop_backoff_test.cpp
+++ b/tests/crash_loop_backoff_test.cpp
@@ -25,10 +25,10 @@
   const Case cases[] = {
       {"nothing reported", {}, false},
       {"nothing new", {JobHealth::kNone}, false},
-      {"it fails", {JobHealth::kFails}, true},
-      {"nothing new since it failed", {JobHealth::kFails, JobHealth::kNone}, true},
-      {"it works after all", {JobHealth::kFails, JobHealth::kWorks}, false},
-      {"it fails again", {JobHealth::kFails, JobHealth::kWorks, JobHealth::kFails}, true},
+      {"it fails", {JobHealth::kFailing}, true},
+      {"nothing new since it failed", {JobHealth::kFailing, JobHealth::kNone}, true},
+      {"it works after all", {JobHealth::kFailing, JobHealth::kHealthy}, false},
+      {"it fails again", {JobHealth::kFailing, JobHealth::kHealthy, JobHealth::kFailing}, true},
   };
   for (const auto& test_case : cases) {
     CrashLoopBackoff crash_loops;
@@ -43,7 +43,7 @@
   double now = 0;
   for (double delay : {2, 4, 8, 16, 30, 30}) {
     // It's granted a task, which fails a second later.
-    crash_loops.on_job_health(kJob, JobHealth::kFails, at(now), at(now + 1));
+    crash_loops.on_job_health(kJob, JobHealth::kFailing, at(now), at(now + 1));
     EXPECT_FALSE(crash_loops.due(kJob, at(now + 1 + delay - 0.1))) << delay;
     EXPECT_TRUE(crash_loops.due(kJob, at(now + 1 + delay))) << delay;
     now += 1 + delay;
@@ -52,27 +52,27 @@
 
 TEST(CrashLoopBackoff, ReportsOfOneGrantCountOnce) {
   CrashLoopBackoff crash_loops;
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(0), at(1));
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(0), at(2));
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(1), at(2.5));  // granted when the failure was known
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(0), at(1));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(0), at(2));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(1), at(2.5));  // granted when the failure was known
   EXPECT_TRUE(crash_loops.due(kJob, at(3)));
 }
 
 TEST(CrashLoopBackoff, AJobThatWasNeverGrantedFailsOnce) {
   CrashLoopBackoff crash_loops;
-  crash_loops.on_job_health(kJob, JobHealth::kFails, std::nullopt, at(1));
-  crash_loops.on_job_health(kJob, JobHealth::kFails, std::nullopt, at(2));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, std::nullopt, at(1));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, std::nullopt, at(2));
   EXPECT_TRUE(crash_loops.due(kJob, at(3)));
 }
 
 TEST(CrashLoopBackoff, AnErasedJobBeginsAnewWithTheShortestDelay) {
   CrashLoopBackoff crash_loops;
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(0), at(1));
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(5), at(6));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(0), at(1));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(5), at(6));
   crash_loops.erase(kJob);
   EXPECT_FALSE(crash_loops.contains(kJob));
   EXPECT_TRUE(crash_loops.due(kJob, at(6)));
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(7), at(8));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(7), at(8));
   EXPECT_TRUE(crash_loops.due(kJob, at(10)));
 }
 
--- a/tests/deadline_planner_test.cpp
+++ b/tests/deadline_planner_test.cpp
@@ -75,7 +75,7 @@
     jobs.index(JobId(id), entry);
   }
   CrashLoopBackoff crash_loops;
-  crash_loops.on_job_health(JobId("failing"), protocol::JobHealth::kFails, std::nullopt, Instant{});
+  crash_loops.on_job_health(JobId("failing"), protocol::JobHealth::kFailing, std::nullopt, Instant{});
   auto starts = planner().plan_start_times(jobs, crash_loops, WallMs(1000));
   // Due in 200 s, less half its run time of 10 s.
   EXPECT_EQ(starts, (StartTimes{{JobId("fits"), 195}}));
--- a/tests/encoding_samples_test.cpp
+++ b/tests/encoding_samples_test.cpp
@@ -130,11 +130,11 @@
 TEST(UserResponseEncoding, Renders) {
   const JobId id("run-7");
   expect_samples({
-      {"accepted, queued", render_accepted(id, JobState::kQueued), R"({"bearing":"queued","ref":"run-7"})"},
-      {"accepted, running", render_accepted(id, JobState::kRunning),
+      {"accepted, queued", render_submission_response(id, JobState::kQueued), R"({"bearing":"queued","ref":"run-7"})"},
+      {"accepted, running", render_submission_response(id, JobState::kRunning),
        R"({"bearing":"running","ref":"run-7"})"},
-      {"accepted, done", render_accepted(id, JobState::kDone), R"({"bearing":"done","ref":"run-7"})"},
-      {"accepted, cancelled", render_accepted(id, JobState::kCancelled),
+      {"accepted, done", render_submission_response(id, JobState::kDone), R"({"bearing":"done","ref":"run-7"})"},
+      {"accepted, cancelled", render_submission_response(id, JobState::kCancelled),
        R"({"bearing":"withdrawn","ref":"run-7"})"},
       {"status, queued", render_status(id, JobState::kQueued, 0, 0),
        R"({"bearing":"queued","done":0,"ref":"run-7","running":0})"},
@@ -191,7 +191,7 @@
   EXPECT_EQ(heartbeat.incarnation, Incarnation(2));
   EXPECT_EQ(heartbeat.sequence, Sequence(88));
   EXPECT_EQ(heartbeat.token, FencingToken(42991617));
-  EXPECT_EQ(heartbeat.notice_s, 12.5);
+  EXPECT_EQ(heartbeat.termination_notice_s, 12.5);
   ASSERT_EQ(heartbeat.tasks.size(), 1u);
   const auto& task = heartbeat.tasks.front();
   EXPECT_EQ(task.task, (TaskId{JobId("run-000398"), 3}));
@@ -205,7 +205,7 @@
   const auto heartbeat = parse_worker_heartbeat(parse_object(
       R"({"beacon":"host-1","address":"10.1.0.2:9000","hull":"g8","harbour":"a","driftwood":false,)"
       R"("watch":1,"tally":1,"helm":0,"lamps":[{"lamp":"run-1/0","launch":1,"bearing":"running"}]})"));
-  EXPECT_FALSE(heartbeat.notice_s);
+  EXPECT_FALSE(heartbeat.termination_notice_s);
   ASSERT_EQ(heartbeat.tasks.size(), 1u);
   EXPECT_FALSE(heartbeat.tasks.front().saved);
 }
@@ -243,9 +243,9 @@
 
 TEST(CloudRequestEncoding, Renders) {
   expect_samples({
-      {"rent", render_rent({"n1-17", MachineType("g8"), Zone("a"), true, 12}),
+      {"rent", render_rent_request({"n1-17", MachineType("g8"), Zone("a"), true, 12}),
        R"({"charter":"n1-17","count":12,"driftwood":true,"harbour":"a","hull":"g8"})"},
-      {"delete", render_delete({MachineName("host-1"), MachineName("host-2")}),
+      {"delete", render_delete_request({MachineName("host-1"), MachineName("host-2")}),
        R"({"beacons":["host-1","host-2"]})"},
       {"first page of machines", machine_page_target(std::nullopt), "/machines?page=500"},
       {"next page of machines", machine_page_target(MachineName("host-9")),
@@ -296,7 +296,7 @@
 }
 
 TEST(CloudResponseEncoding, ParsesRentedMachines) {
-  EXPECT_EQ(parse_rented(parse_object(R"({"beacons":["host-1","host-2"]})")),
+  EXPECT_EQ(parse_rented_machines(parse_object(R"({"beacons":["host-1","host-2"]})")),
             (std::vector{MachineName("host-1"), MachineName("host-2")}));
 }
 
@@ -311,7 +311,7 @@
        R"("writes":[{"moorage":7,"set":"beaconsill/alive/n1","v":{"up":true}},)"
        R"({"set":"beaconsill/jobs/run-1","v":{"at":5}},{"drop":"beaconsill/jobs/run-2"}]})"},
       {"empty transaction", render_txn({}), R"({"when":[],"writes":[]})"},
-      {"new hold", render_lease(6000), R"({"ttlMs":6000})"},
+      {"new hold", render_lease_request(6000), R"({"ttlMs":6000})"},
       {"a hold", lease_target(LeaseId(7)), "/holds/7"},
       {"first page", page_target("beaconsill/", "", 500), "/store?under=beaconsill/&page=500"},
       {"next page", page_target("beaconsill/", "beaconsill/jobs/run-1", 500),
--- a/tests/failing_jobs_test.cpp
+++ b/tests/failing_jobs_test.cpp
@@ -111,7 +111,7 @@
   // The scheduler is notified once.
   auto reports = scenario.fixture.shard.progress_report(true);
   ASSERT_EQ(reports.size(), 1u);
-  EXPECT_EQ(reports[0].health, protocol::JobHealth::kFails);
+  EXPECT_EQ(reports[0].health, protocol::JobHealth::kFailing);
   for (auto& report : scenario.fixture.shard.progress_report(true))
     EXPECT_EQ(report.health, protocol::JobHealth::kNone);
   auto before = scenario.starts["run-1"];
@@ -127,7 +127,7 @@
   scenario.fixture.add_ready_workers({"m1", "m2"});
   scenario.fixture.grant("run-1", 2, 5, 0);
   scenario.play(0.5, 2);
-  ASSERT_EQ(scenario.fixture.shard.progress_report(true).at(0).health, protocol::JobHealth::kFails);
+  ASSERT_EQ(scenario.fixture.shard.progress_report(true).at(0).health, protocol::JobHealth::kFailing);
   scenario.runs_s = 60;
   scenario.fixture.worker("m3");
   scenario.fixture.register_all(3);
@@ -136,7 +136,7 @@
   scenario.play(4, 18);
   auto reports = scenario.fixture.shard.progress_report(true);
   ASSERT_EQ(reports.size(), 1u);
-  EXPECT_EQ(reports[0].health, protocol::JobHealth::kWorks);
+  EXPECT_EQ(reports[0].health, protocol::JobHealth::kHealthy);
 }
 
 TEST(Failures, AJobThatFailsEverywhereBacksOff) {
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -307,7 +307,7 @@
   fleet.run_until(kHeartbeatPeriod + 1);
   for (const auto& [name, worker] : fleet.workers) fleet.shard.release(name);
   auto first = fleet.shard.take_machines_to_delete(at(5));
-  EXPECT_EQ(first.size(), protocol::kMaxDelete);
+  EXPECT_EQ(first.size(), protocol::kMaxDeletedPerRequest);
   EXPECT_TRUE(fleet.shard.take_machines_to_delete(at(5.1)).empty());
   for (std::size_t i = 0; i < 30; ++i) fleet.shard.on_machine_terminated(first[i], at(5.2));
   fleet.shard.on_delete_failed(first[30], at(5.2));
--- a/tests/granted_jobs_test.cpp
+++ b/tests/granted_jobs_test.cpp
@@ -166,8 +166,8 @@
   EXPECT_EQ(report[0].released[0].tasks, Ranges::span(1, 2));
   EXPECT_TRUE(jobs.progress_report(false).empty());
   EXPECT_EQ(jobs.progress_report(true).size(), 1u);
-  held->report_health(protocol::JobHealth::kFails);
-  EXPECT_EQ(jobs.progress_report(false).at(0).health, protocol::JobHealth::kFails);
+  held->report_health(protocol::JobHealth::kFailing);
+  EXPECT_EQ(jobs.progress_report(false).at(0).health, protocol::JobHealth::kFailing);
   EXPECT_EQ(jobs.progress_report(true).at(0).health, protocol::JobHealth::kNone);
 }
 
--- a/tests/heartbeat_reconciler_test.cpp
+++ b/tests/heartbeat_reconciler_test.cpp
@@ -251,7 +251,7 @@
 TEST_F(HeartbeatReconcilerTest, AReclaimNoticeHoldsAsLongAsHeartbeatsCarryIt) {
   auto& machine = add_machine("m1");
   auto heartbeat = next_heartbeat(machine);
-  heartbeat.notice_s = 30;
+  heartbeat.termination_notice_s = 30;
   reconcile(heartbeat, kNowSeconds + 1);
   EXPECT_EQ(machine.reclaimed_at, at(kNowSeconds + 31));
   reconcile(next_heartbeat(machine), kNowSeconds + 2);
--- a/tests/job_table_fixture.h
+++ b/tests/job_table_fixture.h
@@ -37,7 +37,7 @@
   }
   // Puts the job into crash-loop back-off.
   void fail(const char* id, Instant now) {
-    crash_loops.on_job_health(JobId(id), protocol::JobHealth::kFails, std::nullopt, now);
+    crash_loops.on_job_health(JobId(id), protocol::JobHealth::kFailing, std::nullopt, now);
   }
   WaitingJobs waiting() const { return {jobs, quota, crash_loops, deadlines}; }
 
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -318,7 +318,7 @@
     fixture.execute_commands(0);
     fixture.heartbeat("m1", 0.1);
     for (double time_s = 1; time_s < entry.ran; ++time_s) fixture.heartbeat("m1", time_s);
-    fixture.worker("m1").notice_s = entry.notice;
+    fixture.worker("m1").termination_notice_s = entry.notice;
     fixture.heartbeat("m1", 0.1 + entry.ran);
     fixture.tick(0.1 + entry.ran);
     bool stopped = false;
--- a/tests/paging_test.cpp
+++ b/tests/paging_test.cpp
@@ -30,7 +30,7 @@
   for (const auto& test_case : {Case{0, 0, 1}, Case{1, 1, 1}, Case{700, 4000, 1}, Case{6000, 60000, 7}}) {
     SummaryAssembler assembler;
     std::optional<Summary> whole;
-    auto pages = paged(make_summary(test_case.machines, test_case.jobs));
+    auto pages = split_into_pages(make_summary(test_case.machines, test_case.jobs));
     EXPECT_EQ(pages.size(), test_case.pages);
     for (const auto& page : pages) {
       EXPECT_FALSE(whole);
@@ -49,7 +49,7 @@
 }
 
 TEST(Paging, ASummaryWithoutOneOfItsPagesIsDropped) {
-  auto pages = paged(make_summary(0, 60), 800);
+  auto pages = split_into_pages(make_summary(0, 60), 800);
   ASSERT_GE(pages.size(), 3u);
   SummaryAssembler assembler;
   for (std::size_t i = 0; i < pages.size(); ++i) {
@@ -77,7 +77,7 @@
   for (std::uint32_t i = 0; i < 300; i += 2) scattered.add(i);
   for (std::size_t i = 0; i < 6000; ++i)
     report.jobs.push_back({JobId("run-" + std::to_string(i)), scattered, {{Generation(2), scattered}}});
-  auto pages = paged(report);
+  auto pages = split_into_pages(report);
   EXPECT_GT(pages.size(), 1u);
   std::size_t jobs = 0;
   for (const auto& page : pages) {
@@ -86,7 +86,7 @@
     jobs += page.jobs.size();
   }
   EXPECT_EQ(jobs, report.jobs.size());
-  EXPECT_EQ(paged(ProgressReport{ShardId(0), Term(2), {}}).size(), 1u);
+  EXPECT_EQ(split_into_pages(ProgressReport{ShardId(0), Term(2), {}}).size(), 1u);
 }
 
 }  // namespace
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_THROW(get_string(Json{{"field", "text"}}, "field", 3), ProtocolError);
   EXPECT_TRUE(get_bool_or(Json::object(), "field", true));
   EXPECT_FALSE(get_bool_or(Json{{"field", false}}, "field", true));
-  EXPECT_THROW(find(Json::array(), "field"), ProtocolError);
+  EXPECT_THROW(find_field(Json::array(), "field"), ProtocolError);
 }
 
 TEST(Job, GoodOnesSurviveTheRoundTrip) {
@@ -132,7 +132,7 @@
   };
   for (const auto& c :
        {Case{1, 99, true}, Case{2, 4, true}, Case{2, 5, false}, Case{2, 6, false}, Case{3, 1, false}})
-    EXPECT_EQ(r.newer_than(Incarnation(c.incarnation), Sequence(c.sequence)), c.newer)
+    EXPECT_EQ(r.is_newer_than(Incarnation(c.incarnation), Sequence(c.sequence)), c.newer)
         << c.incarnation << '/' << c.sequence;
 }
 
@@ -200,8 +200,8 @@
                      Term(4),
                      {{JobId("run-1"), Ranges::span(0, 7), {{Generation(3), Ranges::span(9, 12)}}},
                       {},
-                      {JobId("run-2"), {}, {}, JobHealth::kFails},
-                      {JobId("run-3"), {}, {}, JobHealth::kWorks}}},
+                      {JobId("run-2"), {}, {}, JobHealth::kFailing},
+                      {JobId("run-3"), {}, {}, JobHealth::kHealthy}}},
   };
   for (const auto& body : bodies) {
     auto bytes = encode_peer({ControllerName("n1"), body});
@@ -222,7 +222,7 @@
       decode_peer(encode_peer({ControllerName("n"), *std::rbegin(bodies)}))->payload);
   std::vector<JobHealth> health;
   for (const auto& job : progress_report.jobs) health.push_back(job.health);
-  EXPECT_EQ(health, (std::vector{JobHealth::kNone, JobHealth::kNone, JobHealth::kFails, JobHealth::kWorks}));
+  EXPECT_EQ(health, (std::vector{JobHealth::kNone, JobHealth::kNone, JobHealth::kFailing, JobHealth::kHealthy}));
   // A heartbeat of a version without a cancellation sync differs from one that has nothing to sync.
   auto heartbeat = [&](std::size_t i) {
     return std::get<Heartbeat>(decode_peer(encode_peer({ControllerName("n"), bodies[i]}))->payload);
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -186,7 +186,7 @@
     Ranges all;
     for (auto& chunk : job.grants.value.chunks) all.add(chunk.tasks);
     job.progress[ShardId(0)].value.released = {{job.grants.value.last, all}};
-    report(protocol::JobHealth::kFails, time);
+    report(protocol::JobHealth::kFailing, time);
     fixture.publish("run-1", time);
   }
   // The leader of shard 0 reports it.
@@ -238,7 +238,7 @@
     CrashLoop crash_loop;
     ASSERT_EQ(crash_loop.run_round(10), 1u);
     if (by_message) {
-      crash_loop.report(protocol::JobHealth::kWorks, 20);
+      crash_loop.report(protocol::JobHealth::kHealthy, 20);
     } else {
       crash_loop.fixture.jobs["run-1"].progress[ShardId(0)].value.done = Ranges::span(0, 1);
     }
@@ -256,7 +256,7 @@
 // All shards report it of the same grant, and copies of their reports come late.
 TEST(CrashLoop, AGrantCountsOnce) {
   CrashLoop crash_loop;
-  for (int i = 0; i < 10; ++i) crash_loop.report(protocol::JobHealth::kFails, 2.1);
+  for (int i = 0; i < 10; ++i) crash_loop.report(protocol::JobHealth::kFailing, 2.1);
   EXPECT_EQ(crash_loop.run_round(4.5), 1u);
 }
 
--- a/tests/shard_failover_test.cpp
+++ b/tests/shard_failover_test.cpp
@@ -59,7 +59,7 @@
   fixture.register_all(0);
   fixture.grant("run-1", 1, 4, 0);
   auto first = fixture.shard.take_machines_to_delete(at(60));
-  EXPECT_EQ(first.size(), protocol::kMaxDelete);
+  EXPECT_EQ(first.size(), protocol::kMaxDeletedPerRequest);
   // The partition ends: the others obey, also when their jobs were cancelled meanwhile.
   const auto& last = names.back();
   EXPECT_EQ(std::count(first.begin(), first.end(), MachineName(last)), 0);
