--- a/tests/encoding_samples_test.cpp
+++ b/tests/encoding_samples_test.cpp
@@ -1,6 +1,6 @@
-// Samples of the JSON that this program exchanges with users, workers, the cloud and the state store,
-// written down byte by byte. A change of an encoding fails here. Stored records and messages between
-// controllers have samples of their own in encoding_samples_records_test.cpp and
+// Guards the JSON encodings of the protocols with users, agents, the cloud and the state store against
+// unintended changes: rendered messages are compared byte by byte with samples. The samples of stored records
+// are in encoding_samples_records_test.cpp, those of messages between controllers in
 // encoding_samples_peer_test.cpp.
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 namespace beaconsill::protocol {
 namespace {
 
-// A rendered message beside the bytes that it must consist of.
+// A rendered message and its expected bytes.
 struct Sample {
   const char* name;
   std::string rendered;
@@ -68,7 +68,7 @@
     R"("markS":0.0,"memoryGb":0.0,"precedence":"standard","reckonS":0.0,"ref":"run-7","scatter":true,)"
     R"("shape":"batch","sizeGb":0.0,"stowS":0.0,"together":false,"vcpus":0.0})";
 
-TEST(JobEncoding, Renders) {
+TEST(JobEncoding, RenderedJobsMatchTheSamples) {
   expect_samples({
       {"all fields", dump(job_to_json(job_with_all_fields())), kJobWithAllFields},
       {"optional fields absent", dump(job_to_json(job_without_optional_fields())), kJobWithoutOptionalFields},
@@ -80,60 +80,62 @@
     EXPECT_EQ(dump(job_to_json(parse_job(parse_object(sample)))), sample);
 }
 
-TEST(JobEncoding, NullAndUnknownFieldsCountAsAbsent) {
+TEST(JobEncoding, NullAndUnknownFieldsAreIgnored) {
   auto sample = parse_object(kJobWithoutOptionalFields);
   for (const char* field : {"harbour", "hulls", "tideS", "awaits"}) sample[field] = nullptr;
   sample["fieldOfALaterVersion"] = Json::array({1, 2});
   EXPECT_EQ(dump(job_to_json(parse_job(sample))), kJobWithoutOptionalFields);
 }
 
-TEST(JobEncoding, NamesEveryKind) {
+TEST(JobEncoding, EveryJobKindHasItsName) {
   struct Case {
     JobKind kind;
     const char* name;
   };
-  for (const auto& c :
+  for (const auto& test_case :
        {Case{JobKind::kArray, "batch"}, Case{JobKind::kGang, "group"}, Case{JobKind::kService, "daemon"}}) {
     auto job = job_with_all_fields();
-    job.kind = c.kind;
-    EXPECT_EQ(job_to_json(job)["shape"], c.name);
-    EXPECT_EQ(parse_job(job_to_json(job)).kind, c.kind) << c.name;
+    job.kind = test_case.kind;
+    EXPECT_EQ(job_to_json(job)["shape"], test_case.name);
+    EXPECT_EQ(parse_job(job_to_json(job)).kind, test_case.kind) << test_case.name;
   }
 }
 
-TEST(JobEncoding, NamesEveryPriority) {
+TEST(JobEncoding, EveryPriorityHasItsName) {
   struct Case {
     Priority priority;
     const char* name;
   };
-  for (const auto& c : {Case{Priority::kLow, "best_effort"}, Case{Priority::kNormal, "standard"},
-                        Case{Priority::kHigh, "high"}, Case{Priority::kProduction, "production"}}) {
+  for (const auto& test_case : {Case{Priority::kLow, "best_effort"}, Case{Priority::kNormal, "standard"},
+                                Case{Priority::kHigh, "high"}, Case{Priority::kProduction, "production"}}) {
     auto job = job_with_all_fields();
-    job.priority = c.priority;
-    EXPECT_EQ(job_to_json(job)["precedence"], c.name);
-    EXPECT_EQ(parse_job(job_to_json(job)).priority, c.priority) << c.name;
+    job.priority = test_case.priority;
+    EXPECT_EQ(job_to_json(job)["precedence"], test_case.name);
+    EXPECT_EQ(parse_job(job_to_json(job)).priority, test_case.priority) << test_case.name;
   }
 }
 
-TEST(JobIdsEncoding, RendersAndParses) {
+TEST(JobIdsEncoding, JobIdsAreRenderedAndParsed) {
   const char* const sample = R"(["run-1","run-000412"])";
   EXPECT_EQ(dump(job_ids_to_json({JobId("run-1"), JobId("run-000412")})), sample);
   EXPECT_EQ(dump(job_ids_to_json(parse_job_ids(parse_json(sample)))), sample);
 }
 
-TEST(TaskNameEncoding, RendersAndParses) {
+TEST(TaskNameEncoding, TaskNamesAreRenderedAndParsed) {
   const TaskId task{JobId("run-000412"), 15};
   EXPECT_EQ(task_name(task), "run-000412/15");
   EXPECT_EQ(parse_task_id("run-000412/15"), task);
 }
 
-TEST(UserResponseEncoding, Renders) {
+TEST(UserResponseEncoding, RenderedResponsesMatchTheSamples) {
   const JobId id("run-7");
   expect_samples({
-      {"accepted, queued", render_submission_response(id, JobState::kQueued), R"({"bearing":"queued","ref":"run-7"})"},
+      {"accepted, queued", render_submission_response(id, JobState::kQueued),
+       R"({"bearing":"queued","ref":"run-7"})"},
       {"accepted, running", render_submission_response(id, JobState::kRunning),
        R"({"bearing":"running","ref":"run-7"})"},
-      {"accepted, done", render_submission_response(id, JobState::kDone), R"({"bearing":"done","ref":"run-7"})"},
+      {"accepted, done", render_submission_response(id, JobState::kDone),
+       R"({"bearing":"done","ref":"run-7"})"},
       {"accepted, cancelled", render_submission_response(id, JobState::kCancelled),
        R"({"bearing":"withdrawn","ref":"run-7"})"},
       {"status, queued", render_status(id, JobState::kQueued, 0, 0),
@@ -145,7 +147,7 @@
       {"status, cancelled", render_status(id, JobState::kCancelled, 2, 1),
        R"({"bearing":"withdrawn","done":2,"ref":"run-7","running":1})"},
       {"error", render_error("lamps is out of range"), R"({"error":"lamps is out of range"})"},
-      {"error with quotes and bytes that aren't UTF-8", render_error("a \"b\"\xff"),
+      {"error with quotes and bytes that are not valid UTF-8", render_error("a \"b\"\xff"),
        "{\"error\":\"a \\\"b\\\"\xEF\xBF\xBD\"}"},
   });
 }
@@ -156,8 +158,8 @@
           {Command::Op::kForget, {JobId("run-3"), 12}, Attempt(3), 0}};
 }
 
-TEST(WorkerCommandEncoding, Renders) {
-  // 41 << 20 | 1: the term is above the lower twenty bits.
+TEST(WorkerCommandEncoding, RenderedCommandsMatchTheSamples) {
+  // The token is 41 << 20 | 1 = 42991617: the term is stored above the lower 20 bits.
   const auto token = FencingToken::first_of(Term(41)).raised();
   const std::string commands = R"([{"lamp":"run-1/4","launch":2,"signal":"run"},)"
                                R"({"dousingS":10.0,"lamp":"run-2/0","launch":1,"signal":"kill"},)"
@@ -172,17 +174,17 @@
       {"response to a heartbeat without commands", render_heartbeat_response(token, {}),
        R"({"helm":42991617,"signals":[]})"},
       {"redirect", render_redirect(ControllerName("n2")), R"({"keeper":"n2"})"},
-      {"redirect to an unknown owner", render_redirect(std::nullopt), "{}"},
+      {"redirect without a known shard leader", render_redirect(std::nullopt), "{}"},
   });
 }
 
-const char* const kReportWithAllFields =
+const char* const kHeartbeatWithAllFields =
     R"({"beacon":"host-1","address":"10.1.0.2:9000","hull":"g8","harbour":"a","driftwood":true,)"
     R"("watch":2,"tally":88,"helm":42991617,"recallS":12.5,)"
     R"("lamps":[{"lamp":"run-000398/3","launch":4,"bearing":"ended","cause":"halted","stored":true}]})";
 
-TEST(WorkerReportEncoding, ParsesAllFields) {
-  const auto heartbeat = parse_worker_heartbeat(parse_object(kReportWithAllFields));
+TEST(WorkerHeartbeatEncoding, AllFieldsAreParsed) {
+  const auto heartbeat = parse_worker_heartbeat(parse_object(kHeartbeatWithAllFields));
   EXPECT_EQ(heartbeat.machine, MachineName("host-1"));
   EXPECT_EQ(heartbeat.address, "10.1.0.2:9000");
   EXPECT_EQ(heartbeat.type, MachineType("g8"));
@@ -201,7 +203,7 @@
   EXPECT_TRUE(task.saved);
 }
 
-TEST(WorkerReportEncoding, OptionalFieldsMayBeAbsent) {
+TEST(WorkerHeartbeatEncoding, OptionalFieldsMayBeAbsent) {
   const auto heartbeat = parse_worker_heartbeat(parse_object(
       R"({"beacon":"host-1","address":"10.1.0.2:9000","hull":"g8","harbour":"a","driftwood":false,)"
       R"("watch":1,"tally":1,"helm":0,"lamps":[{"lamp":"run-1/0","launch":1,"bearing":"running"}]})"));
@@ -210,38 +212,38 @@
   EXPECT_FALSE(heartbeat.tasks.front().saved);
 }
 
-// The only task of the full sample, with one field replaced.
-TaskStatus task_with(const char* field, const char* value) {
-  auto heartbeat = parse_object(kReportWithAllFields);
+// Parses the sample heartbeat after replacing one field of its only task, and returns that task.
+TaskStatus parse_task_with(const char* field, const char* value) {
+  auto heartbeat = parse_object(kHeartbeatWithAllFields);
   heartbeat["lamps"][0][field] = value;
   return parse_worker_heartbeat(heartbeat).tasks.at(0);
 }
 
-TEST(WorkerReportEncoding, ParsesEveryTaskState) {
+TEST(WorkerHeartbeatEncoding, EveryTaskStateIsParsed) {
   struct Case {
     const char* name;
     TaskState state;
   };
-  for (const auto& c : {Case{"fetching", TaskState::kFetching}, Case{"waiting", TaskState::kWaiting},
-                        Case{"running", TaskState::kRunning}, Case{"saving", TaskState::kSaving},
-                        Case{"ended", TaskState::kEnded}})
-    EXPECT_EQ(task_with("bearing", c.name).state, c.state) << c.name;
+  for (const auto& test_case : {Case{"fetching", TaskState::kFetching}, Case{"waiting", TaskState::kWaiting},
+                                Case{"running", TaskState::kRunning}, Case{"saving", TaskState::kSaving},
+                                Case{"ended", TaskState::kEnded}})
+    EXPECT_EQ(parse_task_with("bearing", test_case.name).state, test_case.state) << test_case.name;
 }
 
-TEST(WorkerReportEncoding, ParsesEveryEndCause) {
+TEST(WorkerHeartbeatEncoding, EveryEndCauseIsParsed) {
   struct Case {
     const char* name;
     EndCause cause;
   };
-  for (const auto& c : {Case{"done", EndCause::kDone}, Case{"halted", EndCause::kStopped},
-                        Case{"mates_gone", EndCause::kPeersGone}, Case{"alone", EndCause::kAlone},
-                        Case{"error", EndCause::kError}, Case{"full", EndCause::kNoCapacityLeft},
-                        Case{"in_use", EndCause::kBusy}, Case{"unknown", EndCause::kUnknown},
-                        Case{"cause_of_a_later_version", EndCause::kError}})
-    EXPECT_EQ(task_with("cause", c.name).cause, c.cause) << c.name;
+  for (const auto& test_case : {Case{"done", EndCause::kDone}, Case{"halted", EndCause::kStopped},
+                                Case{"mates_gone", EndCause::kPeersGone}, Case{"alone", EndCause::kAlone},
+                                Case{"error", EndCause::kError}, Case{"full", EndCause::kNoCapacityLeft},
+                                Case{"in_use", EndCause::kBusy}, Case{"unknown", EndCause::kUnknown},
+                                Case{"cause_of_a_later_version", EndCause::kError}})
+    EXPECT_EQ(parse_task_with("cause", test_case.name).cause, test_case.cause) << test_case.name;
 }
 
-TEST(CloudRequestEncoding, Renders) {
+TEST(CloudRequestEncoding, RenderedRequestsMatchTheSamples) {
   expect_samples({
       {"rent", render_rent_request({"n1-17", MachineType("g8"), Zone("a"), true, 12}),
        R"({"charter":"n1-17","count":12,"driftwood":true,"harbour":"a","hull":"g8"})"},
@@ -253,7 +255,7 @@
   });
 }
 
-TEST(CloudResponseEncoding, ParsesTheCatalogue) {
+TEST(CloudResponseEncoding, CatalogueIsParsed) {
   const auto catalogue = parse_catalogue(parse_object(
       R"({"hulls":[{"sku":"g8","vcpus":8.0,"cards":2.0,"memoryGb":64.0,"localGb":200.0,)"
       R"("pullGbPerS":0.5,"hourly":3.25,"lowPrice":1.125,"readyS":45.0,"harbours":["a","b"]}]})"));
@@ -269,7 +271,7 @@
   EXPECT_EQ(type.zones, (std::vector{Zone("a"), Zone("b")}));
 }
 
-TEST(CloudResponseEncoding, ParsesAPageOfMachines) {
+TEST(CloudResponseEncoding, PageOfMachinesIsParsed) {
   const auto page = parse_machine_page(parse_object(
       R"({"beacons":[{"ref":"host-1","address":"10.1.0.2:9000","hull":"g8","harbour":"a","driftwood":true,)"
       R"("bearing":"running","heldS":12.5},)"
@@ -291,16 +293,16 @@
   EXPECT_EQ(page.machines[2].state, MachineState::kFailed);
 }
 
-TEST(CloudResponseEncoding, TheLastPageOfMachinesNeedNotSayThatItIs) {
+TEST(CloudResponseEncoding, PageWithoutMoreFieldIsTheLastOne) {
   EXPECT_FALSE(parse_machine_page(parse_object(R"({"beacons":[]})")).more);
 }
 
-TEST(CloudResponseEncoding, ParsesRentedMachines) {
+TEST(CloudResponseEncoding, RentedMachinesAreParsed) {
   EXPECT_EQ(parse_rented_machines(parse_object(R"({"beacons":["host-1","host-2"]})")),
             (std::vector{MachineName("host-1"), MachineName("host-2")}));
 }
 
-TEST(StateServiceRequestEncoding, Renders) {
+TEST(StateStoreRequestEncoding, RenderedRequestsMatchTheSamples) {
   const Txn transaction{{{"beaconsill/jobs/run-1", Revision()}, {"beaconsill/roles/leader", Revision(17)}},
                         {{"beaconsill/alive/n1", Json{{"up", true}}, LeaseId(7)},
                          {"beaconsill/jobs/run-1", Json{{"at", 5}}, std::nullopt},
@@ -311,8 +313,8 @@
        R"("writes":[{"moorage":7,"set":"beaconsill/alive/n1","v":{"up":true}},)"
        R"({"set":"beaconsill/jobs/run-1","v":{"at":5}},{"drop":"beaconsill/jobs/run-2"}]})"},
       {"empty transaction", render_txn({}), R"({"when":[],"writes":[]})"},
-      {"new hold", render_lease_request(6000), R"({"ttlMs":6000})"},
-      {"a hold", lease_target(LeaseId(7)), "/holds/7"},
+      {"new lease", render_lease_request(6000), R"({"ttlMs":6000})"},
+      {"existing lease", lease_target(LeaseId(7)), "/holds/7"},
       {"first page", page_target("beaconsill/", "", 500), "/store?under=beaconsill/&page=500"},
       {"next page", page_target("beaconsill/", "beaconsill/jobs/run-1", 500),
        "/store?under=beaconsill/&page=500&after=beaconsill/jobs/run-1"},
@@ -321,14 +323,14 @@
   });
 }
 
-TEST(StateServiceResponseEncoding, ParsesAnItem) {
+TEST(StateStoreResponseEncoding, ItemIsParsed) {
   const auto item = parse_item(parse_object(R"({"path":"a/b","v":{"x":1},"entry":12})"));
   EXPECT_EQ(item.key, "a/b");
   EXPECT_EQ(dump(item.value), R"({"x":1})");
   EXPECT_EQ(item.revision, Revision(12));
 }
 
-TEST(StateServiceResponseEncoding, ParsesAPage) {
+TEST(StateStoreResponseEncoding, PageIsParsed) {
   const auto page = parse_page(
       parse_object(R"({"rows":[{"path":"a/b","v":{"x":1},"entry":12}],"more":true,"logline":433})"));
   ASSERT_EQ(page.items.size(), 1u);
@@ -338,7 +340,7 @@
   EXPECT_FALSE(parse_page(parse_object(R"({"rows":[],"logline":1})")).more);
 }
 
-TEST(StateServiceResponseEncoding, ParsesChanges) {
+TEST(StateStoreResponseEncoding, ChangesAreParsed) {
   const auto changes = parse_changes(parse_object(
       R"({"news":[{"set":"c/9","v":{"y":2},"entry":433},{"drop":"c/d","entry":432}],"logline":434})"));
   EXPECT_EQ(changes.revision, Revision(434));
@@ -355,11 +357,11 @@
   EXPECT_TRUE(parse_changes(parse_object(R"({"logline":1})")).changes.empty());
 }
 
-TEST(StateServiceResponseEncoding, ParsesTheRevisionOfATransaction) {
+TEST(StateStoreResponseEncoding, RevisionOfATransactionIsParsed) {
   EXPECT_EQ(parse_revision(parse_object(R"({"logline":433})")), Revision(433));
 }
 
-TEST(StateServiceResponseEncoding, ParsesAHold) {
+TEST(StateStoreResponseEncoding, LeaseIsParsed) {
   EXPECT_EQ(parse_lease(parse_object(R"({"moorage":7})")), LeaseId(7));
 }
 
--- a/tests/paging_test.cpp
+++ b/tests/paging_test.cpp
@@ -1,4 +1,5 @@
-// Messages between controllers that grow with the fleet.
+// Tests of paging: summaries and progress reports of any size must be sent in frames that receivers accept,
+// and a summary must be reassembled completely or dropped.
 #include "protocol/paging.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +7,8 @@
 namespace beaconsill::protocol {
 namespace {
 
-constexpr std::size_t kMaxFrame = std::size_t{1024} * 1024;  // of all versions' receivers
+constexpr std::size_t kMaxFrameBytes =
+    std::size_t{1024} * 1024;  // bytes that receivers of all versions accept
 
 Summary make_summary(std::size_t machines, std::size_t jobs) {
   Summary summary{ShardId(1), Term(7), Revision(30), {}, {}};
@@ -23,7 +25,7 @@
   return summary;
 }
 
-TEST(Paging, ASummaryOfAnySizeArrivesWhole) {
+TEST(Paging, SummaryOfAnySizeIsReassembledFromItsPages) {
   struct Case {
     std::size_t machines, jobs, pages;
   };
@@ -35,7 +37,7 @@
     for (const auto& page : pages) {
       EXPECT_FALSE(whole);
       auto bytes = encode_peer({ControllerName("a"), page});
-      EXPECT_LT(bytes.size(), kMaxFrame);
+      EXPECT_LT(bytes.size(), kMaxFrameBytes);
       auto message = decode_peer(bytes);
       ASSERT_TRUE(message);
       whole = assembler.add(std::get<Summary>(message->payload));
@@ -48,7 +50,7 @@
   }
 }
 
-TEST(Paging, ASummaryWithoutOneOfItsPagesIsDropped) {
+TEST(Paging, SummaryWithAMissingPageIsDropped) {
   auto pages = split_into_pages(make_summary(0, 60), 800);
   ASSERT_GE(pages.size(), 3u);
   SummaryAssembler assembler;
@@ -56,32 +58,34 @@
     if (i == 1) continue;
     EXPECT_FALSE(assembler.add(pages[i])) << i;
   }
-  // The next one is whole again, and one begun anew replaces what was begun.
+  // The first page of a new summary replaces an incomplete one, and a later summary with all pages is
+  // complete.
   EXPECT_FALSE(assembler.add(pages[0]));
   std::optional<Summary> whole;
   for (const auto& page : pages) whole = assembler.add(page);
   ASSERT_TRUE(whole);
   EXPECT_EQ(whole->running.size(), 60u);
-  // A page of another term doesn't belong to it.
+  // A page of another term does not belong to the incomplete summary.
   assembler.add(pages[0]);
-  auto other = pages[1];
-  other.term = Term(8);
-  EXPECT_FALSE(assembler.add(other));
+  auto page_of_another_term = pages[1];
+  page_of_another_term.term = Term(8);
+  EXPECT_FALSE(assembler.add(page_of_another_term));
   // Versions without pages send a single message.
   EXPECT_TRUE(assembler.add(make_summary(2, 2)));
 }
 
-TEST(Paging, ProgressReportsOfAnySizeFitIntoFrames) {
+TEST(Paging, PagesOfAProgressReportOfAnySizeFitIntoFrames) {
   ProgressReport report{ShardId(0), Term(2), {}};
-  Ranges scattered;
-  for (std::uint32_t i = 0; i < 300; i += 2) scattered.add(i);
+  Ranges alternate_tasks;
+  for (std::uint32_t i = 0; i < 300; i += 2) alternate_tasks.add(i);
   for (std::size_t i = 0; i < 6000; ++i)
-    report.jobs.push_back({JobId("run-" + std::to_string(i)), scattered, {{Generation(2), scattered}}});
+    report.jobs.push_back(
+        {JobId("run-" + std::to_string(i)), alternate_tasks, {{Generation(2), alternate_tasks}}});
   auto pages = split_into_pages(report);
   EXPECT_GT(pages.size(), 1u);
   std::size_t jobs = 0;
   for (const auto& page : pages) {
-    EXPECT_LT(encode_peer({ControllerName("a"), page}).size(), kMaxFrame);
+    EXPECT_LT(encode_peer({ControllerName("a"), page}).size(), kMaxFrameBytes);
     EXPECT_EQ(page.term, Term(2));
     jobs += page.jobs.size();
   }
