--- a/src/protocol/api.h
+++ b/src/protocol/api.h
@@ -31,7 +31,7 @@
   double estimate_s = 0;                          // expected run time of a task, in seconds
   double checkpoint_s = 0;                        // seconds between two checkpoints; 0: no checkpoints
   double save_s = 0;                              // seconds that a stopped task needs to save a checkpoint
-  std::optional<double> deadline_s;               // seconds
+  std::optional<double> deadline_s;               // seconds from the submission
   std::vector<JobId> depends_on;                  // jobs that must be done before any task of this job starts
 };
 
--- a/src/protocol/peer.h
+++ b/src/protocol/peer.h
@@ -41,8 +41,7 @@
   std::uint64_t sequence = 0;
   std::uint64_t echo = 0;
   bool reaches_state_store = false;
-  std::optional<CancellationSync>
-      cancellation_sync;  // std::nullopt: the sender's version does not support it
+  std::optional<CancellationSync> cancellation_sync;  // std::nullopt: not supported by the sender's version
 };
 
 // Notifies the receiver that the state store has changes up to this revision.
@@ -72,10 +71,9 @@
 struct ZoneCapacity {
   Zone zone;
   std::uint32_t free = 0;
-  std::uint32_t image_cached = 0;  // part of `free`: on machines that have the image cached
+  std::uint32_t image_cached = 0;  // part of `free`: on machines with a cached image
   std::uint32_t preemptible = 0;   // in addition to `free`, if tasks of lower priority were preempted
-  std::uint32_t image_cached_preemptible =
-      0;  // part of `preemptible`: on machines that have the image cached
+  std::uint32_t image_cached_preemptible = 0;  // part of `preemptible`: on machines with a cached image
   bool operator==(const ZoneCapacity&) const = default;
 };
 // The zones of a shard that have capacity.
@@ -97,7 +95,7 @@
   Zone zone;
   bool spot = false;
   Resources free;
-  double idle_s = 0;  // seconds
+  double idle_s = 0;  // seconds since the machine had tasks; 0 while it has any
   bool usable = true;
 };
 
