--- a/src/protocol/peer.h
+++ b/src/protocol/peer.h
@@ -71,9 +71,9 @@
 struct ZoneCapacity {
   Zone zone;
   std::uint32_t free = 0;
-  std::uint32_t image_cached = 0;  // part of `free`: on machines with a cached image
+  std::uint32_t image_cached = 0;  // part of `free`: on machines that cache the image
   std::uint32_t preemptible = 0;   // in addition to `free`, if tasks of lower priority were preempted
-  std::uint32_t image_cached_preemptible = 0;  // part of `preemptible`: on machines with a cached image
+  std::uint32_t image_cached_preemptible = 0;  // part of `preemptible`: on machines that cache the image
   bool operator==(const ZoneCapacity&) const = default;
 };
 // The zones of a shard that have capacity.
