--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -196,14 +196,14 @@
   std::vector<MachineName> names;
   if (state_.superseded) return names;
   auto partitioned_zones = state_.failure_detector.update_partitioned_zones(state_.machines, now);
-  // At most kMaxDelete machines are marked at a time, including those of earlier requests that are not
-  // answered yet. A machine that is being deleted gets no commands except stops in the answers to its
+  // At most kMaxDeletedPerRequest machines are marked at a time, including those of earlier requests that are
+  // not answered yet. A machine that is being deleted gets no commands except stops in the answers to its
   // heartbeats, so hundreds of marked machines would be unusable if their zone became reachable again.
   auto pending_deletions =
       static_cast<std::size_t>(std::count_if(state_.machines.begin(), state_.machines.end(),
                                              [](const auto& entry) { return entry.second.deleting; }));
   for (auto& [name, machine] : state_.machines) {
-    if (names.size() + pending_deletions >= protocol::kMaxDelete) break;
+    if (names.size() + pending_deletions >= protocol::kMaxDeletedPerRequest) break;
     if (machine.deleting || (machine.retry_deletion_at && now < *machine.retry_deletion_at)) continue;
     bool partitioned = partitioned_zones.contains(machine.zone);
     auto reason = state_.failure_detector.reason_to_delete(machine, partitioned, now);
--- a/tests/crash_loop_backoff_test.cpp
+++ b/tests/crash_loop_backoff_test.cpp
@@ -25,11 +25,11 @@
   const Case cases[] = {
       {"no report", {}, false},
       {"a report without news", {JobHealth::kNone}, false},
-      {"a failure", {JobHealth::kFails}, true},
-      {"a report without news after a failure", {JobHealth::kFails, JobHealth::kNone}, true},
-      {"the job works after a failure", {JobHealth::kFails, JobHealth::kWorks}, false},
+      {"a failure", {JobHealth::kFailing}, true},
+      {"a report without news after a failure", {JobHealth::kFailing, JobHealth::kNone}, true},
+      {"the job works after a failure", {JobHealth::kFailing, JobHealth::kHealthy}, false},
       {"the job fails again after it worked",
-       {JobHealth::kFails, JobHealth::kWorks, JobHealth::kFails},
+       {JobHealth::kFailing, JobHealth::kHealthy, JobHealth::kFailing},
        true},
   };
   for (const auto& test_case : cases) {
@@ -45,7 +45,7 @@
   double now = 0;
   for (double delay : {2, 4, 8, 16, 30, 30}) {
     // The job is granted a task, which fails one second later.
-    crash_loops.on_job_health(kJob, JobHealth::kFails, at(now), at(now + 1));
+    crash_loops.on_job_health(kJob, JobHealth::kFailing, at(now), at(now + 1));
     EXPECT_FALSE(crash_loops.retry_due(kJob, at(now + 1 + delay - 0.1))) << delay;
     EXPECT_TRUE(crash_loops.retry_due(kJob, at(now + 1 + delay))) << delay;
     now += 1 + delay;
@@ -54,28 +54,28 @@
 
 TEST(CrashLoopBackoff, ReportsForTheSameGrantLengthenDelayOnce) {
   CrashLoopBackoff crash_loops;
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(0), at(1));
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(0), at(2));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(0), at(1));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(0), at(2));
   // The last grant was made at the time of the first failure report.
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(1), at(2.5));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(1), at(2.5));
   EXPECT_TRUE(crash_loops.retry_due(kJob, at(3)));
 }
 
 TEST(CrashLoopBackoff, ReportsForAJobThatWasNeverGrantedLengthenDelayOnce) {
   CrashLoopBackoff crash_loops;
-  crash_loops.on_job_health(kJob, JobHealth::kFails, std::nullopt, at(1));
-  crash_loops.on_job_health(kJob, JobHealth::kFails, std::nullopt, at(2));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, std::nullopt, at(1));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, std::nullopt, at(2));
   EXPECT_TRUE(crash_loops.retry_due(kJob, at(3)));
 }
 
 TEST(CrashLoopBackoff, ErasedJobStartsAgainWithInitialDelay) {
   CrashLoopBackoff crash_loops;
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(0), at(1));
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(5), at(6));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(0), at(1));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(5), at(6));
   crash_loops.erase(kJob);
   EXPECT_FALSE(crash_loops.contains(kJob));
   EXPECT_TRUE(crash_loops.retry_due(kJob, at(6)));
-  crash_loops.on_job_health(kJob, JobHealth::kFails, at(7), at(8));
+  crash_loops.on_job_health(kJob, JobHealth::kFailing, at(7), at(8));
   EXPECT_TRUE(crash_loops.retry_due(kJob, at(10)));
 }
 
--- a/tests/deadline_planner_test.cpp
+++ b/tests/deadline_planner_test.cpp
@@ -88,7 +88,7 @@
     jobs.index(JobId(id), entry);
   }
   CrashLoopBackoff crash_loops;
-  crash_loops.on_job_health(JobId("failing"), protocol::JobHealth::kFails, std::nullopt, Instant{});
+  crash_loops.on_job_health(JobId("failing"), protocol::JobHealth::kFailing, std::nullopt, Instant{});
   auto starts = planner().plan_start_times(jobs, crash_loops, WallMs(1000));
   // The job is due in 200 s; half its run time of 10 s is subtracted.
   EXPECT_EQ(starts, (StartTimes{{JobId("on_time"), 195}}));
--- a/tests/failing_jobs_test.cpp
+++ b/tests/failing_jobs_test.cpp
@@ -113,7 +113,7 @@
   // The scheduler is notified once.
   auto reports = scenario.fixture.shard.progress_report(true);
   ASSERT_EQ(reports.size(), 1u);
-  EXPECT_EQ(reports[0].health, protocol::JobHealth::kFails);
+  EXPECT_EQ(reports[0].health, protocol::JobHealth::kFailing);
   for (auto& report : scenario.fixture.shard.progress_report(true))
     EXPECT_EQ(report.health, protocol::JobHealth::kNone);
   auto before = scenario.starts["run-1"];
@@ -130,7 +130,7 @@
   scenario.fixture.add_ready_workers({"m1", "m2"});
   scenario.fixture.grant("run-1", 2, 5, 0);
   scenario.run(0.5, 2);
-  ASSERT_EQ(scenario.fixture.shard.progress_report(true).at(0).health, protocol::JobHealth::kFails);
+  ASSERT_EQ(scenario.fixture.shard.progress_report(true).at(0).health, protocol::JobHealth::kFailing);
   scenario.task_duration_s = 60;
   scenario.fixture.worker("m3");
   scenario.fixture.register_all(3);
@@ -139,7 +139,7 @@
   scenario.run(4, 18);
   auto reports = scenario.fixture.shard.progress_report(true);
   ASSERT_EQ(reports.size(), 1u);
-  EXPECT_EQ(reports[0].health, protocol::JobHealth::kWorks);
+  EXPECT_EQ(reports[0].health, protocol::JobHealth::kHealthy);
 }
 
 TEST(Failures, AJobThatFailsEverywhereBacksOff) {
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -315,7 +315,7 @@
   simulation.run_until(kHeartbeatPeriod + 1);
   for (const auto& [name, worker] : simulation.workers) simulation.shard.release(name);
   auto first = simulation.shard.take_machines_to_delete(at(5));
-  EXPECT_EQ(first.size(), protocol::kMaxDelete);
+  EXPECT_EQ(first.size(), protocol::kMaxDeletedPerRequest);
   EXPECT_TRUE(simulation.shard.take_machines_to_delete(at(5.1)).empty());
   for (std::size_t i = 0; i < 30; ++i) simulation.shard.on_machine_terminated(first[i], at(5.2));
   simulation.shard.on_delete_failed(first[30], at(5.2));
--- a/tests/heartbeat_reconciler_test.cpp
+++ b/tests/heartbeat_reconciler_test.cpp
@@ -255,7 +255,7 @@
 TEST_F(HeartbeatReconcilerTest, AReclaimNoticeIsClearedByAHeartbeatWithoutIt) {
   auto& machine = add_machine("m1");
   auto heartbeat = next_heartbeat(machine);
-  heartbeat.notice_s = 30;
+  heartbeat.termination_notice_s = 30;
   reconcile(heartbeat, kNowSeconds + 1);
   EXPECT_EQ(machine.reclaim_at, at(kNowSeconds + 31));
   reconcile(next_heartbeat(machine), kNowSeconds + 2);
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -188,7 +188,7 @@
     Ranges granted_tasks;
     for (auto& chunk : job.grants.value.chunks) granted_tasks.add(chunk.tasks);
     job.progress[ShardId(0)].value.released = {{job.grants.value.last, granted_tasks}};
-    report(protocol::JobHealth::kFails, time);
+    report(protocol::JobHealth::kFailing, time);
     fixture.publish("run-1", time);
   }
   // The leader of shard 0 reports the health of the job.
@@ -240,7 +240,7 @@
     CrashLoopFixture crash_loop;
     ASSERT_EQ(crash_loop.run_round(10), 1u);
     if (by_message) {
-      crash_loop.report(protocol::JobHealth::kWorks, 20);
+      crash_loop.report(protocol::JobHealth::kHealthy, 20);
     } else {
       crash_loop.fixture.jobs["run-1"].progress[ShardId(0)].value.done = Ranges::span(0, 1);
     }
@@ -258,7 +258,7 @@
 // All shards may report the failure of the same grant, and copies of their reports may arrive late.
 TEST(CrashLoop, RepeatedReportsOnOneGrantCountAsOneFailure) {
   CrashLoopFixture crash_loop;
-  for (int i = 0; i < 10; ++i) crash_loop.report(protocol::JobHealth::kFails, 2.1);
+  for (int i = 0; i < 10; ++i) crash_loop.report(protocol::JobHealth::kFailing, 2.1);
   EXPECT_EQ(crash_loop.run_round(4.5), 1u);
 }
 
--- a/tests/shard_failover_test.cpp
+++ b/tests/shard_failover_test.cpp
@@ -62,7 +62,7 @@
   fixture.register_all(0);
   fixture.grant("run-1", 1, 4, 0);
   auto first = fixture.shard.take_machines_to_delete(at(60));
-  EXPECT_EQ(first.size(), protocol::kMaxDelete);
+  EXPECT_EQ(first.size(), protocol::kMaxDeletedPerRequest);
   // When the partition ends, the other machines get commands, including stops of jobs cancelled in the
   // meantime.
   const auto& last = names.back();
