--- a/src/controller/autoscaler_service.cpp
+++ b/src/controller/autoscaler_service.cpp
@@ -41,38 +41,39 @@
   if (autoscaler_) autoscaler_->set_catalogue(ctx_.catalogue);
 }
 
-// Requests to the cloud carry no condition on the leader's role.
-bool AutoscalerService::may_act() {
-  return leadership_.still_leader() && ctx_.roles_read_since_pause();
+// Unlike transactions on the state store, requests to the cloud can't be made conditional on the leader's
+// role, so the role has to have been read since the last pause of this process.
+bool AutoscalerService::may_scale() {
+  return leadership_.leader_role_condition() && ctx_.roles_read_since_pause();
 }
 
 void AutoscalerService::run() {
-  if (!may_act()) return;
+  if (!may_scale()) return;
   rent();
   delete_failed_instances();
   release_idle_instances();
 }
 
 void AutoscalerService::rent() {
-  if (!may_act()) return;
+  if (!may_scale()) return;
   auto now = ctx_.now();
   auto request = autoscaler_->rent(leadership_.scheduler().demand(now), now);
   if (!request) return;
   auto done = [this, request = *request,
-               term = leadership_.term()](const cloud::CloudClient::RentResult& names) {
-    if (leadership_.is_leader_under(term)) on_rent_result(request, names);
+               term = leadership_.term()](const cloud::CloudClient::RentResult& rented) {
+    if (leadership_.is_leader_under(term)) on_rent_result(request, rented);
   };
   ctx_.cloud->rent(*request, std::move(done));
 }
 
 void AutoscalerService::on_rent_result(const protocol::RentRequest& request,
-                                       const cloud::CloudClient::RentResult& names) {
-  if (names) {
-    autoscaler_->on_scale_out_result(request, *names, ctx_.now());
-    rent();  // the next at once: machines take long enough to come up
+                                       const cloud::CloudClient::RentResult& rented) {
+  if (rented) {
+    autoscaler_->on_scale_out_result(request, *rented, ctx_.now());
+    rent();  // without waiting for the next tick, since machines take long to start
     return;
   }
-  switch (names.error()) {
+  switch (rented.error()) {
     case cloud::CloudError::kNoCapacity:
     case cloud::CloudError::kRejected:
       autoscaler_->on_refused(request, ctx_.now());
@@ -100,19 +101,20 @@
                                           scheduler.busy());
   if (idle.empty()) return;
   messenger_.broadcast(protocol::ReleaseMachines{idle});
-  shards_.on_release(idle);
+  shards_.on_release_machines(idle);
 }
 
-// Thousands of machines are many pages, which take longer than a tick: lists that pile up would all wait in
-// vain for the cloud's rate limit. Half of the time is left to rentals and deletions.
+// A list of thousands of machines has many pages and takes longer than a tick. Concurrent lists would compete
+// for the cloud's rate limit and none would complete. After each list, as much time as it took is left for
+// rentals and deletions.
 void AutoscalerService::list_machines() {
-  const auto begun = ctx_.now();
-  if (!autoscaler_ || listing_ || (list_not_before_ && begun < *list_not_before_)) return;
-  listing_ = true;
-  ctx_.cloud->list([this, begun](cloud::CloudClient::ListResult machines) {
-    listing_ = false;
+  const auto started_at = ctx_.now();
+  if (!autoscaler_ || list_pending_ || (next_list_allowed_at_ && started_at < *next_list_allowed_at_)) return;
+  list_pending_ = true;
+  ctx_.cloud->list([this, started_at](cloud::CloudClient::ListResult machines) {
+    list_pending_ = false;
     auto now = ctx_.now();
-    list_not_before_ = now + (now - begun);
+    next_list_allowed_at_ = now + (now - started_at);
     if (autoscaler_ && machines) autoscaler_->on_list(std::move(*machines), now);
   });
 }
--- a/src/controller/autoscaler_service.h
+++ b/src/controller/autoscaler_service.h
@@ -1,4 +1,5 @@
-// Scales the fleet out and in: carries out at the cloud and the shards what the Autoscaler decides.
+// Scales the fleet out and in: performs the Autoscaler's decisions by requests to the cloud and the shard
+// leaders.
 #pragma once
 
 #include <memory>
@@ -13,9 +14,9 @@
 
 namespace beaconsill::controller {
 
-// Part of the SchedulerService. Rents machines for jobs that wait, deletes failed instances, has the shard
-// leaders release idle ones, and lists the machines. Requests to the cloud that fail are repeated at the next
-// tick. Throws nothing; one thread.
+// Part of the SchedulerService. Rents machines for queued jobs, deletes failed instances, requests the shard
+// leaders to release idle instances, and lists the cloud's machines. A request to the cloud that fails is
+// repeated at the next tick. Doesn't throw; runs on the event loop's single thread.
 class AutoscalerService {
  public:
   AutoscalerService(ControllerContext& ctx, PeerMessenger& messenger, ShardService& shards,
@@ -23,18 +24,19 @@
   void start();
   void stop();
 
-  // Before the jobs of the new term are known; list_machines() follows once they are.
+  // Called before the scheduler has been given the jobs of the new term. The caller calls list_machines()
+  // once it has.
   void begin_term(Term term);
   void end_term() { autoscaler_.reset(); }
   void on_catalogue();
-  // Lists the cloud's machines, unless the last list is under way or too recent.
+  // Requests the list of the cloud's machines, unless the previous request is in progress or too recent.
   void list_machines();
 
  private:
   void run();
-  bool may_act();
+  bool may_scale();
   void rent();
-  void on_rent_result(const protocol::RentRequest& request, const cloud::CloudClient::RentResult& names);
+  void on_rent_result(const protocol::RentRequest& request, const cloud::CloudClient::RentResult& rented);
   void delete_failed_instances();
   void release_idle_instances();
 
@@ -44,8 +46,8 @@
   Leadership& leadership_;
   PeriodicTimer run_timer_, list_timer_;
   std::unique_ptr<scheduler::Autoscaler> autoscaler_;  // only while this controller is the leader
-  std::optional<Instant> list_not_before_;
-  bool listing_ = false;
+  std::optional<Instant> next_list_allowed_at_;
+  bool list_pending_ = false;
   bool stopped_ = false;
 };
 
--- a/src/controller/catalogue_refresher.cpp
+++ b/src/controller/catalogue_refresher.cpp
@@ -21,14 +21,14 @@
 }
 
 void CatalogueRefresher::run() {
-  if (fetching_ || (ctx_.catalogue && ctx_.now() - fetched_at_ < kMaxAge)) return;
-  fetching_ = true;
+  if (fetch_pending_ || (ctx_.catalogue && ctx_.now() - fetched_at_ < kMaxAge)) return;
+  fetch_pending_ = true;
   ctx_.cloud->catalogue(
       [this](cloud::CloudClient::CatalogueResult catalogue) { on_fetched(std::move(catalogue)); });
 }
 
 void CatalogueRefresher::on_fetched(cloud::CloudClient::CatalogueResult catalogue) {
-  fetching_ = false;
+  fetch_pending_ = false;
   if (!catalogue || stopped_) return;
   fetched_at_ = ctx_.now();
   ctx_.catalogue = std::make_shared<const protocol::Catalogue>(std::move(*catalogue));
--- a/src/controller/catalogue_refresher.h
+++ b/src/controller/catalogue_refresher.h
@@ -1,4 +1,4 @@
-// Keeps the cloud's catalogue of machine types up to date.
+// Periodically fetches the cloud's catalogue of machine types.
 #pragma once
 
 #include <functional>
@@ -8,11 +8,11 @@
 
 namespace beaconsill::controller {
 
-// Writes ControllerContext::catalogue. A fetch that fails is repeated at the next tick. Throws nothing; one
-// thread.
+// Updates ControllerContext::catalogue. A fetch that fails is repeated at the next tick. Doesn't throw; runs
+// on the event loop's single thread.
 class CatalogueRefresher {
  public:
-  // `on_catalogue` is called after each new catalogue.
+  // `on_catalogue` is called each time a catalogue has been fetched.
   CatalogueRefresher(ControllerContext& ctx, std::function<void()> on_catalogue);
   void start();
   void stop();
@@ -24,8 +24,8 @@
   ControllerContext& ctx_;
   std::function<void()> on_catalogue_;
   PeriodicTimer timer_;
-  Instant fetched_at_{};  // of the present catalogue
-  bool fetching_ = false;
+  Instant fetched_at_{};  // when the current catalogue was received
+  bool fetch_pending_ = false;
   bool stopped_ = false;
 };
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -11,10 +11,12 @@
 constexpr Duration kSyncPeriod = std::chrono::milliseconds(400);
 constexpr Duration kUnhealthyAfter = std::chrono::milliseconds(1500);
 
-// `field`: the settings' name for it. Throws config::ConfigError.
+// Parses the setting `field`. Throws config::ConfigError if it isn't an address.
 net::Tcp::endpoint parse_address(const std::string& address, const char* field) {
   auto endpoint = net::parse_endpoint(address);
-  if (!endpoint) throw config::ConfigError(std::string(field) + ": " + address + " is not an address");
+  if (!endpoint)
+    throw config::ConfigError(std::string(field) + ": \"" + address +
+                              "\" is not a valid address (expected IP:PORT)");
   return *endpoint;
 }
 
@@ -46,7 +48,7 @@
   auto cloud = parse_address(settings.cloud, "external.cloud");
   parse_address(settings.peer_listen, "internal_addr");
   for (const auto& peer : settings.peers) parse_address(peer.address, "known.peer_addr");
-  // Until the view shows which controllers are alive, each takes an equal share.
+  // Until the view shows which controllers are alive, each controller uses an equal share of the rate limits.
   const auto controllers = static_cast<double>(settings.controllers());
   ctx_.store = std::make_shared<state_store::StoreClient>(
       ctx_.io_context, ctx_.clock, state,
@@ -55,7 +57,7 @@
       state_store::StoreLimits{settings.next_state_rps, settings.next_state_write_rps}, 1.0 / controllers);
   ctx_.watch_cache = std::make_shared<state_store::WatchCache>(
       ctx_.io_context, ctx_.clock, ctx_.store, kSyncPeriod,
-      [this](const state_store::StateView::ChangeSet& changes) { on_view(changes); });
+      [this](const state_store::StateView::ChangeSet& changes) { on_view_changed(changes); });
   ctx_.cloud = std::make_shared<cloud::CloudClient>(ctx_.io_context, ctx_.clock, cloud,
                                                     settings.cloud_rps / controllers);
 }
@@ -65,7 +67,7 @@
       ctx_, [this](const protocol::PeerMessage& message) { dispatcher_->dispatch(message); },
       [this] { return shards_->led_terms(); });
   shards_ = std::make_unique<ShardService>(
-      ctx_, *peers_, [this](protocol::ProgressReport report) { send_to_leader(std::move(report)); });
+      ctx_, *peers_, [this](protocol::ProgressReport report) { send_progress_to_leader(std::move(report)); });
   scheduler_ = std::make_unique<SchedulerService>(ctx_, *peers_, *shards_);
   catalogue_refresher_ = std::make_unique<CatalogueRefresher>(ctx_, [this] { on_catalogue(); });
   summaries_ = std::make_unique<SummaryExchange>(ctx_, peers_->messenger(), *shards_, *scheduler_);
@@ -139,13 +141,13 @@
   shards_->stop();
   election_->stop();
   peers_->stop();
-  // Last, since their pending requests end with callbacks to the components above.
+  // The clients are stopped last, since their pending requests end with callbacks to the components above.
   ctx_.watch_cache->stop();
   ctx_.store->stop();
   ctx_.cloud->stop();
 }
 
-void Controller::send_to_leader(protocol::ProgressReport report) {
+void Controller::send_progress_to_leader(protocol::ProgressReport report) {
   const auto& leader = ctx_.view().leader().value.controller;
   if (leader == ctx_.settings.controller) {
     scheduler_->on_progress_report(report);
@@ -162,9 +164,9 @@
   api_->handle(request, std::move(reply));
 }
 
-void Controller::on_view(const state_store::StateView::ChangeSet& changes) {
+void Controller::on_view_changed(const state_store::StateView::ChangeSet& changes) {
   if (stopped_) return;
-  if (changes.roles) election_->on_view();
+  if (changes.roles) election_->on_roles_changed();
   shards_->on_view(changes);
   peers_->on_view(changes);
   scheduler_->on_view(changes);
@@ -175,8 +177,9 @@
   scheduler_->on_catalogue();
 }
 
-// Without its state store this controller can only refuse users' requests: better that they go to one that
-// can read it. If none can, going elsewhere doesn't help them.
+// A controller that can't read the state store has to refuse users' requests, so it reports itself unhealthy
+// and users can turn to a controller that can read it. If no other controller can read it either, turning to
+// another one doesn't help, and this controller keeps reporting itself healthy.
 bool Controller::healthy() const {
   if (!ctx_.watch_cache->ready() || !ctx_.catalogue) return false;
   return ctx_.view_is_newer_than(kUnhealthyAfter) || !peers_->status().others_reach_state_store();
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,4 +1,4 @@
-// One controller: connects the packages with each other and runs until it's stopped.
+// Creates the components of one controller, connects them with each other, and starts and stops them.
 #pragma once
 
 #include <memory>
@@ -17,9 +17,9 @@
 
 namespace beaconsill::controller {
 
-// Owns all components of one controller, its clients and its server; the event loop and the clock have to
-// outlive it. Everything runs on the event loop's one thread. Constructor: config::ConfigError if an address
-// of the settings can't be parsed.
+// Owns all components of one controller, its clients and its server. The event loop and the clock must
+// outlive it. Everything runs on the event loop's single thread. The constructor throws config::ConfigError
+// if an address in the settings can't be parsed.
 class Controller {
  public:
   Controller(asio::io_context& io_context, const Clock& clock, config::Settings settings,
@@ -29,9 +29,9 @@
   ~Controller();
   // Throws std::system_error if an address can't be bound.
   void start();
-  // Ends all requests under way. The event loop runs out of work afterwards; a second call does nothing.
+  // Ends all pending requests, after which the event loop runs out of work. A second call does nothing.
   void stop();
-  net::Tcp::endpoint listening() const { return server_->local(); }
+  net::Tcp::endpoint listen_endpoint() const { return server_->local(); }
 
  private:
   void make_clients();
@@ -39,9 +39,9 @@
   void make_election();
   void make_api();
   void make_server();
-  void send_to_leader(protocol::ProgressReport report);
+  void send_progress_to_leader(protocol::ProgressReport report);
   void on_request(const net::Request& request, net::HttpServer::Reply reply);
-  void on_view(const state_store::StateView::ChangeSet& changes);
+  void on_view_changed(const state_store::StateView::ChangeSet& changes);
   void on_catalogue();
   bool healthy() const;
 
--- a/src/controller/controller_context.h
+++ b/src/controller/controller_context.h
@@ -1,4 +1,4 @@
-// What the components of a controller share.
+// The event loop, settings and clients that all components of a controller share.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -15,8 +15,8 @@
 
 namespace beaconsill::controller {
 
-// Owned by the Controller, which fills in the clients before it makes the components. Event loop and clock
-// have to outlive it. One thread.
+// Owned by the Controller, which sets the clients before it creates the components. The event loop and the
+// clock must outlive it. Used on the event loop's single thread.
 struct ControllerContext {
   ControllerContext(asio::io_context& event_loop, const Clock& controller_clock,
                     config::Settings controller_settings, const config::Policy& controller_policy)
@@ -34,19 +34,20 @@
   std::shared_ptr<state_store::StoreClient> store;
   std::shared_ptr<state_store::WatchCache> watch_cache;
   std::shared_ptr<cloud::CloudClient> cloud;
-  std::shared_ptr<const protocol::Catalogue> catalogue;  // none until the cloud has answered
+  std::shared_ptr<const protocol::Catalogue> catalogue;  // null until the first fetch has succeeded
 
   PauseDetector pause_detector;
 
-  // Whether the view shows the roles as they were after the last pause of this process. Whatever isn't
-  // conditional on a role's version, as transactions are, needs that: renting and deleting machines.
+  // Whether the view's roles were read after the last pause of this process. Transactions don't need this,
+  // since they are conditional on the revision of a role. Renting and deleting machines are not conditional,
+  // and may be done only if this is true.
   bool roles_read_since_pause() {
     pause_detector.observe(now());
     auto read_at = watch_cache->up_to_date_at();
     auto pause_end = pause_detector.last_pause_end();
     return read_at && (!pause_end || *read_at > *pause_end);
   }
-  // Whether the view holds all changes but those made within the last `age`.
+  // Whether the view includes all changes that were made more than `age` ago.
   bool view_is_newer_than(Duration age) const {
     auto read_at = watch_cache->up_to_date_at();
     return read_at && now() - *read_at < age;
--- a/src/controller/garbage_collector.cpp
+++ b/src/controller/garbage_collector.cpp
@@ -25,7 +25,7 @@
 }
 
 void GarbageCollector::run() {
-  auto leader = leadership_.still_leader();
+  auto leader = leadership_.leader_role_condition();
   auto spare_writes = ctx_.store->spare_writes();
   if (!leader || !collecting_.empty() || spare_writes == 0) return;
   state_store::TxnDraft draft(std::min({ctx_.store->sizes().txn_ops(), kMaxDeletedKeys, spare_writes}));
--- a/src/controller/grant_writer.cpp
+++ b/src/controller/grant_writer.cpp
@@ -10,11 +10,11 @@
 
 namespace beaconsill::controller {
 namespace {
-// Bytes of a transaction that a grant takes beside its value, at most: its key, its conditions and its share
-// of the other conditions.
-constexpr std::size_t kKeysOfGrantBytes = 400;
-// Of the limit for a value, what grants are cut to.
-constexpr double kValueShare = 0.9;
+// Upper bound, in bytes, for what one job's grants add to a transaction besides the value: the key, the
+// conditions on the job's keys and the job's share of the other conditions.
+constexpr std::size_t kMaxGrantOverheadBytes = 400;
+// Grants are trimmed to this fraction of the state store's limit for a value.
+constexpr double kMaxFractionOfValueLimit = 0.9;
 }  // namespace
 
 GrantWriter::GrantWriter(ControllerContext& ctx, PeerMessenger& messenger, Leadership& leadership,
@@ -22,7 +22,7 @@
     : ctx_(ctx), messenger_(messenger), leadership_(leadership), on_written_(std::move(on_written)) {}
 
 void GrantWriter::write(Grants grants, const protocol::Condition& leader, state_store::Urgency urgency) {
-  drop_oversized(grants);
+  drop_grants_over_limits(grants);
   if (grants.empty()) {
     leadership_.scheduler().on_granted({}, std::nullopt, ctx_.now());
     return;
@@ -34,7 +34,7 @@
       on_written(grants, txn, *result);
       return;
     }
-    // It may have been applied, or something else was: read before the next round.
+    // The transaction may have been applied, or a conflicting one was: read the state before the next round.
     ctx_.watch_cache->sync([this, term, grants](bool) {
       if (!leadership_.is_leader_under(term)) return;
       leadership_.scheduler().on_granted(grants, std::nullopt, ctx_.now());
@@ -54,51 +54,52 @@
   on_written_();
 }
 
-// The state store refuses values beyond its limit, and with them the whole transaction.
-void GrantWriter::drop_oversized(Grants& grants) const {
-  auto max_bytes =
-      static_cast<std::size_t>(static_cast<double>(ctx_.store->sizes().value_bytes()) * kValueShare);
+// The state store rejects the whole transaction if one of its values exceeds the limit for values.
+void GrantWriter::drop_grants_over_limits(Grants& grants) const {
+  auto max_bytes = static_cast<std::size_t>(static_cast<double>(ctx_.store->sizes().value_bytes()) *
+                                            kMaxFractionOfValueLimit);
   bool superseding_dropped = false;
   std::erase_if(grants, [&](auto& grant) {
     const auto* job = ctx_.view().job(grant.job);
     auto recorded = job ? job->grants.value.last : Generation();
-    if (fits_value(grant, recorded, max_bytes)) return false;
+    if (trim_to_value_limit(grant, recorded, max_bytes)) return false;
     superseding_dropped |= grant.grants.last <= recorded;
-    spdlog::info("grants_oversized job={} reason=too_many_pieces_for_one_value", grant.job.value());
+    spdlog::info("grants_oversized job={} reason=encoded_grants_exceed_value_size_limit", grant.job.value());
     leadership_.scheduler().on_oversized(grant.job);
     return true;
   });
-  // A superseding write has to be in the same transaction as the new grants: otherwise an in-flight
-  // transaction could be carried out beside them.
+  // A superseding write has to be in the same transaction as the new grants. Otherwise the in-flight
+  // transaction that it supersedes could still be applied in addition to the new grants.
   if (superseding_dropped) {
     grants.clear();
     return;
   }
-  fit_transaction(grants);
+  trim_to_txn_limit(grants);
 }
 
-// Cuts new grants to the limit of a value; what is revoked or only written again can't be cut.
-bool GrantWriter::fits_value(scheduler::Scheduler::Grant& grant, Generation recorded,
-                             std::size_t max_bytes) const {
+// Trims new grants to `max_bytes` and returns whether the value is within that limit. Grants that are revoked
+// or only written again can't be trimmed.
+bool GrantWriter::trim_to_value_limit(scheduler::Scheduler::Grant& grant, Generation recorded,
+                                      std::size_t max_bytes) const {
   if (grant.grants.revoke || grant.grants.last <= recorded)
     return state_store::value_bytes(state_store::to_json(grant.grants)) <= max_bytes;
   return state_store::fit_grants(grant.grants, recorded, max_bytes);
 }
 
-// Leaves out grants beyond what a transaction holds: they come with the next round. Superseding writes come
-// first, and alone if not all of them fit.
-void GrantWriter::fit_transaction(Grants& grants) const {
+// Drops grants beyond the size limit of a transaction; the next round decides on them again. Superseding
+// writes are placed first, and the transaction contains only superseding writes if not all of them fit.
+void GrantWriter::trim_to_txn_limit(Grants& grants) const {
   auto supersedes = [&](const auto& grant) {
     const auto* job = ctx_.view().job(grant.job);
     return job && grant.grants.last <= job->grants.value.last;
   };
   std::stable_partition(grants.begin(), grants.end(), supersedes);
   std::size_t bytes = 0;
-  auto full = std::find_if(grants.begin(), grants.end(), [&](const auto& grant) {
-    bytes += state_store::value_bytes(state_store::to_json(grant.grants)) + kKeysOfGrantBytes;
+  auto first_excess = std::find_if(grants.begin(), grants.end(), [&](const auto& grant) {
+    bytes += state_store::value_bytes(state_store::to_json(grant.grants)) + kMaxGrantOverheadBytes;
     return bytes > state_store::kMaxTxnBytes;
   });
-  grants.erase(full, grants.end());
+  grants.erase(first_excess, grants.end());
 }
 
 protocol::Txn GrantWriter::build_txn(const Grants& grants, const protocol::Condition& leader) const {
--- a/src/controller/grant_writer.h
+++ b/src/controller/grant_writer.h
@@ -1,4 +1,4 @@
-// Writes the grants of a round to the state store, in one transaction.
+// Writes the grants of a scheduling round to the state store in one transaction.
 #pragma once
 
 #include <functional>
@@ -9,23 +9,26 @@
 
 namespace beaconsill::controller {
 
-// Part of the SchedulerService. Reports the outcome to the scheduler's state machine (on_granted); a
-// transaction without a good answer is not repeated: the next round decides anew. Throws nothing; one thread.
+// Part of the SchedulerService. Reports the outcome to the scheduler's state machine (on_granted). A
+// transaction that isn't confirmed is not repeated, since the next round decides again. Doesn't throw; runs
+// on the event loop's single thread.
 class GrantWriter {
  public:
   using Grants = std::vector<scheduler::Scheduler::Grant>;
 
-  // `on_written` is called after grants were written: the next round may begin.
+  // `on_written` is called after grants were written, when the next round may begin.
   GrantWriter(ControllerContext& ctx, PeerMessenger& messenger, Leadership& leadership,
               std::function<void()> on_written);
 
-  // Writes those of `grants` that fit into one transaction. `leader`: see Leadership::still_leader.
+  // Writes as many of `grants` as one transaction can contain. `leader` is the condition on the leader's
+  // role, see Leadership::leader_role_condition.
   void write(Grants grants, const protocol::Condition& leader, state_store::Urgency urgency);
 
  private:
-  void drop_oversized(Grants& grants) const;
-  bool fits_value(scheduler::Scheduler::Grant& grant, Generation recorded, std::size_t max_bytes) const;
-  void fit_transaction(Grants& grants) const;
+  void drop_grants_over_limits(Grants& grants) const;
+  bool trim_to_value_limit(scheduler::Scheduler::Grant& grant, Generation recorded,
+                           std::size_t max_bytes) const;
+  void trim_to_txn_limit(Grants& grants) const;
   protocol::Txn build_txn(const Grants& grants, const protocol::Condition& leader) const;
   void on_written(const Grants& grants, const protocol::Txn& txn, Revision revision);
 
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -7,11 +7,11 @@
 namespace beaconsill::controller {
 namespace {
 constexpr Duration kCheckPeriod = std::chrono::milliseconds(200);
-// Each candidate waits this much longer than the one before it, so that one acquires the role and the others
-// see it.
+// Each candidate waits this much longer than the candidate of the next lower rank, so that one acquires the
+// role and the others see that in time.
 constexpr Duration kCandidateDelay = std::chrono::milliseconds(1200);
-// While a machine is silent, its shard stays where it is: the new shard leader would have to wait for it. But
-// not for longer than so many times the usual delay.
+// A shard with an unreachable machine doesn't fail back, since the new shard leader would have to wait for
+// that machine. The delay is extended in this way to at most this multiple of the usual delay.
 constexpr int kMaxFailBackDelayFactor = 4;
 }  // namespace
 
@@ -19,13 +19,13 @@
     : ctx_(ctx),
       hooks_(std::move(hooks)),
       liveness_(ctx),
-      check_timer_(ctx.io_context, [this] { on_view(); }) {
+      check_timer_(ctx.io_context, [this] { on_roles_changed(); }) {
   for (std::uint32_t number = 0; number < ctx.partitioning.shard_count(); ++number) {
     ShardId shard(number);
-    shards_[shard].key = state_store::shard_role_key(shard);
-    shards_[shard].shard = shard;
+    shard_roles_[shard].key = state_store::shard_role_key(shard);
+    shard_roles_[shard].shard = shard;
   }
-  leader_.key = state_store::leader_role_key();
+  leader_role_.key = state_store::leader_role_key();
 }
 
 void LeaderElection::start() {
@@ -38,32 +38,33 @@
   check_timer_.stop();
 }
 
-void LeaderElection::on_view() {
+void LeaderElection::on_roles_changed() {
   if (!ctx_.watch_cache->ready()) return;
-  // What was seen before a pause of the process, a vacant role or a preferred controller alive, may be over.
+  // Observations from before a pause of the process may be outdated: a role may no longer be vacant, and a
+  // preferred controller no longer alive.
   if (!ctx_.roles_read_since_pause()) {
     reset_observations();
     return;
   }
-  for (auto& [shard, state] : shards_) check(state, ctx_.view().shard_role(shard));
-  check(leader_, ctx_.view().leader());
+  for (auto& [shard, state] : shard_roles_) check_role(state, ctx_.view().shard_role(shard));
+  check_role(leader_role_, ctx_.view().leader());
 }
 
 void LeaderElection::reset_observations() {
-  for (auto& [shard, state] : shards_) {
+  for (auto& [shard, state] : shard_roles_) {
     state.vacant_since.reset();
     state.preferred_alive_since.reset();
   }
-  leader_.vacant_since.reset();
+  leader_role_.vacant_since.reset();
 }
 
 bool LeaderElection::is_own(const RoleRecord& role) const {
   return role.exists() && role.value.controller == ctx_.settings.controller;
 }
 
-void LeaderElection::check(RoleState& state, const RoleRecord& role) {
+void LeaderElection::check_role(RoleState& state, const RoleRecord& role) {
   check_superseded(state, role);
-  if (state.writing) return;
+  if (state.write_pending) return;
   if (!state.acquired_term) {
     check_vacancy(state, role);
   } else if (state.shard) {
@@ -76,10 +77,10 @@
   if (is_own(role) && role.value.term <= *state.acquired_term) return;
   spdlog::info("role_lost role={} controller={} term={}", state.key, role.value.controller.value(),
                role.value.term.value());
-  lose_role(state);
+  on_role_lost(state);
 }
 
-void LeaderElection::lose_role(RoleState& state) {
+void LeaderElection::on_role_lost(RoleState& state) {
   state.acquired_term.reset();
   if (state.shard) {
     hooks_.release_shard(*state.shard);
@@ -88,8 +89,8 @@
   }
 }
 
-// A shard that another controller is preferred for fails back once that controller has been alive for a
-// while.
+// A shard for which another controller is preferred fails back once that controller has been alive for the
+// policy's delay.
 void LeaderElection::check_fail_back(RoleState& state, const RoleRecord& role, ShardId shard) {
   const auto& preferred = ctx_.partitioning.preferred_controller(shard);
   if (preferred == ctx_.settings.controller || !ctx_.view().alive(preferred)) {
@@ -110,7 +111,7 @@
 
 void LeaderElection::check_vacancy(RoleState& state, const RoleRecord& role) {
   if (!liveness_.liveness_written() || !ctx_.view().alive(ctx_.settings.controller)) return;
-  // Acquired by an earlier process of this controller, or failed back to it.
+  // The role was acquired by an earlier process of this controller, or the shard was failed back to it.
   if (is_own(role)) {
     acquire(state, role);
     return;
@@ -125,8 +126,8 @@
     acquire(state, role);
 }
 
-// This controller's place among those that may acquire a vacant role: a shard's preferred controller first,
-// then in a fixed order. Those that aren't alive don't count.
+// This controller's rank, from 0, among the candidates for a vacant role. A shard's preferred controller is
+// the first, and the others follow in a fixed order. Controllers that aren't alive are not counted.
 std::size_t LeaderElection::candidate_rank(std::optional<ShardId> shard) const {
   const auto& controllers = ctx_.partitioning.controllers();
   std::size_t count = controllers.size();
@@ -141,11 +142,11 @@
 }
 
 void LeaderElection::acquire(RoleState& state, const RoleRecord& role) {
-  state.writing = true;
+  state.write_pending = true;
   Term term(role.value.term.value() + 1);
   protocol::Txn txn;
   txn.conditions = {{state.key, role.revision}};
-  // Only a holder that isn't alive, or is this very controller, may be replaced.
+  // A controller that has the role may be replaced only if it isn't alive or is this controller itself.
   if (role.exists() && role.value.controller != ctx_.settings.controller)
     txn.conditions.push_back({state_store::alive_key(role.value.controller), Revision()});
   state_store::Role acquired{ctx_.settings.controller, term, role.value.min_reader_version};
@@ -155,19 +156,20 @@
       on_acquired(state, term, txn, *result);
       return;
     }
-    // Another controller won, or this one's transaction had no answer: read before trying again.
-    ctx_.watch_cache->sync([&state](bool) { state.writing = false; });
+    // Another controller acquired the role, or the transaction's outcome is unknown: read the state before
+    // trying again.
+    ctx_.watch_cache->sync([&state](bool) { state.write_pending = false; });
   };
   ctx_.watch_cache->commit(txn, state_store::Urgency::kElection, std::move(done));
 }
 
 void LeaderElection::on_acquired(RoleState& state, Term term, const protocol::Txn& txn, Revision revision) {
-  state.writing = false;
+  state.write_pending = false;
   state.vacant_since.reset();
   state.acquired_term = term;
   spdlog::info("role_acquired role={} term={}", state.key, term.value());
   ctx_.watch_cache->apply_own(txn, revision);
-  if (!state.acquired_term) return;  // lost again within the call above
+  if (!state.acquired_term) return;  // the role was lost again within the call above
   if (state.shard) {
     hooks_.acquire_shard(*state.shard, term);
   } else {
@@ -177,20 +179,21 @@
 
 void LeaderElection::fail_back(RoleState& state, const RoleRecord& role, ShardId shard) {
   const auto& preferred = ctx_.partitioning.preferred_controller(shard);
-  // A process of an earlier version there couldn't read the role, and the shard would have no leader.
+  // If the preferred controller runs an earlier version, it can't read the role's record, and the shard would
+  // have no leader.
   if (ctx_.view().advertised_version(preferred).value_or(0) < role.value.min_reader_version) return;
   spdlog::info("shard_fail_back shard={} controller={}", shard.value(), preferred.value());
-  // This controller goes on as the shard leader until it sees that the change was applied, as any that is
-  // replaced does. If it stopped here and the state store did not answer, the leases of all the shard's
-  // workers would expire. (Found when the state store failed at that moment.)
+  // Like every controller that is replaced, this one remains the shard leader until it sees that the change
+  // was applied. If it stepped down here and the state store failed at this moment, the leases of all the
+  // shard's workers would expire.
   protocol::Txn txn;
   txn.conditions = {{state.key, role.revision}};
   state_store::Role transferred{preferred, Term(state.acquired_term->value() + 1),
                                 role.value.min_reader_version};
   txn.writes = {{state.key, state_store::to_json(transferred), std::nullopt}};
-  state.writing = true;
+  state.write_pending = true;
   auto done = [this, &state, txn](state_store::TxnResult result) {
-    state.writing = false;
+    state.write_pending = false;
     if (result) ctx_.watch_cache->apply_own(txn, *result);
   };
   ctx_.store->txn(txn, state_store::Urgency::kElection, std::move(done));
--- a/src/controller/leader_notifier.cpp
+++ b/src/controller/leader_notifier.cpp
@@ -16,10 +16,10 @@
   if (!leader.exists()) return;
   auto now = ctx_.now();
   bool full = !shard.next_full_notification || now >= *shard.next_full_notification ||
-              shard.fully_notified != leader.value.term;
+              shard.fully_notified_leader_term != leader.value.term;
   if (full) {
     shard.next_full_notification = now + kFullNotificationPeriod;
-    shard.fully_notified = leader.value.term;
+    shard.fully_notified_leader_term = leader.value.term;
   }
   auto jobs = shard.manager->progress_report(full);
   if (!jobs.empty()) send_({id, shard.manager->term(), std::move(jobs)});
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -6,16 +6,18 @@
 
 namespace beaconsill::controller {
 namespace {
-// A transaction may take up so many seconds' worth of the leader's changes, or urgent ones would wait behind
-// it; but a minimum of changes always, or each would wait for the one before.
+// A transaction may use at most this many seconds' worth of the leader's write rate, because urgent
+// transactions would otherwise wait behind it.
 constexpr double kMaxTxnSeconds = 0.25;
+// This many jobs are allowed in each transaction also at a low write rate. With fewer, each change would wait
+// for the transaction before it.
 constexpr std::size_t kMinChangesPerTxn = 8;
 }  // namespace
 
 void Leadership::begin_term(Term term) {
   term_ = term;
   ledger_read_ = false;
-  reading_ledger_ = false;
+  ledger_read_pending_ = false;
   scheduler::SchedulerParams params;
   params.reply_wait = ctx_.policy.reply_wait;
   params.heartbeat_period = from_seconds(ctx_.settings.report_s);
@@ -26,17 +28,17 @@
 }
 
 void Leadership::read_ledger(std::function<void()> on_read) {
-  if (ledger_read_ || reading_ledger_) return;
-  reading_ledger_ = true;
+  if (ledger_read_ || ledger_read_pending_) return;
+  ledger_read_pending_ = true;
   ctx_.watch_cache->sync([this, term = term_, on_read = std::move(on_read)](bool read) {
     if (stopped_ || !is_leader_under(term)) return;
-    reading_ledger_ = false;
+    ledger_read_pending_ = false;
     ledger_read_ = read;
     if (read) on_read();
   });
 }
 
-std::optional<protocol::Condition> Leadership::still_leader() const {
+std::optional<protocol::Condition> Leadership::leader_role_condition() const {
   const auto& role = ctx_.view().leader();
   if (!is_leader() || !ledger_read_ || !role.exists() || role.value.term != term_) return std::nullopt;
   return protocol::Condition{state_store::leader_role_key(), role.revision};
@@ -53,7 +55,7 @@
 
 std::size_t Leadership::max_changes_per_txn() const {
   const auto rate = std::min(ctx_.settings.state_write_rps, ctx_.settings.next_state_write_rps);
-  const auto changes = static_cast<std::size_t>(rate * kLeaderShareOfChanges * kMaxTxnSeconds);
+  const auto changes = static_cast<std::size_t>(rate * kLeaderShareOfWrites * kMaxTxnSeconds);
   return std::min(ctx_.store->sizes().txn_ops(), std::max(kMinChangesPerTxn, changes));
 }
 
--- a/src/controller/leadership.h
+++ b/src/controller/leadership.h
@@ -1,4 +1,4 @@
-// Whether this controller is the leader, and the scheduler's state machine while it is.
+// Tracks whether this controller is the leader, and owns the scheduler's state machine while it is.
 #pragma once
 
 #include <functional>
@@ -10,33 +10,36 @@
 
 namespace beaconsill::controller {
 
-// Shared by the components of the SchedulerService, which owns it. Before the leader may write anything it
-// has to read everything that earlier leaders wrote: the grants that were written last may not be in the view
-// yet, and without them the ledger would allow more than a team's quota. Throws nothing; one thread.
+// Owned by the SchedulerService and shared by its components. Before the leader may write anything, it has to
+// read everything that earlier leaders wrote. The grants that were written last may not be in the view yet,
+// and without them the ledger would allow a team more than its quota. Doesn't throw; runs on the event loop's
+// single thread.
 class Leadership {
  public:
   explicit Leadership(ControllerContext& ctx) : ctx_(ctx) {}
 
   void begin_term(Term term);
   void end_term() { scheduler_.reset(); }
-  // No callback of a read under way takes effect any more.
+  // After this, callbacks of pending reads have no effect.
   void stop() { stopped_ = true; }
 
   bool is_leader() const { return scheduler_ != nullptr; }
-  // This controller is the leader, and still under `term`: callbacks compare with the term of their request.
+  // Whether this controller is the leader under `term`. A callback passes the term of its request to find out
+  // whether its result is still wanted.
   bool is_leader_under(Term term) const { return is_leader() && term == term_; }
   Term term() const { return term_; }
-  // Only while is_leader().
+  // Must be called only while is_leader() is true.
   scheduler::Scheduler& scheduler() const { return *scheduler_; }
 
-  // Reads the ledger unless that was done or is under way; `on_read` is called once it was read.
+  // Reads the ledger unless it has been read or a read is pending. Calls `on_read` after a successful read.
   void read_ledger(std::function<void()> on_read);
-  // The condition that each transaction of the leader carries, so that it is applied only while this
-  // controller is the leader. None: it isn't the leader, as far as the view shows, or hasn't read the ledger.
-  std::optional<protocol::Condition> still_leader() const;
-  // The terms of all shards that have a leader, as the view shows them.
+  // Returns the condition that each transaction of the leader must contain, so that it is applied only while
+  // this controller is the leader. Returns std::nullopt if this controller isn't the leader according to the
+  // view, or hasn't read the ledger.
+  std::optional<protocol::Condition> leader_role_condition() const;
+  // The terms of all shards that have a leader according to the view.
   scheduler::ShardTerms shard_terms() const;
-  // The number of jobs that one transaction may change.
+  // The maximum number of jobs that one transaction may change.
   std::size_t max_changes_per_txn() const;
 
  private:
@@ -44,7 +47,7 @@
   Term term_;
   std::unique_ptr<scheduler::Scheduler> scheduler_;
   bool ledger_read_ = false;
-  bool reading_ledger_ = false;
+  bool ledger_read_pending_ = false;
   bool stopped_ = false;
 };
 
--- a/src/controller/led_shards.h
+++ b/src/controller/led_shards.h
@@ -1,4 +1,4 @@
-// The shards that this controller leads.
+// Stores the state of the shards that this controller leads.
 #pragma once
 
 #include <map>
@@ -9,27 +9,29 @@
 
 namespace beaconsill::controller {
 
-// A shard's state machine, and what the components of the ShardService have under way for it. All of that
-// ends with the term: a callback looks the shard up by its term and finds nothing once that is over.
+// A shard's state machine, and the state that the components of the ShardService have for the shard. All of
+// it is discarded when the term ends. A callback looks the shard up by its term, and finds none after the
+// term has ended.
 struct LedShard {
   std::unique_ptr<shard::ShardManager> manager;
 
-  // RegistrySync
-  bool registry_read = false;  // the state store was read after the term was written
-  bool reading_registry = false;
-  bool writing_registry = false;
+  // State of the RegistrySync
+  bool registry_read = false;  // the registry was read after this term had been written to the state store
+  bool registry_read_pending = false;
+  bool registry_write_pending = false;
 
-  // ProgressWriter
-  bool writing_progress = false;
+  // State of the ProgressWriter
+  bool progress_write_pending = false;
   std::optional<Instant> next_progress_check;
-  std::map<JobId, Instant> unwritten_since;  // jobs with progress that isn't written yet
+  std::map<JobId, Instant> unwritten_since;  // by job: since when it has had unwritten progress
 
-  // LeaderNotifier
+  // State of the LeaderNotifier
   std::optional<Instant> next_full_notification;
-  std::optional<Term> fully_notified;  // the term of the leader that was notified of everything
+  std::optional<Term>
+      fully_notified_leader_term;  // term of the last leader that was sent all unwritten progress
 };
 
-// Owned by the ShardService, which alone adds and removes shards.
+// Owned by the ShardService, which is the only component that adds and removes shards.
 class LedShards {
  public:
   auto begin() { return shards_.begin(); }
@@ -37,7 +39,7 @@
   auto begin() const { return shards_.begin(); }
   auto end() const { return shards_.end(); }
 
-  // Begins a new term of the shard; the state of an earlier one is discarded.
+  // Begins a new term of the shard and discards the state of an earlier term.
   LedShard& add(ShardId id) {
     auto& shard = shards_[id];
     shard = {};
@@ -45,7 +47,7 @@
   }
   void remove(ShardId id) { shards_.erase(id); }
   bool contains(ShardId id) const { return shards_.contains(id); }
-  // Null if this controller doesn't lead the shard.
+  // Returns null if this controller doesn't lead the shard.
   LedShard* find(ShardId id) {
     auto it = shards_.find(id);
     return it == shards_.end() ? nullptr : &it->second;
@@ -54,7 +56,7 @@
     auto it = shards_.find(id);
     return it == shards_.end() ? nullptr : &it->second;
   }
-  // The same if the shard is still led under this term.
+  // Returns null if this controller doesn't lead the shard under this term.
   LedShard* find(ShardId id, Term term) {
     auto* shard = find(id);
     return shard && shard->manager->term() == term ? shard : nullptr;
--- a/src/controller/liveness_lease.cpp
+++ b/src/controller/liveness_lease.cpp
@@ -61,10 +61,11 @@
     return;
   }
   if (!result) return;
-  // The key may have gone although the lease stands: an earlier process of this controller wrote it, its
-  // transaction was carried out late and attached the key to that process's lease, which has expired since.
-  bool key_gone = ctx_.watch_cache->ready() && !ctx_.view().alive(ctx_.settings.controller);
-  if (!liveness_written_ || key_gone) write_liveness();
+  // The key may have been deleted although the lease is valid. This happens if a transaction by which an
+  // earlier process of this controller wrote the key was applied late: it attached the key to the lease of
+  // that process, and the key was deleted when that lease expired.
+  bool key_missing = ctx_.watch_cache->ready() && !ctx_.view().alive(ctx_.settings.controller);
+  if (!liveness_written_ || key_missing) write_liveness();
 }
 
 void LivenessLease::write_liveness() {
@@ -74,7 +75,7 @@
   txn.writes = {{state_store::alive_key(ctx_.settings.controller), state_store::alive_value(), lease_}};
   auto done = [this, txn](state_store::TxnResult result) {
     request_pending_ = false;
-    if (result == tl::unexpected(state_store::TxnError::kRejected)) lease_.reset();  // expired meanwhile
+    if (result == tl::unexpected(state_store::TxnError::kRejected)) lease_.reset();  // it has expired
     if (!result) return;
     liveness_written_ = true;
     ctx_.watch_cache->apply_own(txn, *result);
--- a/src/controller/liveness_lease.h
+++ b/src/controller/liveness_lease.h
@@ -1,4 +1,4 @@
-// This controller's lease in the state store, and the key that shows with it that the controller is alive.
+// Maintains this controller's lease in the state store and the liveness key that is attached to the lease.
 #pragma once
 
 #include <optional>
@@ -8,14 +8,15 @@
 
 namespace beaconsill::controller {
 
-// Grants, renews and, after an expiry, replaces the lease; writes the liveness key attached to it, and writes
-// it again if it went. Failed requests are repeated at the next tick, nothing is thrown. One thread.
+// Obtains and renews the lease, and obtains a new one after an expiry. Writes the liveness key, which tells
+// the other controllers that this one is alive, and writes it again if it has been deleted. Failed requests
+// are repeated at the next tick. Doesn't throw; runs on the event loop's single thread.
 class LivenessLease {
  public:
   explicit LivenessLease(ControllerContext& ctx);
   void start();
   void stop();
-  // This process has written the liveness key under its present lease.
+  // Whether this process has written the liveness key under its current lease.
   bool liveness_written() const { return liveness_written_; }
 
  private:
--- a/src/controller/peer_message_dispatcher.cpp
+++ b/src/controller/peer_message_dispatcher.cpp
@@ -10,7 +10,7 @@
 }
 
 void PeerMessageDispatcher::handle(const ControllerName& /*from*/, const protocol::Heartbeat& heartbeat) {
-  shards_.on_terms(heartbeat.terms);
+  shards_.on_peer_terms(heartbeat.terms);
 }
 
 void PeerMessageDispatcher::handle(const ControllerName& /*from*/,
@@ -33,7 +33,7 @@
 }
 
 void PeerMessageDispatcher::handle(const ControllerName& /*from*/, const protocol::ReleaseMachines& release) {
-  shards_.on_release(release.machines);
+  shards_.on_release_machines(release.machines);
 }
 
 void PeerMessageDispatcher::handle(const ControllerName& /*from*/,
--- a/src/controller/progress_writer.cpp
+++ b/src/controller/progress_writer.cpp
@@ -7,18 +7,19 @@
 
 namespace beaconsill::controller {
 namespace {
-// How long progress may stay unwritten. Without a reachable leader it is written soon, since nobody else
-// knows it.
-constexpr Duration kBatchDelay = std::chrono::milliseconds(1000);
+// How long progress may stay unwritten. While the leader can't be reached, the delay is short, since only
+// this controller has the progress.
+constexpr Duration kUnnotifiedBatchDelay = std::chrono::milliseconds(1000);
 constexpr Duration kNotifiedBatchDelay = std::chrono::seconds(20);
-// Released tasks that aren't granted anew soon: until it's recorded they count against their team's quota.
+// Progress with released tasks is written earlier, since tasks that aren't granted again count against their
+// team's quota until their release is recorded.
 constexpr Duration kReleasedBatchDelay = std::chrono::seconds(2);
 constexpr Duration kCheckPeriod = std::chrono::milliseconds(500);
-// Jobs in one transaction: it must not delay changes that somebody waits for.
+// Limits the size of a transaction, so that it doesn't delay transactions that users wait for.
 constexpr std::size_t kMaxJobsPerTxn = 6;
 
 Duration batch_delay(bool leader_notified, const state_store::Progress& progress) {
-  if (!leader_notified) return kBatchDelay;
+  if (!leader_notified) return kUnnotifiedBatchDelay;
   return progress.released.empty() ? kNotifiedBatchDelay : kReleasedBatchDelay;
 }
 }  // namespace
@@ -29,7 +30,7 @@
 }
 
 void ProgressWriter::write(ShardId id, LedShard& shard) {
-  if (shard.writing_progress) return;
+  if (shard.progress_write_pending) return;
   auto now = ctx_.now();
   if (shard.next_progress_check && now < *shard.next_progress_check) return;
   shard.next_progress_check = now + kCheckPeriod;
@@ -51,7 +52,8 @@
   if (!draft.empty()) commit(id, shard, draft.txn());
 }
 
-// What the leader knows may wait until nothing else needs the writes.
+// Progress that the leader has been notified of is written only with the part of the write rate that isn't
+// needed for other transactions.
 std::size_t ProgressWriter::max_jobs_per_txn(bool leader_notified) const {
   auto max_jobs = std::min(ctx_.store->sizes().txn_ops(), kMaxJobsPerTxn);
   return leader_notified ? std::min(max_jobs, ctx_.store->spare_writes()) : max_jobs;
@@ -67,16 +69,17 @@
       found == record->progress.end() ? state_store::Versioned<state_store::Progress>{} : found->second;
   auto value = state_store::fit_progress(recorded.value, progress, max_bytes);
   auto json = state_store::to_json(value);
-  // Written under a higher limit: it gets shorter as the rest of the tasks end.
+  // A value that exceeds the limit was first written under a higher limit. It gets shorter as the job's other
+  // tasks end, and is written then.
   if (value == recorded.value || state_store::value_bytes(json) > max_bytes) return DraftState::kOpen;
   auto key = state_store::progress_key(id, job);
   return add_changes(draft, {{key, recorded.revision}}, {{key, std::move(json), std::nullopt}});
 }
 
 void ProgressWriter::commit(ShardId id, LedShard& shard, const protocol::Txn& txn) {
-  shard.writing_progress = true;
+  shard.progress_write_pending = true;
   auto finish = [this, id, term = shard.manager->term()] {
-    if (auto* led = shards_.find(id, term)) led->writing_progress = false;
+    if (auto* led = shards_.find(id, term)) led->progress_write_pending = false;
   };
   auto done = [this, finish, txn](state_store::TxnResult result) {
     if (result) {
--- a/src/controller/progress_writer.h
+++ b/src/controller/progress_writer.h
@@ -1,4 +1,4 @@
-// Writes the progress of the led shards' tasks to the state store.
+// Writes the progress of the tasks of this controller's shards to the state store.
 #pragma once
 
 #include <map>
@@ -12,23 +12,23 @@
 
 namespace beaconsill::controller {
 
-// Part of the ShardService, which calls write() on its timer. Progress is written in batches: only the next
-// leader of the shard needs it, and most jobs are over before. What fails is repeated. Throws nothing; one
-// thread.
+// Part of the ShardService, which calls write() on its timer. Progress is written in batches, because only
+// the next leader of the shard needs it, and most jobs end before there is one. Failed writes are repeated.
+// Doesn't throw; runs on the event loop's single thread.
 class ProgressWriter {
  public:
   ProgressWriter(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers, LedShards& shards)
       : ctx_(ctx), messenger_(messenger), peers_(peers), shards_(shards) {}
 
-  // Writes the progress that has been unwritten for long enough, unless a transaction is under way.
+  // Writes the progress that has been unwritten for the batch delay, unless a transaction is pending.
   void write(ShardId id, LedShard& shard);
 
  private:
   void commit(ShardId id, LedShard& shard, const protocol::Txn& txn);
   bool leader_reachable() const;
-  // Jobs whose progress one transaction may hold now.
+  // The number of jobs whose progress one transaction may currently contain.
   std::size_t max_jobs_per_txn(bool leader_notified) const;
-  // Adds the progress of one job, if it differs from what is recorded.
+  // Adds the progress of one job to the draft if it differs from the job's record.
   DraftState add_progress(ShardId id, const JobId& job, const state_store::Progress& progress,
                           state_store::TxnDraft& draft) const;
 
--- a/src/controller/rate_limit_apportioner.h
+++ b/src/controller/rate_limit_apportioner.h
@@ -1,4 +1,4 @@
-// Sets this controller's share of the rate limits of state store and cloud.
+// Sets this controller's share of the rate limits of the state store and the cloud.
 #pragma once
 
 #include "controller/controller_context.h"
@@ -8,13 +8,15 @@
 
 namespace beaconsill::controller {
 
-// Follows which controllers are alive and which is the leader. Throws nothing; one thread.
+// Recalculates the shares periodically from which controllers are alive and which is the leader. Doesn't
+// throw; runs on the event loop's single thread.
 class RateLimitApportioner {
  public:
   RateLimitApportioner(ControllerContext& ctx, const SchedulerService& scheduler);
   void start();
   void stop();
-  // Sets the shares now: this controller has become the leader.
+  // Sets the shares immediately, without waiting for the next period. Called when this controller has become
+  // the leader.
   void update();
 
  private:
--- a/src/controller/registry_sync.cpp
+++ b/src/controller/registry_sync.cpp
@@ -9,30 +9,30 @@
 RegistrySync::RegistrySync(ControllerContext& ctx, LedShards& shards, std::function<void()> on_read)
     : ctx_(ctx), shards_(shards), on_read_(std::move(on_read)) {}
 
-// What the previous shard leader wrote last may not be in the view yet: until everything was read that was
-// written before this term, nobody knows which machines to wait for, and the shard must not count as
-// reconciled.
+// The last writes of the previous shard leader may not be in the view yet. Until everything that was written
+// before this term has been read, it is unknown which machines to wait for, and the shard must not be treated
+// as reconciled.
 void RegistrySync::read(ShardId id, LedShard& shard) {
-  if (shard.registry_read || shard.reading_registry) return;
-  shard.reading_registry = true;
+  if (shard.registry_read || shard.registry_read_pending) return;
+  shard.registry_read_pending = true;
   ctx_.watch_cache->sync([this, id, term = shard.manager->term()](bool read) {
     auto* led = stopped_ ? nullptr : shards_.find(id, term);
     if (!led) return;
-    led->reading_registry = false;
+    led->registry_read_pending = false;
     if (!read) return;
     led->registry_read = true;
-    on_view(id, *led);
+    on_registry_changed(id, *led);
     on_read_();
   });
 }
 
-void RegistrySync::on_view(ShardId id, LedShard& shard) const {
+void RegistrySync::on_registry_changed(ShardId id, LedShard& shard) const {
   if (!shard.registry_read) return;
   shard.manager->on_registry(state_store::registered_machines(ctx_.view(), id), ctx_.now());
 }
 
 void RegistrySync::write(ShardId id, LedShard& shard) {
-  if (shard.writing_registry) return;
+  if (shard.registry_write_pending) return;
   const auto& role = ctx_.view().shard_role(id);
   auto term = shard.manager->term();
   if (!shard.registry_read || !role.exists() || role.value.term != term) return;
@@ -41,9 +41,9 @@
       state_store::registry_txn(ctx_.view(), id, shard.manager->registry_buckets_to_write(),
                                 ctx_.partitioning.controllers(), {sizes.txn_ops(), sizes.value_bytes()});
   if (!txn) return;
-  shard.writing_registry = true;
+  shard.registry_write_pending = true;
   auto finish = [this, id, term] {
-    if (auto* led = shards_.find(id, term)) led->writing_registry = false;
+    if (auto* led = shards_.find(id, term)) led->registry_write_pending = false;
   };
   auto done = [this, finish, txn = *txn](state_store::TxnResult result) {
     if (result) {
--- a/src/controller/registry_sync.h
+++ b/src/controller/registry_sync.h
@@ -1,4 +1,4 @@
-// Keeps the machine registries of the led shards: reads them when a term begins, writes what changes.
+// Reads the machine registry of a shard from the state store when a term begins, and writes changes to it.
 #pragma once
 
 #include <functional>
@@ -8,22 +8,23 @@
 
 namespace beaconsill::controller {
 
-// Part of the ShardService, which calls read() and write() on its timers. The registry names the machines
-// that may run a shard's tasks, so that the next shard leader knows which to wait for. What fails is repeated
-// at the next tick. Throws nothing; one thread.
+// Part of the ShardService, which calls read() and write() on its timers. The registry lists the machines
+// that may run tasks of a shard, so that the next shard leader knows which machines to wait for. Failed
+// requests are repeated at the next tick. Doesn't throw; runs on the event loop's single thread.
 class RegistrySync {
  public:
-  // `on_read` is called once a shard's registry was read.
+  // `on_read` is called each time the registry of a shard has been read.
   RegistrySync(ControllerContext& ctx, LedShards& shards, std::function<void()> on_read);
-  // No callback of a read under way takes effect any more.
+  // After this, callbacks of pending reads have no effect.
   void stop() { stopped_ = true; }
 
-  // Reads the registry as it was when the term began, unless that was done or is under way.
+  // Reads everything that was written to the registry before the term began, unless it has been read or a
+  // read is pending.
   void read(ShardId id, LedShard& shard);
-  // Writes the machines that aren't registered yet, or no longer belong there.
+  // Adds machines that aren't registered yet to the registry, and removes those that no longer belong to it.
   void write(ShardId id, LedShard& shard);
-  // The registry changed in the view.
-  void on_view(ShardId id, LedShard& shard) const;
+  // Called when the registry changed in the view.
+  void on_registry_changed(ShardId id, LedShard& shard) const;
 
  private:
   ControllerContext& ctx_;
--- a/src/controller/round_driver.cpp
+++ b/src/controller/round_driver.cpp
@@ -7,12 +7,12 @@
 namespace beaconsill::controller {
 
 void RoundDriver::run() {
-  auto leader = leadership_.still_leader();
+  auto leader = leadership_.leader_role_condition();
   if (!leader) return;
   begin_round();
   auto& scheduler = leadership_.scheduler();
-  // Services go at once, arrays as the budget of writes allows: the next service would wait for the writes
-  // that arrays use up now.
+  // Grants of services are written immediately. Grants of arrays are limited to the spare part of the write
+  // rate, because the next service would have to wait for writes that arrays use up now.
   bool services = scheduler.has_services();
   auto max_jobs =
       services ? leadership_.max_changes_per_txn() : std::max<std::size_t>(1, ctx_.store->spare_writes());
@@ -22,7 +22,7 @@
                       services ? state_store::Urgency::kUserRequest : state_store::Urgency::kBackground);
 }
 
-// Requests estimates from the leaders of all reachable shards, unless a round is under way.
+// Requests estimates from the leaders of all reachable shards, unless a round is open.
 void RoundDriver::begin_round() {
   std::set<ShardId> reachable;
   for (const auto& [shard, term] : leadership_.shard_terms())
--- a/src/controller/round_driver.h
+++ b/src/controller/round_driver.h
@@ -1,4 +1,5 @@
-// Drives the scheduler's rounds: estimates from the shards, the decision, the grants.
+// Runs the scheduling rounds: requests estimates from the shard leaders, has the scheduler decide, and passes
+// the grants to the GrantWriter.
 #pragma once
 
 #include "controller/grant_writer.h"
@@ -9,7 +10,8 @@
 
 namespace beaconsill::controller {
 
-// Part of the SchedulerService, which calls run() on its timer. Throws nothing; one thread.
+// Part of the SchedulerService, which calls run() on its timer. Doesn't throw; runs on the event loop's
+// single thread.
 class RoundDriver {
  public:
   RoundDriver(ControllerContext& ctx, PeerMessenger& messenger, const PeerStatus& peers, ShardService& shards,
@@ -21,8 +23,8 @@
         leadership_(leadership),
         grant_writer_(grant_writer) {}
 
-  // Begins a round if one is due, and ends the open one if all shards have answered or were waited for long
-  // enough.
+  // Begins a round if one is due. Ends the open round if all shards have responded or the time limit for
+  // responses has passed.
   void run();
 
  private:
--- a/src/controller/scheduler_service.cpp
+++ b/src/controller/scheduler_service.cpp
@@ -9,9 +9,9 @@
     : ctx_(ctx),
       leadership_(ctx),
       grant_writer_(ctx, peers.messenger(), leadership_, [this] { schedule_run(); }),
-      rounds_(ctx, peers.messenger(), peers.status(), shards, leadership_, grant_writer_),
-      terminal_records_(ctx, peers.messenger(), leadership_),
-      versions_(ctx, leadership_),
+      round_driver_(ctx, peers.messenger(), peers.status(), shards, leadership_, grant_writer_),
+      terminal_record_writer_(ctx, peers.messenger(), leadership_),
+      version_recorder_(ctx, leadership_),
       autoscaler_(ctx, peers.messenger(), shards, leadership_),
       garbage_collector_(ctx, leadership_),
       run_timer_(ctx.io_context, [this] { run(); }),
@@ -45,7 +45,7 @@
 void SchedulerService::step_down() {
   leadership_.end_term();
   autoscaler_.end_term();
-  terminal_records_.reset();
+  terminal_record_writer_.reset();
   garbage_collector_.reset();
 }
 
@@ -65,23 +65,24 @@
 void SchedulerService::refresh_job(const JobId& id) {
   const auto& view = ctx_.view();
   const auto* job = view.job(id);
-  // Cancelled through others: none of its tasks can be anywhere, and there is nothing to schedule.
+  // A job that is cancelled because a job it depends on was cancelled has never had tasks, so there is
+  // nothing to schedule.
   if (view.dependencies().unrecorded().contains(id)) job = nullptr;
-  // Versions before pipelines don't record when a job ended: it counts from when that is seen.
+  // Versions without pipelines don't record when a job ended. For such a dependency the current time is used.
   auto ready_since = view.dependencies().ready_since(id, ctx_.clock.wall());
   leadership_.scheduler().on_job(id, job, view.terminal_state(id), ctx_.now(), ready_since);
 }
 
 void SchedulerService::on_progress_report(const protocol::ProgressReport& report) {
   if (!is_leader()) return;
-  protocol::ProgressReport known{report.shard, report.term, {}};
+  protocol::ProgressReport known_jobs_report{report.shard, report.term, {}};
   std::set<JobId> jobs;
   for (const auto& progress : report.jobs) {
     if (!ctx_.view().job(progress.job)) continue;
-    known.jobs.push_back(progress);
+    known_jobs_report.jobs.push_back(progress);
     jobs.insert(progress.job);
   }
-  leadership_.scheduler().on_progress_report(known, ctx_.now());
+  leadership_.scheduler().on_progress_report(known_jobs_report, ctx_.now());
   refresh_jobs(jobs);
 }
 
@@ -100,7 +101,7 @@
   autoscaler_.on_catalogue();
 }
 
-// Runs as soon as the event loop is free.
+// Schedules run() for the next iteration of the event loop, unless it is already scheduled.
 void SchedulerService::schedule_run() {
   if (!early_run_timer_.pending()) early_run_timer_.set(Duration(0));
 }
@@ -108,10 +109,10 @@
 void SchedulerService::run() {
   if (!is_leader()) return;
   leadership_.read_ledger([this] { schedule_run(); });
-  rounds_.run();
-  terminal_records_.write_completed();
-  terminal_records_.write_cancelled_dependents();
-  versions_.run();
+  round_driver_.run();
+  terminal_record_writer_.write_completed();
+  terminal_record_writer_.write_cancelled_dependents();
+  version_recorder_.run();
 }
 
 }  // namespace beaconsill::controller
--- a/src/controller/scheduler_service.h
+++ b/src/controller/scheduler_service.h
@@ -1,5 +1,4 @@
-// What the leader does: feeds the scheduler's state machine with what happens, and carries out what it
-// decides.
+// Runs the leader's work: passes events to the scheduler's state machine and performs its decisions.
 #pragma once
 
 #include <map>
@@ -20,21 +19,23 @@
 namespace beaconsill::controller {
 
 // Owns the leader's components; the context, the PeerService and the ShardService belong to the Controller.
-// While another controller leads, events only update the shards' summaries. Requests that fail are logged and
-// repeated at the next tick; nothing is thrown. One thread.
+// While another controller is the leader, only summaries of shards are recorded and all other events are
+// ignored. Requests that fail are logged and repeated at the next tick. Doesn't throw; runs on the event
+// loop's single thread.
 class SchedulerService {
  public:
   SchedulerService(ControllerContext& ctx, PeerService& peers, ShardService& shards);
   void start();
   void stop();
 
-  // This controller has become the leader under `term`, or is no longer.
+  // Called when this controller has become the leader under `term`.
   void become_leader(Term term);
+  // Called when this controller is no longer the leader.
   void step_down();
   bool is_leader() const { return leadership_.is_leader(); }
 
   void on_view(const state_store::StateView::ChangeSet& changes);
-  // Messages of shard leaders, this controller's own included.
+  // Called for messages from shard leaders, including this controller's own shards.
   void on_estimate_response(const protocol::EstimateResponse& response);
   void on_progress_report(const protocol::ProgressReport& report);
   void on_summary(const protocol::Summary& summary);
@@ -49,14 +50,14 @@
   ControllerContext& ctx_;
   Leadership leadership_;
   GrantWriter grant_writer_;
-  RoundDriver rounds_;
-  TerminalRecordWriter terminal_records_;
-  VersionRecorder versions_;
+  RoundDriver round_driver_;
+  TerminalRecordWriter terminal_record_writer_;
+  VersionRecorder version_recorder_;
   AutoscalerService autoscaler_;
   GarbageCollector garbage_collector_;
   PeriodicTimer run_timer_;
   OneShotTimer early_run_timer_;
-  std::map<ShardId, protocol::Summary> summaries_;  // also while another controller leads
+  std::map<ShardId, protocol::Summary> summaries_;  // also updated while another controller is the leader
 };
 
 }  // namespace beaconsill::controller
--- a/src/controller/shard_service.cpp
+++ b/src/controller/shard_service.cpp
@@ -7,18 +7,18 @@
 namespace beaconsill::controller {
 namespace {
 constexpr Duration kPeriod = std::chrono::milliseconds(100);
-// Events that come within so short a time are handled in one run: dozens of heartbeats and answers come each
-// second.
+// Events that arrive within this delay are handled together in one run, since dozens of heartbeats and
+// responses arrive per second.
 constexpr Duration kBatchDelay = std::chrono::milliseconds(10);
 }  // namespace
 
 ShardService::ShardService(ControllerContext& ctx, PeerService& peers, LeaderNotifier::Send notify_leader)
     : ctx_(ctx),
       peers_(peers),
-      registry_(ctx, shards_, [this] { schedule_run(); }),
-      progress_(ctx, peers.messenger(), peers.status(), shards_),
+      registry_sync_(ctx, shards_, [this] { schedule_run(); }),
+      progress_writer_(ctx, peers.messenger(), peers.status(), shards_),
       leader_notifier_(ctx, std::move(notify_leader)),
-      commands_(ctx, shards_, [this] { schedule_run(); }),
+      command_sender_(ctx, shards_, [this] { schedule_run(); }),
       heartbeats_(ctx, peers.messenger(), peers.status(), peers.cancellations(), shards_,
                   [this] { schedule_run(); }),
       run_timer_(ctx.io_context, [this] { run_periodic(); }),
@@ -32,8 +32,8 @@
   stopped_ = true;
   run_timer_.stop();
   early_run_timer_.stop();
-  registry_.stop();
-  commands_.stop();
+  registry_sync_.stop();
+  command_sender_.stop();
 }
 
 void ShardService::acquire_shard(ShardId id, Term term) {
@@ -55,7 +55,7 @@
   shards_.remove(id);
 }
 
-void ShardService::on_terms(const std::vector<protocol::ShardTerm>& terms) {
+void ShardService::on_peer_terms(const std::vector<protocol::ShardTerm>& terms) {
   for (const auto& led_elsewhere : terms)
     if (auto* shard = shards_.find(led_elsewhere.shard)) shard->manager->supersede(led_elsewhere.term);
 }
@@ -74,7 +74,7 @@
 
 void ShardService::on_view(const state_store::StateView::ChangeSet& changes) {
   for (auto& [id, shard] : shards_) {
-    if (changes.machines.contains(id)) registry_.on_view(id, shard);
+    if (changes.machines.contains(id)) registry_sync_.on_registry_changed(id, shard);
     for (const auto& job : changes.jobs)
       shard.manager->on_job(job, ctx_.view().job(job), ctx_.view().terminal_state(job), ctx_.now());
   }
@@ -100,11 +100,11 @@
 void ShardService::on_machines_terminated(const std::vector<MachineName>& machines) {
   for (auto& [id, shard] : shards_)
     for (const auto& machine : machines) shard.manager->on_machine_terminated(machine, ctx_.now());
-  for (const auto& machine : machines) commands_.on_machine_terminated(machine);
+  for (const auto& machine : machines) command_sender_.on_machine_terminated(machine);
   schedule_run();
 }
 
-void ShardService::on_release(const std::vector<MachineName>& machines) {
+void ShardService::on_release_machines(const std::vector<MachineName>& machines) {
   for (auto& [id, shard] : shards_)
     for (const auto& machine : machines) shard.manager->release(machine);
   schedule_run();
@@ -119,7 +119,7 @@
   return summaries;
 }
 
-std::uint32_t ShardService::running(const JobId& id) const {
+std::uint32_t ShardService::count_running_tasks(const JobId& id) const {
   std::uint32_t running = 0;
   for (const auto& [shard_id, shard] : shards_) running += shard.manager->running(id);
   return running;
@@ -129,42 +129,43 @@
   if (!early_run_timer_.pending()) early_run_timer_.set(kBatchDelay);
 }
 
-// What workers wait for.
+// Does the work that workers wait for.
 void ShardService::run() {
   heartbeats_.redirect_expired();
   for (auto& [id, shard] : shards_) {
-    registry_.read(id, shard);
-    // Both are known once everything was read, and no shard is led before that.
+    registry_sync_.read(id, shard);
+    // Both times are available once the whole state was read, and this controller leads no shard before that.
     auto up_to_date_at = ctx_.watch_cache->up_to_date_at();
     auto cancellations_known_until = peers_.cancellations().known_until();
     if (up_to_date_at && cancellations_known_until)
       shard.manager->tick(ctx_.now(), *cancellations_known_until, *up_to_date_at);
     for (auto& batch : shard.manager->take_command_batches(ctx_.now()))
-      commands_.send(id, shard, std::move(batch));
+      command_sender_.send(id, shard, std::move(batch));
   }
 }
 
-// That, and what can wait for the next tick.
+// Does the same, and then the work that can be delayed until the next tick.
 void ShardService::run_periodic() {
-  check_process_pause();
+  notify_of_process_pause();
   run();
   for (auto& [id, shard] : shards_) {
     leader_notifier_.run(id, shard);
-    registry_.write(id, shard);
-    progress_.write(id, shard);
+    registry_sync_.write(id, shard);
+    progress_writer_.write(id, shard);
     delete_machines(id, shard);
   }
 }
 
-void ShardService::check_process_pause() {
+void ShardService::notify_of_process_pause() {
   auto now = ctx_.now();
   ctx_.pause_detector.observe(now);
-  if (ctx_.pause_detector.last_pause_end() == last_pause_) return;
-  last_pause_ = ctx_.pause_detector.last_pause_end();
+  if (ctx_.pause_detector.last_pause_end() == notified_pause_end_) return;
+  notified_pause_end_ = ctx_.pause_detector.last_pause_end();
   for (auto& [id, shard] : shards_) shard.manager->on_process_pause(now);
 }
 
-// After a pause of the process another controller may lead the shard, and use what seems to be idle here.
+// After a pause of the process, another controller may lead the shard and use machines that appear idle here.
+// Machines are therefore deleted only if the roles have been read since.
 void ShardService::delete_machines(ShardId id, LedShard& shard) {
   if (!ctx_.roles_read_since_pause()) return;
   auto machines = shard.manager->take_machines_to_delete(ctx_.now());
@@ -177,8 +178,8 @@
       on_machines_terminated(machines);
       return;
     }
-    spdlog::info("machine_deletion_failed shard={} count={} reason=no_success_from_cloud", id.value(),
-                 machines.size());
+    spdlog::info("machine_deletion_failed shard={} count={} reason=cloud_did_not_confirm_deletion",
+                 id.value(), machines.size());
     if (auto* led = shards_.find(id, term))
       for (const auto& machine : machines) led->manager->on_delete_failed(machine, ctx_.now());
   });
--- a/src/controller/shard_service.h
+++ b/src/controller/shard_service.h
@@ -1,5 +1,5 @@
-// What a shard leader does: answers the workers of its shards and carries out what the shards' state machines
-// decide.
+// Runs the work of a shard leader: responds to the workers of the led shards and performs the decisions of
+// the shards' state machines.
 #pragma once
 
 #include <functional>
@@ -18,62 +18,63 @@
 
 namespace beaconsill::controller {
 
-// Owns the shards that this controller leads and the components that work for them; the context and the
-// PeerService belong to the Controller. Requests that fail are logged and repeated; nothing is thrown. One
-// thread.
+// Owns the shards that this controller leads and the components that handle them. The context and the
+// PeerService belong to the Controller. Requests that fail are logged and repeated. Doesn't throw; runs on
+// the event loop's single thread.
 class ShardService {
  public:
-  // `notify_leader` delivers to the leader what became of granted tasks, or loses it.
+  // `notify_leader` sends the leader a report on the progress of granted tasks. Reports may be lost.
   ShardService(ControllerContext& ctx, PeerService& peers, LeaderNotifier::Send notify_leader);
   void start();
   void stop();
 
-  // This controller leads the shard under `term`, or no longer.
+  // Called when this controller has become the leader of the shard under `term`.
   void acquire_shard(ShardId id, Term term);
+  // Called when this controller is no longer the leader of the shard.
   void release_shard(ShardId id);
-  // The terms under which a peer leads shards: a higher one ends this controller's term, also when the state
-  // store can't be read.
-  void on_terms(const std::vector<protocol::ShardTerm>& terms);
-  // The shards led, without those of which a higher term is known.
+  // Called with the terms under which a peer leads shards. A term higher than this controller's own
+  // supersedes it, even while the state store can't be read.
+  void on_peer_terms(const std::vector<protocol::ShardTerm>& terms);
+  // The shards that this controller leads, except those for which it knows of a higher term.
   std::vector<protocol::ShardTerm> led_terms() const;
   bool leads(ShardId id) const { return shards_.contains(id); }
-  // No machine of the shard is suspected or lost at present.
+  // Whether no machine of the shard is currently suspected or lost.
   bool is_stable(ShardId id) const;
 
-  // Workers' heartbeats and their relays.
+  // Handles heartbeats from workers, both direct and relayed by other controllers.
   HeartbeatEndpoint& heartbeats() { return heartbeats_; }
   void on_view(const state_store::StateView::ChangeSet& changes);
   void on_catalogue();
-  // Calls `respond` for each led shard, within this call.
+  // Calls `respond` once for each led shard before it returns.
   void on_estimate_request(const protocol::EstimateRequest& request,
                            const std::function<void(protocol::EstimateResponse)>& respond);
-  // The cloud has deleted these machines.
+  // Called when the cloud has deleted these machines.
   void on_machines_terminated(const std::vector<MachineName>& machines);
-  // The leader has no use for these machines.
-  void on_release(const std::vector<MachineName>& machines);
-  // What the led shards report to the leader.
+  // Called when the leader no longer needs these machines.
+  void on_release_machines(const std::vector<MachineName>& machines);
+  // Returns the summaries that the led shards report to the leader.
   std::vector<protocol::Summary> summaries() const;
-  // Tasks of the job that run on machines of led shards.
-  std::uint32_t running(const JobId& id) const;
+  // Returns the number of the job's tasks that are running on machines of led shards.
+  std::uint32_t count_running_tasks(const JobId& id) const;
 
  private:
   void schedule_run();
   void run();
   void run_periodic();
-  void check_process_pause();
+  void notify_of_process_pause();
   void delete_machines(ShardId id, LedShard& shard);
 
   ControllerContext& ctx_;
   PeerService& peers_;
   LedShards shards_;
-  RegistrySync registry_;
-  ProgressWriter progress_;
+  RegistrySync registry_sync_;
+  ProgressWriter progress_writer_;
   LeaderNotifier leader_notifier_;
-  CommandSender commands_;
+  CommandSender command_sender_;
   HeartbeatEndpoint heartbeats_;
   PeriodicTimer run_timer_;
   OneShotTimer early_run_timer_;
-  std::optional<Instant> last_pause_;  // the last one that the shards were notified of
+  std::optional<Instant> notified_pause_end_;  // of the last pause that the shards were notified of
   bool stopped_ = false;
 };
 
--- a/src/controller/summary_exchange.cpp
+++ b/src/controller/summary_exchange.cpp
@@ -37,7 +37,7 @@
 }
 
 std::uint32_t SummaryExchange::running(const JobId& id) const {
-  std::uint32_t running = shards_.running(id);
+  std::uint32_t running = shards_.count_running_tasks(id);
   for (const auto& [shard, counts] : running_elsewhere_) {
     if (shards_.leads(shard)) continue;
     if (auto it = counts.find(id); it != counts.end()) running += it->second;
--- a/src/controller/terminal_record_writer.h
+++ b/src/controller/terminal_record_writer.h
@@ -1,4 +1,5 @@
-// Records how jobs ended.
+// Writes the terminal records of jobs, which tell whether a job was completed or cancelled, to the state
+// store.
 #pragma once
 
 #include <optional>
@@ -10,33 +11,35 @@
 
 namespace beaconsill::controller {
 
-// Part of the SchedulerService, which calls the writers on its timer. What isn't written stays in the
-// scheduler's or the view's list, and is tried again after a delay. Throws nothing; one thread.
+// Part of the SchedulerService, which calls the write functions on its timer. A job whose record could not be
+// written stays in the list of the scheduler or the view, and is tried again after a delay. Doesn't throw;
+// runs on the event loop's single thread.
 class TerminalRecordWriter {
  public:
   TerminalRecordWriter(ControllerContext& ctx, PeerMessenger& messenger, Leadership& leadership)
       : ctx_(ctx), messenger_(messenger), leadership_(leadership) {}
 
-  // Jobs all of whose tasks are done.
+  // Writes the records of jobs whose tasks are all done.
   void write_completed();
-  // Jobs that are cancelled through jobs that they depend on: each gets a record of its own, so that the
-  // records of the others can be garbage-collected in time.
+  // Writes the records of jobs that are cancelled because a job they depend on was cancelled. Each gets a
+  // record of its own, so that the records of its dependencies can be garbage-collected in time.
   void write_cancelled_dependents();
-  // This controller is no longer the leader.
+  // Called when this controller is no longer the leader.
   void reset() { in_progress_.clear(); }
 
  private:
-  void write(const std::vector<JobId>& ids, state_store::TerminalState end, state_store::Urgency urgency);
-  protocol::Txn build_txn(const std::vector<JobId>& ids, state_store::TerminalState end,
+  void write(const std::vector<JobId>& ids, state_store::TerminalState terminal_state,
+             state_store::Urgency urgency);
+  protocol::Txn build_txn(const std::vector<JobId>& ids, state_store::TerminalState terminal_state,
                           const protocol::Condition& leader) const;
-  void finish(const std::vector<JobId>& ids);
+  void remove_in_progress(const std::vector<JobId>& ids);
   void log_if_late(const JobId& id, const state_store::Job& job) const;
   bool retry_delayed() const { return retry_at_ && ctx_.now() < *retry_at_; }
 
   ControllerContext& ctx_;
   PeerMessenger& messenger_;
   Leadership& leadership_;
-  std::set<JobId> in_progress_;  // a transaction with their records is under way
+  std::set<JobId> in_progress_;  // jobs whose record is part of a pending transaction
   std::optional<Instant> retry_at_;
 };
 
--- a/src/controller/version_recorder.cpp
+++ b/src/controller/version_recorder.cpp
@@ -8,12 +8,12 @@
 namespace beaconsill::controller {
 namespace {
 
-// The highest version that all controllers have shown.
+// Returns the highest version that all controllers have advertised.
 std::uint32_t min_version(const state_store::Versions& versions,
                           const std::vector<ControllerName>& controllers) {
-  auto least = state_store::kFormatVersion;
-  for (const auto& controller : controllers) least = std::min(least, versions.at(controller));
-  return least;
+  auto lowest = state_store::kFormatVersion;
+  for (const auto& controller : controllers) lowest = std::min(lowest, versions.at(controller));
+  return lowest;
 }
 
 }  // namespace
@@ -22,41 +22,42 @@
   const auto& view = ctx_.view();
   auto versions = view.versions().value;
   for (const auto& controller : ctx_.partitioning.controllers()) {
-    auto& shown = versions[controller];
-    shown = std::max(shown, view.advertised_version(controller).value_or(0));
+    auto& advertised = versions[controller];
+    advertised = std::max(advertised, view.advertised_version(controller).value_or(0));
   }
   return versions;
 }
 
 void VersionRecorder::run() {
-  auto leader = leadership_.still_leader();
-  if (!leader || writing_) return;
+  auto leader = leadership_.leader_role_condition();
+  if (!leader || write_pending_) return;
   const auto& view = ctx_.view();
   auto versions = advertised_versions();
   if (versions == view.versions().value) return;
   protocol::Txn txn;
   txn.conditions = {*leader, {state_store::versions_key(), view.versions().revision}};
   txn.writes = {{state_store::versions_key(), state_store::to_json(versions), std::nullopt}};
-  const auto known_by_all = min_version(versions, ctx_.partitioning.controllers());
+  const auto common_version = min_version(versions, ctx_.partitioning.controllers());
   auto role = view.leader().value;
-  if (known_by_all > role.min_reader_version) {
-    role.min_reader_version = known_by_all;
+  if (common_version > role.min_reader_version) {
+    role.min_reader_version = common_version;
     txn.writes.push_back({state_store::leader_role_key(), state_store::to_json(role), std::nullopt});
   }
-  write(txn, known_by_all);
+  write(txn, common_version);
 }
 
-void VersionRecorder::write(const protocol::Txn& txn, std::uint32_t known_by_all) {
-  writing_ = true;
-  // As urgent as users' requests, which are refused until it is written.
-  auto done = [this, txn, known_by_all](state_store::TxnResult result) {
+void VersionRecorder::write(const protocol::Txn& txn, std::uint32_t common_version) {
+  write_pending_ = true;
+  // The write is as urgent as users' requests, since submissions of pipelines are refused until it is
+  // applied.
+  auto done = [this, txn, common_version](state_store::TxnResult result) {
     if (result) {
-      writing_ = false;
-      spdlog::info("versions_recorded known_by_all={}", known_by_all);
+      write_pending_ = false;
+      spdlog::info("versions_recorded known_by_all={}", common_version);
       ctx_.watch_cache->apply_own(txn, *result);
       return;
     }
-    ctx_.watch_cache->sync([this](bool) { writing_ = false; });
+    ctx_.watch_cache->sync([this](bool) { write_pending_ = false; });
   };
   ctx_.store->txn(txn, state_store::Urgency::kUserRequest, std::move(done));
 }
--- a/tests/progress_writer_test.cpp
+++ b/tests/progress_writer_test.cpp
@@ -150,9 +150,9 @@
   auto& next = shards.add(kShard);
   next.manager =
       std::make_unique<shard::ShardManager>(kShard, Term(6), shard::fixture::params(), clock.now());
-  next.writing_progress = true;
+  next.progress_write_pending = true;
   cache->commit_oldest();
-  EXPECT_TRUE(shard().writing_progress);
+  EXPECT_TRUE(shard().progress_write_pending);
 }
 
 }  // namespace
--- a/tests/rate_limit_share_test.cpp
+++ b/tests/rate_limit_share_test.cpp
@@ -5,7 +5,7 @@
 namespace beaconsill {
 namespace {
 
-TEST(RateLimitShare, AddsUpToTheLimitWhoeverIsAlive) {
+TEST(RateLimitShare, SharesOfAllLiveControllersAddUpToTheLimit) {
   struct Case {
     controller::LiveControllers live;
     double share;
@@ -18,7 +18,7 @@
   };
   for (const auto& c : cases)
     EXPECT_NEAR(controller::rate_limit_share(c.live, 0.6), c.share, 1e-9)
-        << c.live.alive << c.live.is_leader << c.live.has_leader;
+        << c.live.alive_count << c.live.is_leader << c.live.has_leader;
 }
 
 }  // namespace
