--- a/tests/controller_concurrent_faults_test.cpp
+++ b/tests/controller_concurrent_faults_test.cpp
@@ -1,5 +1,5 @@
-// Concurrent faults at a controller and its state store: transactions that are carried out late or whose
-// answer is lost. docs/fault-scenarios.md lists them.
+// Tests a real controller while its state store applies transactions late or loses the responses to them.
+// docs/fault-scenarios.md lists these faults.
 #include <thread>
 
 #include "controller/controller.h"
@@ -11,19 +11,19 @@
 using fakes::Json;
 using RequestFault = fakes::StateStore::RequestFault;
 
-constexpr double kQuotaCpus = 4;  // of the team
+constexpr double kTeamQuotaCpus = 4;
 
 std::string job(const std::string& id, const char* priority) {
   return job_json(id, "batch", 4, priority);
 }
 
-// One controller with two workers, each of which has capacity for the team's whole quota.
+// A controller with two workers, each of which has capacity for the team's whole quota.
 struct OneController : EventLoopFixture {
   OneController() {
     auto settings = controller_settings(state, cloud, 0);
     settings.zone = Zone("east");
     settings.zones = {Zone("east")};
-    settings.teams = {{Team("blue"), 0, kQuotaCpus, 0, 0}};
+    settings.teams = {{Team("blue"), 0, kTeamQuotaCpus, 0, 0}};
     settings.listen = fakes::text(endpoint);
     settings.peer_listen = fakes::text(peer_port.endpoint());
     controller = std::make_unique<controller::Controller>(io, clock, settings,
@@ -46,8 +46,8 @@
   bool wait_until_healthy() {
     return run_until([&] { return call("GET", "/up") == 200; });
   }
-  // Tasks started so far, on both workers.
-  int started() const {
+  // The number of tasks started so far on both workers.
+  int started_tasks() const {
     int count = 0;
     for (const auto& worker : workers) count += worker->started;
     return count;
@@ -60,9 +60,9 @@
   std::vector<std::unique_ptr<fakes::Worker>> workers;
 };
 
-// Grants get no answer, and the next round gives what is left of the team's quota to another job. Carried out
-// after that, the first would put the team over its quota.
-TEST(ConcurrentFaults, GrantsThatAreCarriedOutLateDoNotExceedTheQuota) {
+// The transaction with the grants of one job gets no response, and the next round grants the team's remaining
+// quota to another job. If the first transaction were applied after that, the team would exceed its quota.
+TEST(ConcurrentFaults, GrantsAppliedLateDoNotExceedTheQuota) {
   OneController cluster;
   ASSERT_TRUE(cluster.wait_until_healthy());
   cluster.state.fault = [&](const fakes::Request& request) {
@@ -74,7 +74,7 @@
   ASSERT_TRUE(cluster.run_until([&] { return cluster.state.late() == 1; }));
   ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000002", "production")), 201);
   ASSERT_TRUE(cluster.run_until([&] { return cluster.state.keys.contains("beaconsill/grants/run-000002"); }));
-  ASSERT_TRUE(cluster.run_until([&] { return cluster.started() == 4; }));
+  ASSERT_TRUE(cluster.run_until([&] { return cluster.started_tasks() == 4; }));
   cluster.state.fault = nullptr;
   for (int status : cluster.state.carry_out_late()) EXPECT_EQ(status, 409);
   cluster.run_for(std::chrono::milliseconds(1500));
@@ -82,53 +82,55 @@
   if (superseded != cluster.state.keys.end()) {
     EXPECT_TRUE(state_store::parse_grants(superseded->second.first).chunks.empty());
   }
-  EXPECT_EQ(cluster.started(), 4);
+  EXPECT_EQ(cluster.started_tasks(), 4);
 }
 
-// Only the answer to the grants is lost: the leader finds them when it reads, and goes on.
-TEST(ConcurrentFaults, GrantsWhoseAnswerIsLostAreInForce) {
+// Only the response to the transaction with the grants is lost. The leader finds the grants when it reads the
+// state, and continues with them.
+TEST(ConcurrentFaults, GrantsWhoseResponseIsLostTakeEffect) {
   OneController cluster;
   ASSERT_TRUE(cluster.wait_until_healthy());
-  int lost = 0;
+  int lost_responses = 0;
   cluster.state.fault = [&](const fakes::Request& request) {
-    if (!is_txn_that_sets(request, "beaconsill/grants/") || lost > 0) return RequestFault::kNone;
-    ++lost;
+    if (!is_txn_that_sets(request, "beaconsill/grants/") || lost_responses > 0) return RequestFault::kNone;
+    ++lost_responses;
     return RequestFault::kAnswerKept;
   };
   ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000001", "standard")), 201);
-  EXPECT_TRUE(cluster.run_until([&] { return cluster.started() == 4; }));
+  EXPECT_TRUE(cluster.run_until([&] { return cluster.started_tasks() == 4; }));
   ASSERT_EQ(cluster.call("POST", "/v1/jobs/run-000001/withdraw"), 200);
   ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000002", "standard")), 201);
-  EXPECT_TRUE(cluster.run_until([&] { return cluster.started() == 8; }));
-  EXPECT_EQ(lost, 1);
+  EXPECT_TRUE(cluster.run_until([&] { return cluster.started_tasks() == 8; }));
+  EXPECT_EQ(lost_responses, 1);
 }
 
-// The transaction that supersedes late grants has no answer itself, whether it was carried out or not: the
-// next one does it, and none of those that come late is carried out beside it.
-TEST(ConcurrentFaults, SupersedingLateGrantsIsRepeated) {
-  for (bool carried_out : {false, true}) {
+// The transaction that supersedes delayed grants gets no response either, and may or may not have been
+// applied. The next transaction supersedes them, and the delayed transactions are rejected when they arrive.
+TEST(ConcurrentFaults, SupersedingOfDelayedGrantsIsRepeatedIfItGetsNoResponse) {
+  for (bool applied : {false, true}) {
     OneController cluster;
     ASSERT_TRUE(cluster.wait_until_healthy());
-    int writes_of_first = 0;
+    int first_job_writes = 0;
     cluster.state.fault = [&](const fakes::Request& request) {
-      if (!is_txn_that_sets(request, "beaconsill/grants/run-000001") || ++writes_of_first > 2)
+      if (!is_txn_that_sets(request, "beaconsill/grants/run-000001") || ++first_job_writes > 2)
         return RequestFault::kNone;
-      return writes_of_first == 2 && carried_out ? RequestFault::kAnswerKept : RequestFault::kLate;
+      return first_job_writes == 2 && applied ? RequestFault::kAnswerKept : RequestFault::kLate;
     };
     ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000001", "standard")), 201);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.state.late() >= 1; }));
     ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000002", "production")), 201);
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.started() == 4; })) << carried_out;
-    EXPECT_GE(writes_of_first, carried_out ? 2 : 3);
-    for (int status : cluster.state.carry_out_late()) EXPECT_EQ(status, 409) << carried_out;
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.started_tasks() == 4; })) << "applied: " << applied;
+    EXPECT_GE(first_job_writes, applied ? 2 : 3);
+    for (int status : cluster.state.carry_out_late()) EXPECT_EQ(status, 409) << "applied: " << applied;
     cluster.run_for(std::chrono::milliseconds(1500));
-    EXPECT_EQ(cluster.started(), 4) << carried_out;
+    EXPECT_EQ(cluster.started_tasks(), 4) << "applied: " << applied;
   }
 }
 
-// An earlier process of a controller had written that it's alive; carried out late, that attaches the key
-// to a lease that expires. The controller has to write it anew, or it could never acquire a role again.
-TEST(ConcurrentFaults, AControllerWhoseLivenessKeyWentWritesItAgain) {
+// An earlier process of the controller wrote the liveness key by a transaction that is applied late. It
+// attaches the key to the lease of that process, and the key is deleted when that lease expires. The
+// controller has to write the key again, since it could never acquire a role without it.
+TEST(ConcurrentFaults, ControllerWritesItsLivenessKeyAgainIfItIsDeleted) {
   OneController cluster;
   ASSERT_TRUE(cluster.wait_until_healthy());
   ASSERT_TRUE(cluster.run_until([&] { return cluster.state.keys.contains("beaconsill/alive/n0"); }));
@@ -137,14 +139,14 @@
                                 std::chrono::seconds(5)));
 }
 
-// Found by ASan in a run of .ci/run: the fakes were freed before the handlers of their timers, which were
-// queued already and so not cancelled any more, had run.
-TEST(ConcurrentFaults, AControllerIsDestroyedWhileTimersAreDue) {
+// Guards against a use after free (found by ASan): handlers of timers were already queued, so that they could
+// not be cancelled, and ran after the fakes that they use had been freed.
+TEST(ConcurrentFaults, ControllerCanBeDestroyedWhileTimerHandlersAreQueued) {
   for (int i = 0; i < 30; ++i) {
     OneController cluster;
     ASSERT_TRUE(cluster.wait_until_healthy());
     std::this_thread::sleep_for(std::chrono::milliseconds(60));
-    // Queues the handlers of all that is due, and runs one of them.
+    // Queues the handlers of all timers that are due, and runs one of them.
     cluster.io.run_one();
   }
 }
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -1,4 +1,5 @@
-// Fixtures for tests that run real controllers on loopback against this repository's fakes.
+// Provides settings and an event loop with fakes for tests that run real controllers on the loopback
+// interface.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -22,8 +23,8 @@
 
 namespace beaconsill {
 
-// Settings of controller `n<number>`, which reaches the state store by its own endpoint of the fake.
-// Addresses to listen on, peers, zones and teams are left to the caller.
+// Returns the settings of controller `n<number>`, which uses its own endpoint of the fake state store. The
+// caller sets the listen addresses, peers, zones and teams.
 inline config::Settings controller_settings(const fakes::StateStore& state, const fakes::Cloud& cloud,
                                             std::size_t number) {
   config::Settings settings;
@@ -45,7 +46,7 @@
   return settings;
 }
 
-// Whether this is a transaction that sets a key which begins with `prefix`.
+// Whether the request is a transaction that sets a key beginning with `prefix`.
 inline bool is_txn_that_sets(const fakes::Request& request, std::string_view prefix) {
   if (request.path != "/txn") return false;
   auto txn = fakes::Json::parse(request.body);
@@ -53,15 +54,15 @@
                      [&](const fakes::Json& write) { return write.value("set", "").starts_with(prefix); });
 }
 
-struct HttpAnswer {
-  int status = 0;  // 0: there was none
+struct HttpResponse {
+  int status = 0;  // 0 if there was no response
   std::optional<int> retry_after_s;
   fakes::Json body;
 };
 
-// An event loop with the fakes of state store and cloud. What derives from it stops its own components in its
-// destructor, and calls io.poll(): handlers that are queued aren't cancelled any more, and have to run while
-// what they use is still there.
+// An event loop with a fake state store and a fake cloud. The destructor of a derived class must stop its own
+// components and call io.poll(): handlers that are already queued can't be cancelled, and have to run before
+// the objects that they use are destroyed.
 struct EventLoopFixture {
   EventLoopFixture() : state(io), cloud(io) { spdlog::set_level(spdlog::level::err); }
   ~EventLoopFixture() {
@@ -69,26 +70,26 @@
     cloud.server->stop();
     io.poll();
   }
-  // Whether `done` has come true within the limit.
+  // Runs the event loop until `done` returns true. Returns false if it did not within `limit`.
   bool run_until(const std::function<bool()>& done, std::chrono::seconds limit = std::chrono::seconds(30)) {
     return fakes::run_until(io, done, limit);
   }
   void run_for(std::chrono::milliseconds duration) {
-    auto end = std::chrono::steady_clock::now() + duration;
-    while (std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(20));
+    auto deadline = std::chrono::steady_clock::now() + duration;
+    while (std::chrono::steady_clock::now() < deadline) io.run_one_for(std::chrono::milliseconds(20));
   }
-  HttpAnswer request(const net::Tcp::endpoint& to, const char* method, const std::string& path,
-                     const std::string& body = "") {
+  HttpResponse request(const net::Tcp::endpoint& to, const char* method, const std::string& path,
+                       const std::string& body = "") {
     auto client = std::make_shared<net::HttpClient>(io, to, 1);
-    std::optional<HttpAnswer> answer;
+    std::optional<HttpResponse> response;
     client->request(method, path, body, std::chrono::seconds(5), [&](net::Result result) {
-      answer = HttpAnswer{};
+      response = HttpResponse{};
       if (result)
-        answer = {result->status, result->retry_after_s, fakes::Json::parse(result->body, nullptr, false)};
+        response = {result->status, result->retry_after_s, fakes::Json::parse(result->body, nullptr, false)};
     });
-    EXPECT_TRUE(run_until([&] { return answer.has_value(); })) << path;
+    EXPECT_TRUE(run_until([&] { return response.has_value(); })) << path;
     client->stop();
-    return answer.value_or(HttpAnswer{});
+    return response.value_or(HttpResponse{});
   }
 
   asio::io_context io;
--- a/tests/grant_writer_test.cpp
+++ b/tests/grant_writer_test.cpp
@@ -1,4 +1,4 @@
-// The grants of a round on their way to the state store.
+// Tests which grants the GrantWriter writes, under which conditions, and how it handles the outcome.
 #include "controller/grant_writer.h"
 
 #include <algorithm>
@@ -17,14 +17,14 @@
 
 struct GrantWriterTest : ComponentFixture {
   GrantWriterTest() {
-    shard_role = set_shard_role(kPeer, kShardTerm);
-    leader_role = set_leader(kSelf, kLeaderTerm);
+    shard_role_revision = set_shard_role(kPeer, kShardTerm);
+    leader_role_revision = set_leader(kSelf, kLeaderTerm);
     leadership.begin_term(kLeaderTerm);
     leadership.scheduler().on_terms(leadership.shard_terms());
     cache->put(state_store::job_key(job), job_record_json(job, kTasks));
     leadership.scheduler().on_job(job, context.view().job(job), std::nullopt, clock.now(), std::nullopt);
   }
-  // A round in which the shard has capacity for all tasks; what it decides.
+  // Runs a scheduling round in which the shard has capacity for all tasks. Returns the decided grants.
   GrantWriter::Grants run_round() {
     auto& scheduler = leadership.scheduler();
     auto request = scheduler.begin_round(clock.now(), clock.wall(), {kShard});
@@ -36,9 +36,11 @@
     return scheduler.decide(clock.now(), leadership.shard_terms()).value_or(GrantWriter::Grants{});
   }
   void write(GrantWriter::Grants grants) {
-    writer.write(std::move(grants), {state_store::leader_role_key(), leader_role}, Urgency::kBackground);
+    writer.write(std::move(grants), {state_store::leader_role_key(), leader_role_revision},
+                 Urgency::kBackground);
   }
-  // The revision that the transaction under way is conditional on; none: it isn't conditional on the key.
+  // Returns the revision of the key that the pending transaction is conditional on, or std::nullopt if it has
+  // no condition on the key.
   std::optional<Revision> condition_on(const std::string& key) const {
     const auto& conditions = cache->txns.at(0).txn.conditions;
     auto found = std::find_if(conditions.begin(), conditions.end(),
@@ -46,17 +48,17 @@
     if (found == conditions.end()) return std::nullopt;
     return found->revision;
   }
-  bool round_open() const { return leadership.scheduler().round_open(); }
+  bool is_round_open() const { return leadership.scheduler().round_open(); }
 
   const JobId job{"run-1"};
-  Revision shard_role;
-  Revision leader_role;
-  int rounds_written = 0;
+  Revision shard_role_revision;
+  Revision leader_role_revision;
+  int written_callbacks = 0;
   Leadership leadership{context};
-  GrantWriter writer{context, messenger, leadership, [this] { ++rounds_written; }};
+  GrantWriter writer{context, messenger, leadership, [this] { ++written_callbacks; }};
 };
 
-TEST_F(GrantWriterTest, WritesTheGrantsOfARoundUnderTheTermOfTheLeader) {
+TEST_F(GrantWriterTest, WritesGrantsConditionalOnTheLeaderRoleAndOnTheJobNotHavingEnded) {
   auto grants = run_round();
   ASSERT_EQ(grants.size(), 1u);
   write(grants);
@@ -64,13 +66,13 @@
   EXPECT_EQ(cache->txns[0].urgency, Urgency::kBackground);
   ASSERT_EQ(cache->txns[0].txn.writes.size(), 1u);
   EXPECT_EQ(cache->txns[0].txn.writes[0].key, state_store::grants_key(job));
-  EXPECT_EQ(condition_on(state_store::leader_role_key()), leader_role);
+  EXPECT_EQ(condition_on(state_store::leader_role_key()), leader_role_revision);
   EXPECT_EQ(condition_on(state_store::grants_key(job)), Revision());
-  // A job that has ended gets no tasks.
+  // No tasks may be granted to a job that has ended, that is, one with a terminal record.
   EXPECT_EQ(condition_on(state_store::terminal_key(job)), Revision());
 }
 
-TEST_F(GrantWriterTest, AGrantThatReliesOnAReleaseByMessageIsConditionalOnThatShardsTerm) {
+TEST_F(GrantWriterTest, GrantsThatDependOnTasksReleasedByMessageAreConditionalOnTheShardRole) {
   auto grants = run_round();
   ASSERT_EQ(grants.size(), 1u);
   write(grants);
@@ -78,47 +80,47 @@
   cache->txns.clear();
   grants[0].depends_on_shards = {kShard};
   write(grants);
-  EXPECT_EQ(condition_on(state_store::shard_role_key(kShard)), shard_role);
+  EXPECT_EQ(condition_on(state_store::shard_role_key(kShard)), shard_role_revision);
 }
 
-TEST_F(GrantWriterTest, AppliesAndAnnouncesWhatWasWritten) {
+TEST_F(GrantWriterTest, AppliesWrittenGrantsToTheViewAndNotifiesPeers) {
   write(run_round());
   ASSERT_EQ(cache->txns.size(), 1u);
-  EXPECT_EQ(rounds_written, 0);
+  EXPECT_EQ(written_callbacks, 0);
   auto revision = cache->commit_oldest();
   EXPECT_EQ(cache->applied, std::vector{revision});
   ASSERT_EQ(messenger.broadcasts.size(), 1u);
   EXPECT_EQ(std::get<protocol::ChangeNotification>(messenger.broadcasts[0]).revision, revision);
-  EXPECT_EQ(rounds_written, 1);
-  EXPECT_FALSE(round_open());
+  EXPECT_EQ(written_callbacks, 1);
+  EXPECT_FALSE(is_round_open());
   EXPECT_EQ(context.view().job(job)->outstanding(kShard).count(), kTasks);
 }
 
-TEST_F(GrantWriterTest, ATransactionThatFailedIsNotRepeatedAndTheRoundEndsOnceTheStateWasRead) {
+TEST_F(GrantWriterTest, DoesNotRetryAFailedTransactionAndEndsTheRoundAfterTheNextRead) {
   for (auto outcome : {TxnError::kConflict, TxnError::kRefused, TxnError::kUnknown}) {
     write(run_round());
     ASSERT_EQ(cache->txns.size(), 1u);
     cache->refuse_oldest(outcome);
-    EXPECT_TRUE(round_open());
+    EXPECT_TRUE(is_round_open());
     ASSERT_EQ(cache->syncs.size(), 1u);
     cache->finish_oldest_sync(true);
-    EXPECT_FALSE(round_open());
+    EXPECT_FALSE(is_round_open());
     EXPECT_TRUE(cache->txns.empty());
     clock.advance(std::chrono::seconds(10));
   }
-  EXPECT_EQ(rounds_written, 0);
+  EXPECT_EQ(written_callbacks, 0);
   EXPECT_TRUE(messenger.broadcasts.empty());
 }
 
-TEST_F(GrantWriterTest, ARoundWithoutGrantsEndsAtOnce) {
+TEST_F(GrantWriterTest, EndsARoundWithoutGrantsImmediately) {
   run_round();
-  ASSERT_TRUE(round_open());
+  ASSERT_TRUE(is_round_open());
   write({});
   EXPECT_TRUE(cache->txns.empty());
-  EXPECT_FALSE(round_open());
+  EXPECT_FALSE(is_round_open());
 }
 
-TEST_F(GrantWriterTest, AnAnswerForAnEarlierTermHasNoEffect) {
+TEST_F(GrantWriterTest, IgnoresTheOutcomeOfATransactionOfAnEarlierTerm) {
   write(run_round());
   ASSERT_EQ(cache->txns.size(), 1u);
   leadership.end_term();
@@ -126,35 +128,35 @@
   cache->commit_oldest();
   EXPECT_TRUE(cache->applied.empty());
   EXPECT_TRUE(messenger.broadcasts.empty());
-  EXPECT_EQ(rounds_written, 0);
+  EXPECT_EQ(written_callbacks, 0);
 }
 
-TEST_F(GrantWriterTest, AReadForAnEarlierTermHasNoEffect) {
+TEST_F(GrantWriterTest, IgnoresTheOutcomeOfAReadOfAnEarlierTerm) {
   write(run_round());
   ASSERT_EQ(cache->txns.size(), 1u);
   cache->refuse_oldest(TxnError::kConflict);
   leadership.end_term();
   cache->finish_oldest_sync(true);
-  EXPECT_EQ(rounds_written, 0);
+  EXPECT_EQ(written_callbacks, 0);
 }
 
-// Grants that can't be cut to the limit of a value.
-GrantWriter::Grants oversized(GrantWriter::Grants grants) {
+// Returns grants that exceed the size limit for a value and can't be trimmed, since they are revoked.
+GrantWriter::Grants make_oversized(GrantWriter::Grants grants) {
   auto& chunks = grants.at(0).grants.chunks;
   chunks.resize(1000, chunks.at(0));
   grants[0].grants.revoke = true;
   return grants;
 }
 
-TEST_F(GrantWriterTest, LeavesOutGrantsThatDoNotFitIntoAValue) {
-  write(oversized(run_round()));
+TEST_F(GrantWriterTest, DoesNotWriteGrantsThatExceedTheValueSizeLimit) {
+  write(make_oversized(run_round()));
   EXPECT_TRUE(cache->txns.empty());
-  EXPECT_FALSE(round_open());
+  EXPECT_FALSE(is_round_open());
 }
 
-// The job would take a place in every round otherwise.
-TEST_F(GrantWriterTest, AJobWhoseGrantsDoNotFitIsInNoRound) {
-  write(oversized(run_round()));
+// Otherwise the job would use up one of the limited places in every round, without effect.
+TEST_F(GrantWriterTest, ExcludesAJobFromLaterRoundsIfItsGrantsExceedTheValueSizeLimit) {
+  write(make_oversized(run_round()));
   clock.advance(std::chrono::seconds(10));
   EXPECT_TRUE(run_round().empty());
 }
--- a/tests/progress_writer_test.cpp
+++ b/tests/progress_writer_test.cpp
@@ -1,4 +1,4 @@
-// The progress of a led shard's tasks on its way to the state store.
+// Tests when the ProgressWriter writes the progress of a shard's tasks, and how it handles the outcome.
 #include "controller/progress_writer.h"
 
 #include "controller_component_fixture.h"
@@ -10,11 +10,11 @@
 using state_store::TxnError;
 
 constexpr Term kTerm(5);
-constexpr Duration kBatchDelay = std::chrono::seconds(1);
+constexpr Duration kUnnotifiedBatchDelay = std::chrono::seconds(1);
 constexpr Duration kReleasedBatchDelay = std::chrono::seconds(2);
 constexpr Duration kCheckPeriod = std::chrono::milliseconds(500);
 constexpr std::size_t kMaxJobsPerTxn = 6;
-// Ample for the shard to release tasks that find no place.
+// Longer than the time after which the shard releases tasks that it can't place on a machine.
 constexpr Duration kUnplacedTime = std::chrono::minutes(1);
 
 struct ProgressWriterTest : ComponentFixture {
@@ -26,7 +26,8 @@
     shard.manager->on_registry({}, clock.now());
     shard.manager->tick(clock.now(), clock.now(), clock.now());
   }
-  // The shard has progress to write: it releases tasks that no machine has taken for long enough.
+  // Gives the shard progress to write: it releases the job's tasks, which it couldn't place for
+  // kUnplacedTime.
   void release_tasks_of(const JobId& id) {
     cache->put(state_store::job_key(id), job_record_json(id, 2));
     state_store::Grants grants{{{Generation(1), kShard, kTerm, Ranges::span(0, 2)}}, Generation(1)};
@@ -52,10 +53,10 @@
   ProgressWriter writer{context, messenger, peers, shards};
 };
 
-TEST_F(ProgressWriterTest, WritesSoonWhileTheLeaderIsNotReachable) {
+TEST_F(ProgressWriterTest, WritesAfterTheShortDelayWhileTheLeaderIsUnreachable) {
   release_tasks_of(job);
   write();
-  write_after(kBatchDelay - std::chrono::milliseconds(1));
+  write_after(kUnnotifiedBatchDelay - std::chrono::milliseconds(1));
   EXPECT_TRUE(cache->txns.empty());
   write_after(kCheckPeriod);
   ASSERT_EQ(cache->txns.size(), 1u);
@@ -64,7 +65,7 @@
   EXPECT_EQ(cache->txns[0].txn.writes[0].key, state_store::progress_key(kShard, job));
 }
 
-TEST_F(ProgressWriterTest, WritesReleasedTasksLaterIfTheLeaderWasNotified) {
+TEST_F(ProgressWriterTest, WritesReleasedTasksAfterTheLongerDelayWhileTheLeaderIsReachable) {
   make_leader_reachable();
   release_tasks_of(job);
   write();
@@ -74,10 +75,10 @@
   EXPECT_EQ(cache->txns.size(), 1u);
 }
 
-TEST_F(ProgressWriterTest, WritesUnderTheTermOfTheShardAndOverTheRecordThatItHasRead) {
+TEST_F(ProgressWriterTest, WritesConditionalOnTheShardRoleAndOnTheExistingRecord) {
   release_tasks_of(job);
   write();
-  write_after(kBatchDelay);
+  write_after(kUnnotifiedBatchDelay);
   ASSERT_EQ(cache->txns.size(), 1u);
   const auto& conditions = cache->txns[0].txn.conditions;
   ASSERT_EQ(conditions.size(), 2u);
@@ -87,19 +88,19 @@
   EXPECT_EQ(conditions[1].revision, Revision());
 }
 
-TEST_F(ProgressWriterTest, WritesNothingWhileTheRoleIsHeldUnderAnotherTerm) {
+TEST_F(ProgressWriterTest, WritesNothingWhileTheShardRoleHasAnotherTerm) {
   release_tasks_of(job);
   set_shard_role(kPeer, Term(6));
   write();
-  write_after(kBatchDelay);
+  write_after(kUnnotifiedBatchDelay);
   write_after(kReleasedBatchDelay);
   EXPECT_TRUE(cache->txns.empty());
 }
 
-TEST_F(ProgressWriterTest, AppliesAndAnnouncesWhatWasWritten) {
+TEST_F(ProgressWriterTest, AppliesWrittenProgressToTheViewAndNotifiesPeers) {
   release_tasks_of(job);
   write();
-  write_after(kBatchDelay);
+  write_after(kUnnotifiedBatchDelay);
   ASSERT_EQ(cache->txns.size(), 1u);
   auto revision = cache->commit_oldest();
   EXPECT_EQ(cache->applied, std::vector{revision});
@@ -108,19 +109,19 @@
   EXPECT_EQ(context.view().job(job)->progress.at(kShard).value.released.size(), 1u);
 }
 
-TEST_F(ProgressWriterTest, OneTransactionIsUnderWayAtATime) {
+TEST_F(ProgressWriterTest, DoesNotWriteWhileATransactionIsPending) {
   release_tasks_of(job);
   write();
-  write_after(kBatchDelay);
-  write_after(kBatchDelay);
+  write_after(kUnnotifiedBatchDelay);
+  write_after(kUnnotifiedBatchDelay);
   EXPECT_EQ(cache->txns.size(), 1u);
 }
 
-TEST_F(ProgressWriterTest, RepeatsAFailedTransactionOnceTheStateWasRead) {
+TEST_F(ProgressWriterTest, RetriesAFailedTransactionAfterTheNextRead) {
   for (auto outcome : {TxnError::kConflict, TxnError::kRefused, TxnError::kUnknown}) {
     if (!shard().manager->unwritten_progress().contains(job)) release_tasks_of(job);
     write_after(kCheckPeriod);
-    write_after(kBatchDelay);
+    write_after(kUnnotifiedBatchDelay);
     ASSERT_EQ(cache->txns.size(), 1u);
     cache->refuse_oldest(outcome);
     EXPECT_TRUE(messenger.broadcasts.empty());
@@ -133,24 +134,24 @@
   EXPECT_EQ(cache->txns.size(), 1u);
 }
 
-TEST_F(ProgressWriterTest, WritesAFewJobsAtATime) {
+TEST_F(ProgressWriterTest, LimitsTheNumberOfJobsInATransaction) {
   for (std::size_t number = 0; number < kMaxJobsPerTxn + 2; ++number)
     release_tasks_of(JobId("run-" + std::to_string(number)));
   write();
-  write_after(kBatchDelay);
+  write_after(kUnnotifiedBatchDelay);
   ASSERT_EQ(cache->txns.size(), 1u);
   EXPECT_EQ(cache->txns[0].txn.writes.size(), kMaxJobsPerTxn);
 }
 
-TEST_F(ProgressWriterTest, AnAnswerForAnEarlierTermDoesNotEndATransactionOfTheNext) {
+TEST_F(ProgressWriterTest, OutcomeOfAnEarlierTermDoesNotEndThePendingTransactionOfTheNextTerm) {
   release_tasks_of(job);
   write();
-  write_after(kBatchDelay);
+  write_after(kUnnotifiedBatchDelay);
   ASSERT_EQ(cache->txns.size(), 1u);
-  auto& next = shards.add(kShard);
-  next.manager =
+  auto& next_term_shard = shards.add(kShard);
+  next_term_shard.manager =
       std::make_unique<shard::ShardManager>(kShard, Term(6), shard::fixture::params(), clock.now());
-  next.progress_write_pending = true;
+  next_term_shard.progress_write_pending = true;
   cache->commit_oldest();
   EXPECT_TRUE(shard().progress_write_pending);
 }
--- a/tests/registry_sync_test.cpp
+++ b/tests/registry_sync_test.cpp
@@ -1,4 +1,5 @@
-// The machine registry of a led shard: read when its term begins, written as machines come.
+// Tests that the RegistrySync read_callbacks a shard's machine registry when a term begins, and registers new
+// machines.
 #include "controller/registry_sync.h"
 
 #include <algorithm>
@@ -17,23 +18,23 @@
 struct RegistrySyncTest : ComponentFixture {
   RegistrySyncTest() {
     set_shard_role(kSelf, kTerm);
-    lead(kTerm);
+    begin_term(kTerm);
   }
-  // A term of the shard begins.
-  void lead(Term term) {
+  // Begins a term of the shard.
+  void begin_term(Term term) {
     shards.add(kShard).manager =
         std::make_unique<shard::ShardManager>(kShard, term, shard::fixture::params(), clock.now());
   }
   LedShard& shard() { return *shards.find(kShard); }
   void read() { registry.read(kShard, shard()); }
   void write() { registry.write(kShard, shard()); }
-  // The registry is read, and a worker that isn't registered sends a heartbeat.
+  // Reads the registry and lets a worker that isn't registered send a heartbeat.
   void read_and_add_worker() {
     read();
     cache->finish_oldest_sync(true);
     add_worker();
   }
-  // A worker that obeys this term of the shard sends a heartbeat.
+  // Lets an unregistered worker that has seen this term of the shard send a heartbeat.
   void add_worker() {
     auto worker = shard::fixture::new_worker("m1", Zone("a"));
     worker.token = FencingToken::first_of(kTerm);
@@ -41,21 +42,21 @@
   }
 
   LedShards shards;
-  int reads = 0;
-  RegistrySync registry{context, shards, [this] { ++reads; }};
+  int read_callbacks = 0;
+  RegistrySync registry{context, shards, [this] { ++read_callbacks; }};
 };
 
-TEST_F(RegistrySyncTest, TheShardIsNotReconciledBeforeItsRegistryWasRead) {
+TEST_F(RegistrySyncTest, ShardIsNotReconciledBeforeItsRegistryWasRead) {
   read();
   shard().manager->tick(clock.now(), clock.now(), clock.now());
   EXPECT_FALSE(shard().manager->is_reconciled());
   cache->finish_oldest_sync(true);
-  EXPECT_EQ(reads, 1);
+  EXPECT_EQ(read_callbacks, 1);
   shard().manager->tick(clock.now(), clock.now(), clock.now());
   EXPECT_TRUE(shard().manager->is_reconciled());
 }
 
-TEST_F(RegistrySyncTest, ReadsOnceInATerm) {
+TEST_F(RegistrySyncTest, ReadsTheRegistryOncePerTerm) {
   read();
   read();
   EXPECT_EQ(cache->syncs.size(), 1u);
@@ -64,31 +65,31 @@
   EXPECT_TRUE(cache->syncs.empty());
 }
 
-TEST_F(RegistrySyncTest, RepeatsAReadThatFailed) {
+TEST_F(RegistrySyncTest, RetriesAFailedRead) {
   read();
   cache->finish_oldest_sync(false);
-  EXPECT_EQ(reads, 0);
+  EXPECT_EQ(read_callbacks, 0);
   EXPECT_FALSE(shard().registry_read);
   read();
   EXPECT_EQ(cache->syncs.size(), 1u);
 }
 
-TEST_F(RegistrySyncTest, AReadOfAnEarlierTermHasNoEffect) {
+TEST_F(RegistrySyncTest, IgnoresTheOutcomeOfAReadOfAnEarlierTerm) {
   read();
-  lead(Term(6));
+  begin_term(Term(6));
   cache->finish_oldest_sync(true);
-  EXPECT_EQ(reads, 0);
+  EXPECT_EQ(read_callbacks, 0);
   EXPECT_FALSE(shard().registry_read);
 }
 
-TEST_F(RegistrySyncTest, AReadThatEndsAfterTheStopHasNoEffect) {
+TEST_F(RegistrySyncTest, IgnoresTheOutcomeOfAReadAfterStop) {
   read();
   registry.stop();
   cache->finish_oldest_sync(true);
-  EXPECT_EQ(reads, 0);
+  EXPECT_EQ(read_callbacks, 0);
 }
 
-TEST_F(RegistrySyncTest, RegistersANewMachineUnderTheTermOfTheShard) {
+TEST_F(RegistrySyncTest, RegistersANewMachineConditionalOnTheShardRole) {
   read_and_add_worker();
   write();
   ASSERT_EQ(cache->txns.size(), 1u);
@@ -111,22 +112,22 @@
   EXPECT_TRUE(cache->txns.empty());
 }
 
-TEST_F(RegistrySyncTest, WritesNothingWhileTheRoleIsHeldUnderAnotherTerm) {
+TEST_F(RegistrySyncTest, WritesNothingWhileTheShardRoleHasAnotherTerm) {
   read_and_add_worker();
   set_shard_role(kPeer, Term(6));
   write();
   EXPECT_TRUE(cache->txns.empty());
 }
 
-TEST_F(RegistrySyncTest, OneTransactionIsUnderWayAtATime) {
+TEST_F(RegistrySyncTest, DoesNotWriteWhileATransactionIsPending) {
   read_and_add_worker();
   write();
   write();
   EXPECT_EQ(cache->txns.size(), 1u);
 }
 
-// What was written instead decides what is to be written next.
-TEST_F(RegistrySyncTest, RepeatsAFailedTransactionOnceTheStateWasRead) {
+// The read shows what was written instead, on which the next transaction depends.
+TEST_F(RegistrySyncTest, RetriesAFailedTransactionAfterTheNextRead) {
   read_and_add_worker();
   write();
   cache->refuse_oldest(TxnError::kConflict);
