--- a/tests/controller_end_to_end_test.cpp
+++ b/tests/controller_end_to_end_test.cpp
@@ -295,7 +295,7 @@
 }
 
 // A controller of an earlier version ignores dependencies and might start such a job too early.
-TEST(Pipelines, AreRefusedWith503WhileAControllerDoesNotSupportThem) {
+TEST(Pipelines, SubmissionIsRefusedWith503WhileAControllerDoesNotSupportPipelines) {
   TwoControllers cluster;
   cluster.wait_until_healthy();
   cluster.wait_until_pipelines_accepted();
@@ -367,7 +367,7 @@
 
 // Guards against requests of users that wait in the queue for the state store during an outage until the
 // users time out.
-TEST(EndToEnd, RequestsAreRefusedImmediatelyWhileTheStateStoreIsUnreachable) {
+TEST(EndToEnd, RequestsAreRefusedWithoutSendingThemToAnUnreachableStateStore) {
   TwoControllers cluster;
   cluster.wait_until_healthy();
   EXPECT_EQ(cluster.call(0, "POST", "/v1/jobs", TwoControllers::job("run-1", "daemon", 1)).status, 201);
--- a/tests/rate_limit_share_test.cpp
+++ b/tests/rate_limit_share_test.cpp
@@ -5,7 +5,7 @@
 namespace beaconsill {
 namespace {
 
-TEST(RateLimitShare, SharesOfAllLiveControllersAddUpToTheLimit) {
+TEST(RateLimitShare, DividesTheLimitAmongTheLiveControllers) {
   struct Case {
     controller::LiveControllers live;
     double share;
