--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -2,21 +2,23 @@
 
 #include <algorithm>
 
+#include "base/log.h"
 #include "shard/estimator.h"
 
 namespace beaconsill::api {
 namespace {
 
-// Rounding errors of sums of resources.
-constexpr double kTolerance = 1e-6;
+// Tolerates rounding errors in sums of resources.
+constexpr double kRoundingTolerance = 1e-6;
 
-// `limit`: 0 for none.
+// Returns whether `needed` is above `limit`. A limit of 0 means that there is none.
 bool exceeds(double needed, double limit) {
-  return limit > 0 && needed > limit + kTolerance;
+  return limit > 0 && needed > limit + kRoundingTolerance;
 }
 
-// Whether a task fits a machine of this type in some zone that it may use.
-bool fits_type(const protocol::JobSpec& spec, const protocol::TypeInfo& info, const MachineType& type) {
+// Returns whether a task of the job fits on an empty machine of this type in at least one zone that the job
+// may use.
+bool task_fits_type(const protocol::JobSpec& spec, const protocol::TypeInfo& info, const MachineType& type) {
   const auto request = shard::request_of(spec, 1);
   const bool allowed = std::any_of(info.zones.begin(), info.zones.end(), [&](const Zone& zone) {
     return shard::is_allowed(request, type, zone, false);
@@ -24,12 +26,17 @@
   return allowed && shard::tasks_that_fit(info.total, spec.each) > 0;
 }
 
+std::string limit_exceeded(std::string_view resource, double needed, double limit) {
+  return fmt::format("needs {} {} at the same time, more than the team's limit of {}", needed, resource,
+                     limit);
+}
+
 }  // namespace
 
 const JobId* first_unknown_dependency(const protocol::JobSpec& spec,
-                                      const std::function<bool(const JobId&)>& known) {
+                                      const std::function<bool(const JobId&)>& is_known) {
   for (const auto& dependency : spec.depends_on)
-    if (!known(dependency)) return &dependency;
+    if (!is_known(dependency)) return &dependency;
   return nullptr;
 }
 
@@ -37,18 +44,18 @@
                       const protocol::Catalogue* catalogue) {
   using Kind = AdmissionResult::Kind;
   const auto* team = settings.team(spec.team);
-  if (!team) return {Kind::kNever, "unknown team"};
-  // Tasks that run at the same time, at least.
+  if (!team) return {Kind::kReject, "unknown team " + spec.team.value()};
+  // The minimum number of tasks that run at the same time: tasks of an array may run one after the other.
   const double tasks = spec.kind == JobKind::kArray ? 1 : spec.tasks;
   if (exceeds(spec.each.cpus * tasks, team->cpus_max))
-    return {Kind::kNever, "needs more CPUs than the team's limit"};
+    return {Kind::kReject, limit_exceeded("CPUs", spec.each.cpus * tasks, team->cpus_max)};
   if (exceeds(spec.each.gpus * tasks, team->gpus_max))
-    return {Kind::kNever, "needs more GPUs than the team's limit"};
-  if (!catalogue) return {Kind::kNotYet, "machine types not known yet"};
-  const bool fits = std::any_of(catalogue->begin(), catalogue->end(), [&](const auto& entry) {
-    return fits_type(spec, entry.second, entry.first);
+    return {Kind::kReject, limit_exceeded("GPUs", spec.each.gpus * tasks, team->gpus_max)};
+  if (!catalogue) return {Kind::kUndecided, "the machine types are not known yet"};
+  const bool fits_some_type = std::any_of(catalogue->begin(), catalogue->end(), [&](const auto& entry) {
+    return task_fits_type(spec, entry.second, entry.first);
   });
-  if (!fits) return {Kind::kNever, "fits no allowed machine type"};
+  if (!fits_some_type) return {Kind::kReject, "no machine type that the job allows can run one of its tasks"};
   return {};
 }
 
--- a/src/api/admission.h
+++ b/src/api/admission.h
@@ -1,4 +1,5 @@
-// Whether a job can ever run.
+// Admission control: decides whether a submitted job can ever run, given the limits of its team and the
+// machine types that the cloud offers.
 #pragma once
 
 #include <functional>
@@ -13,18 +14,19 @@
 struct AdmissionResult {
   enum class Kind {
     kAccept,
-    kNever,   // it exceeds a limit, or fits no machine type
-    kNotYet,  // not known yet
+    kReject,     // the job exceeds a limit of its team, or no machine type can run one of its tasks
+    kUndecided,  // the machine types are not known yet; the submission should be repeated later
   };
   Kind kind = Kind::kAccept;
-  std::string reason;  // of a refusal, for the user
+  std::string reason;  // error message for the user; empty if the job is accepted
 };
 
-// The first dependency of the job that isn't among those known; null: all are.
+// Returns the first dependency of the job for which `is_known` returns false, or nullptr if all are known.
 const JobId* first_unknown_dependency(const protocol::JobSpec& spec,
-                                      const std::function<bool(const JobId&)>& known);
+                                      const std::function<bool(const JobId&)>& is_known);
 
-// `catalogue`: null while the machine types aren't known.
+// Checks the job against the limits of its team and the machine types of `catalogue`, which is nullptr while
+// the machine types are not known.
 AdmissionResult admit(const protocol::JobSpec& spec, const config::Settings& settings,
                       const protocol::Catalogue* catalogue);
 
--- a/src/api/api.cpp
+++ b/src/api/api.cpp
@@ -10,8 +10,10 @@
 constexpr std::string_view kHealthPath = "/up";
 constexpr std::string_view kJobsPath = "/v1/jobs";
 constexpr std::string_view kCancelSuffix = "/withdraw";
-// Every request is responded to within this time of its arrival, whatever the state store does.
-constexpr Duration kRespondWithin = std::chrono::milliseconds(750);
+// Every request gets a response within this time of its arrival, even if the state store is slow or
+// unreachable.
+constexpr Duration kResponseTimeout = std::chrono::milliseconds(750);
+constexpr std::string_view kTimedOut = "the state store did not respond within 750 ms";
 
 net::Response method_not_allowed() {
   return {net::status::kMethodNotAllowed, "{}"};
@@ -26,7 +28,7 @@
       status_(context_),
       submission_(context_, status_),
       cancellation_(context_, status_),
-      deadline_(io_context, kRespondWithin, retry_later("the state service takes too long")) {}
+      deadline_(io_context, kResponseTimeout, retry_later(kTimedOut)) {}
 
 bool Api::is_user_path(const std::string& path) {
   return path.starts_with(kJobsPath);
@@ -34,7 +36,7 @@
 
 void Api::handle(const net::Request& request, net::HttpServer::Reply reply) {
   if (request.path == kHealthPath) return handle_health(request, reply);
-  reply = deadline_.guard(std::move(reply));
+  reply = deadline_.with_deadline(std::move(reply));
   const std::string_view path = request.path;
   if (path == kJobsPath) {
     if (request.method != "POST") return reply(method_not_allowed());
@@ -46,17 +48,18 @@
 
 void Api::handle_health(const net::Request& request, const net::HttpServer::Reply& reply) const {
   if (request.method != "GET") return reply(method_not_allowed());
-  reply(context_.hooks.is_healthy() ? net::Response{net::status::kOk, "{}"} : retry_later("not ready"));
+  reply(context_.hooks.is_healthy() ? net::Response{net::status::kOk, "{}"}
+                                    : retry_later("the controller is not ready to serve users"));
 }
 
-void Api::handle_job(const net::Request& request, std::string_view path,
+void Api::handle_job(const net::Request& request, std::string_view job_path,
                      const net::HttpServer::Reply& reply) const {
-  const bool is_cancellation = path.ends_with(kCancelSuffix);
-  if (is_cancellation) path.remove_suffix(kCancelSuffix.size());
-  // An id in any other form was never accepted.
-  if (!protocol::valid_job_id(path))
+  const bool is_cancellation = job_path.ends_with(kCancelSuffix);
+  if (is_cancellation) job_path.remove_suffix(kCancelSuffix.size());
+  // A job with an invalid id was never accepted, so it does not exist.
+  if (!protocol::valid_job_id(job_path))
     return reply({net::status::kNotFound, protocol::render_error(kNoSuchJob)});
-  const JobId id{std::string(path)};
+  const JobId id{std::string(job_path)};
   if (is_cancellation) {
     if (request.method != "POST") return reply(method_not_allowed());
     return cancellation_.handle(id, reply);
--- a/src/api/api.h
+++ b/src/api/api.h
@@ -1,4 +1,4 @@
-// The endpoints of the users.
+// The HTTP API for users: submits, cancels and reports the status of jobs, and answers health checks.
 #pragma once
 
 #include <memory>
@@ -15,12 +15,13 @@
 
 namespace beaconsill::api {
 
-// Routes requests to the endpoints. Every request is responded to within a fixed time, whatever the state
-// store does. Used on the thread of the io_context; it must outlive all requests.
+// Routes requests to the endpoints. Every request for a job gets a response within a fixed time, even if the
+// state store is slow or unreachable. Used only on the thread of the io_context; it must outlive all
+// requests.
 class Api {
  public:
   using Hooks = api::Hooks;
-  // The settings, the clock and the event loop have to outlive it.
+  // `io_context`, `clock` and `settings` must outlive this object.
   Api(asio::io_context& io_context, const Clock& clock, const config::Settings& settings,
       std::shared_ptr<state_store::TxnExecutor> store, std::shared_ptr<state_store::StateReader> watch_cache,
       Hooks hooks);
@@ -28,15 +29,16 @@
   Api& operator=(const Api&) = delete;
   ~Api() = default;
 
-  // Whether the path is one of the users'.
+  // Returns whether the path belongs to the endpoints for jobs, as opposed to health checks and other
+  // internal requests.
   static bool is_user_path(const std::string& path);
-  // Responds to a request by a user or a health check. `reply` is called once.
+  // Responds to a request for a job or to a health check. `reply` is called exactly once.
   void handle(const net::Request& request, net::HttpServer::Reply reply);
 
  private:
   void handle_health(const net::Request& request, const net::HttpServer::Reply& reply) const;
-  // `path`: after that of all jobs.
-  void handle_job(const net::Request& request, std::string_view path,
+  // `job_path` is the part of the path that follows "/v1/jobs/".
+  void handle_job(const net::Request& request, std::string_view job_path,
                   const net::HttpServer::Reply& reply) const;
 
   Context context_;
--- a/src/api/cancellation.cpp
+++ b/src/api/cancellation.cpp
@@ -5,13 +5,13 @@
 namespace beaconsill::api {
 
 void Cancellation::handle(const JobId& id, const net::HttpServer::Reply& reply) const {
-  if (!context_.reader->ready()) return reply(retry_later(kStarting));
+  if (!context_.reader->ready()) return reply(retry_later(kControllerStarting));
   if (auto state = status_.state(id)) {
     if (context_.view().terminal_state(id)) return reply(status_.status_response(id, *state));
     return write_terminal_record(id, reply);
   }
-  context_.read_now([this, id, reply](bool fresh) {
-    if (!fresh) return reply(retry_later(kUnreachable));
+  context_.sync_view([this, id, reply](bool synced) {
+    if (!synced) return reply(retry_later(kStateStoreUnreachable));
     auto state = status_.state(id);
     if (!state) return reply({net::status::kNotFound, protocol::render_error(kNoSuchJob)});
     if (context_.view().terminal_state(id)) return reply(status_.status_response(id, *state));
@@ -20,8 +20,8 @@
 }
 
 void Cancellation::write_terminal_record(const JobId& id, const net::HttpServer::Reply& reply) const {
-  if (!context_.reader->is_responsive()) return reply(retry_later(kUnreachable));
-  if (context_.overloaded()) return reply(retry_later("too many requests", kRetryLaterS));
+  if (!context_.reader->is_responsive()) return reply(retry_later(kStateStoreUnreachable));
+  if (context_.overloaded()) return reply(retry_later(kOverloaded, kRetryLaterS));
   const auto* job = context_.view().job(id);
   const state_store::TerminalRecord record{state_store::TerminalState::kCancelled, job->done().count()};
   protocol::Txn txn;
@@ -38,16 +38,17 @@
   if (result) {
     context_.reader->apply_own(txn, *result);
     reply(status_.status_response(id, protocol::JobState::kCancelled));
-    return context_.hooks.on_change(*result);
+    return context_.hooks.on_commit(*result);
   }
   if (result.error() != TxnError::kConflict && result.error() != TxnError::kUnknown)
-    return reply(retry_later(kUnreachable));
-  // Done or cancelled by now, or no response: what is stored decides.
-  context_.read_now([this, id, reply](bool fresh) {
+    return reply(retry_later(kStateStoreUnreachable));
+  // The job has become done or cancelled meanwhile, or the transaction got no response. Either way, what the
+  // state store holds decides.
+  context_.sync_view([this, id, reply](bool synced) {
     auto state = status_.state(id);
-    if (fresh && state && context_.view().terminal_state(id))
+    if (synced && state && context_.view().terminal_state(id))
       return reply(status_.status_response(id, *state));
-    reply(retry_later(kStateUnknown));
+    reply(retry_later(kOutcomeUnknown));
   });
 }
 
--- a/src/api/context.cpp
+++ b/src/api/context.cpp
@@ -9,10 +9,11 @@
 namespace beaconsill::api {
 namespace {
 
-// A change that would wait longer than this for the state store's rate limits is refused at once.
+// A write that would wait longer than this for the state store's rate limits is refused at once.
 constexpr Duration kMaxWriteWait = std::chrono::milliseconds(500);
-// What can't be sent for a user by then is of no use any more.
-constexpr Duration kSendWithin = std::chrono::milliseconds(600);
+// Longest time that a user's transaction may wait to be sent. After that it is dropped, because the user has
+// almost waited for as long as a response may take (see api.cpp).
+constexpr Duration kMaxSendDelay = std::chrono::milliseconds(600);
 
 }  // namespace
 
@@ -20,13 +21,13 @@
   return store->write_wait(state_store::Urgency::kUserRequest) > kMaxWriteWait;
 }
 
-void Context::read_now(std::function<void(bool)> done) const {
+void Context::sync_view(std::function<void(bool synced)> done) const {
   if (!reader->is_responsive()) return done(false);
   reader->sync(std::move(done));
 }
 
 void Context::commit(const protocol::Txn& txn, std::function<void(state_store::TxnResult)> done) const {
-  reader->commit(txn, state_store::Urgency::kUserRequest, std::move(done), kSendWithin);
+  reader->commit(txn, state_store::Urgency::kUserRequest, std::move(done), kMaxSendDelay);
 }
 
 net::Response retry_later(std::string_view reason, int retry_after_s) {
--- a/src/api/context.h
+++ b/src/api/context.h
@@ -1,4 +1,5 @@
-// What the endpoints of the users share.
+// State and helpers that the HTTP endpoints for users share: access to the state store, callbacks into the
+// controller, and responses that ask the user to repeat a request.
 #pragma once
 
 #include <functional>
@@ -12,24 +13,24 @@
 
 namespace beaconsill::api {
 
-// What the endpoints need of the controller.
+// Callbacks into the controller.
 struct Hooks {
-  // Null while the machine types aren't known.
+  // Returns the machine types of the cloud, or nullptr while they are not known.
   std::function<const protocol::Catalogue*()> catalogue;
-  // A change that others should read soon.
-  std::function<void(Revision)> on_change;
-  // Whether a user may see now that the job, which is known to be cancelled, is. The response follows in the
-  // same callback.
+  // Called with the revision of each change that was committed, so that other controllers read it soon.
+  std::function<void(Revision)> on_commit;
+  // Returns whether a user may learn now that the job, which is known here to be cancelled, is cancelled. The
+  // caller must send its response within the same event-loop callback.
   std::function<bool(const JobId&)> may_reveal_cancellation;
-  // How many tasks of the job run.
+  // Returns the number of tasks of the job that are running.
   std::function<std::uint32_t(const JobId&)> running_tasks;
-  // Whether this controller can serve users.
+  // Returns whether this controller can serve users.
   std::function<bool()> is_healthy;
-  // Whether all controllers support this format version of records.
+  // Returns whether all controllers support this format version of the records in the state store.
   std::function<bool(std::uint32_t version)> all_controllers_support;
 };
 
-// The state store as the endpoints use it. Used on one thread.
+// What every endpoint uses: clock, settings, the state store and the callbacks. Used on one thread.
 struct Context {
   const Clock& clock;
   const config::Settings& settings;
@@ -38,27 +39,32 @@
   Hooks hooks;
 
   const state_store::StateView& view() const { return reader->view(); }
-  // A change would wait too long for the state store's rate limits.
+  // Returns whether a write would have to wait too long for the state store's rate limits.
   bool overloaded() const;
-  // Reads what all controllers have shown users so far; refuses at once (false) while the state store is
-  // known not to respond to this controller.
-  void read_now(std::function<void(bool)> done) const;
-  // Sends a transaction for a user, or refuses it if that takes too long.
+  // Brings the view up to date with everything written before this call, which includes everything that any
+  // controller has revealed to users so far, then calls `done` with true. Calls `done` with false if the
+  // state store could not be read; it does so at once while the state store is known not to respond to this
+  // controller.
+  void sync_view(std::function<void(bool synced)> done) const;
+  // Sends a transaction on behalf of a user, or refuses it if the rate limits would delay
+  // it too long.
   void commit(const protocol::Txn& txn, std::function<void(state_store::TxnResult)> done) const;
 };
 
-// Why a request is refused for now.
-constexpr std::string_view kUnreachable = "state service not reachable";
-constexpr std::string_view kStarting = "starting";
-constexpr std::string_view kStateUnknown = "state not known";
+// Error messages of responses.
+constexpr std::string_view kStateStoreUnreachable = "the state store is not reachable";
+constexpr std::string_view kControllerStarting = "the controller is starting";
+constexpr std::string_view kOutcomeUnknown = "the outcome of the request is not known";
+constexpr std::string_view kOverloaded = "too many requests for the rate limit of the state store";
 constexpr std::string_view kNoSuchJob = "no such job";
 
-// Seconds after which a refused request is to be repeated.
+// Seconds after which the user should repeat a request (the Retry-After header).
 constexpr int kRetrySoonS = 1;
 constexpr int kRetryLaterS = 2;
 constexpr int kRetryMuchLaterS = 5;
 
-// The response to a request that is to be repeated later.
+// Returns a 503 response with the error message `reason`, which asks the user to repeat the request after
+// `retry_after_s` seconds. Logs the reason.
 net::Response retry_later(std::string_view reason, int retry_after_s = kRetrySoonS);
 
 }  // namespace beaconsill::api
--- a/src/api/job_status.cpp
+++ b/src/api/job_status.cpp
@@ -7,21 +7,22 @@
 
 using protocol::JobState;
 
-constexpr std::string_view kNotAcknowledged = "cancellation not yet known to all controllers";
+constexpr std::string_view kCancellationNotAcknowledged =
+    "the cancellation is not yet known to all controllers";
 
 }  // namespace
 
 void JobStatus::handle(const JobId& id, const net::HttpServer::Reply& reply) const {
-  auto respond = [this, id, reply](bool fresh) {
-    if (!fresh) return reply(retry_later(kUnreachable));
+  auto respond = [this, id, reply](bool synced) {
+    if (!synced) return reply(retry_later(kStateStoreUnreachable));
     if (auto current = state(id)) return reply(status_response(id, *current));
     reply({net::status::kNotFound, protocol::render_error(kNoSuchJob)});
   };
-  if (!context_.reader->ready()) return reply(retry_later(kStarting));
-  // A final state is final; everything else is read anew, since another controller may have shown something
-  // newer.
+  if (!context_.reader->ready()) return reply(retry_later(kControllerStarting));
+  // A terminal state never changes. Any other state is read again from the state store, because another
+  // controller may already have revealed a newer one.
   if (context_.view().terminal_state(id)) return respond(true);
-  context_.read_now(respond);
+  context_.sync_view(respond);
 }
 
 std::optional<JobState> JobStatus::state(const JobId& id) const {
@@ -37,12 +38,12 @@
 }
 
 net::Response JobStatus::accepted_response(const JobId& id, JobState state) const {
-  if (acknowledgement_pending(id, state)) return retry_later(kNotAcknowledged);
+  if (acknowledgement_pending(id, state)) return retry_later(kCancellationNotAcknowledged);
   return {net::status::kOk, protocol::render_accepted(id, state)};
 }
 
 net::Response JobStatus::status_response(const JobId& id, JobState state) const {
-  if (acknowledgement_pending(id, state)) return retry_later(kNotAcknowledged);
+  if (acknowledgement_pending(id, state)) return retry_later(kCancellationNotAcknowledged);
   const bool terminal = state == JobState::kDone || state == JobState::kCancelled;
   const auto running = terminal ? 0 : context_.hooks.running_tasks(id);
   return {net::status::kOk, protocol::render_status(id, state, done_tasks(id), running)};
--- a/src/api/reply_deadline.cpp
+++ b/src/api/reply_deadline.cpp
@@ -2,10 +2,10 @@
 
 namespace beaconsill::api {
 
-ReplyDeadline::ReplyDeadline(asio::io_context& io_context, Duration limit, net::Response late)
-    : state_(std::make_shared<State>(io_context, limit, std::move(late))) {}
+ReplyDeadline::ReplyDeadline(asio::io_context& io_context, Duration timeout, net::Response timeout_response)
+    : state_(std::make_shared<State>(io_context, timeout, std::move(timeout_response))) {}
 
-// NOLINTNEXTLINE(bugprone-exception-escape): a timer that is set can always be cancelled.
+// NOLINTNEXTLINE(bugprone-exception-escape): a timer that is set can always be cancelled without an error.
 ReplyDeadline::~ReplyDeadline() {
   state_->pending.clear();
   state_->timer.cancel();
@@ -18,9 +18,9 @@
   first_reply(std::move(response));
 }
 
-net::HttpServer::Reply ReplyDeadline::guard(net::HttpServer::Reply reply) {
+net::HttpServer::Reply ReplyDeadline::with_deadline(net::HttpServer::Reply reply) {
   auto request = std::make_shared<PendingRequest>(
-      PendingRequest{std::move(reply), std::chrono::steady_clock::now() + state_->limit});
+      PendingRequest{std::move(reply), std::chrono::steady_clock::now() + state_->timeout});
   state_->pending.push_back(request);
   arm(state_);
   return [request](net::Response response) { request->respond(std::move(response)); };
@@ -32,16 +32,16 @@
   state->timer.expires_at(state->pending.front()->deadline);
   state->timer.async_wait([state](std::error_code error) {
     state->armed = false;
-    if (!error) expire(state);
+    if (!error) respond_expired(state);
   });
 }
 
-void ReplyDeadline::expire(const std::shared_ptr<State>& state) {
+void ReplyDeadline::respond_expired(const std::shared_ptr<State>& state) {
   const auto now = std::chrono::steady_clock::now();
   while (!state->pending.empty() && state->pending.front()->deadline <= now) {
     auto request = std::move(state->pending.front());
     state->pending.pop_front();
-    request->respond(state->late);
+    request->respond(state->timeout_response);
   }
   arm(state);
 }
--- a/src/api/reply_deadline.h
+++ b/src/api/reply_deadline.h
@@ -1,4 +1,4 @@
-// A bound on how long any request may wait for its response.
+// Enforces a deadline on the responses to HTTP requests.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,38 +11,40 @@
 
 namespace beaconsill::api {
 
-// Responds to requests that are still pending `limit` after their arrival. All have the same limit, so one
-// timer serves them in the order in which they came. Used on the thread of the io_context.
+// Responds to requests that are still pending after `timeout`. All requests have the same timeout, so one
+// timer serves them in the order of their arrival. Used only on the thread of the io_context.
 class ReplyDeadline {
  public:
-  // `late`: the response at the deadline.
-  ReplyDeadline(asio::io_context& io_context, Duration limit, net::Response late);
+  // `timeout_response` is sent to requests that are still pending at their deadline.
+  ReplyDeadline(asio::io_context& io_context, Duration timeout, net::Response timeout_response);
   ~ReplyDeadline();  // NOLINT(bugprone-exception-escape): see its definition
   ReplyDeadline(const ReplyDeadline&) = delete;
   ReplyDeadline& operator=(const ReplyDeadline&) = delete;
 
-  // The first response goes through, from the caller or at the deadline; later ones are dropped.
-  net::HttpServer::Reply guard(net::HttpServer::Reply reply);
+  // Returns a callback that forwards to `reply`. Only the first response is sent, whether it comes from the
+  // caller or from the deadline; later ones are dropped.
+  net::HttpServer::Reply with_deadline(net::HttpServer::Reply reply);
 
  private:
   struct PendingRequest {
-    net::HttpServer::Reply reply;  // empty once it was called
+    net::HttpServer::Reply reply;  // empty once the response was sent
     Instant deadline;
     void respond(net::Response response);
   };
   struct State {
-    State(asio::io_context& io_context, Duration within, net::Response refusal)
-        : timer(io_context), limit(within), late(std::move(refusal)) {}
+    State(asio::io_context& io_context, Duration request_timeout, net::Response response)
+        : timer(io_context), timeout(request_timeout), timeout_response(std::move(response)) {}
     asio::steady_timer timer;
-    Duration limit;
-    net::Response late;
-    std::deque<std::shared_ptr<PendingRequest>> pending;  // the oldest first, also some that have a response
+    Duration timeout;
+    net::Response timeout_response;
+    std::deque<std::shared_ptr<PendingRequest>>
+        pending;  // the oldest first; includes some that have their response
     bool armed = false;
   };
   static void arm(const std::shared_ptr<State>& state);
-  static void expire(const std::shared_ptr<State>& state);
+  static void respond_expired(const std::shared_ptr<State>& state);
 
-  // Held by the timer's handler as well, which may run after this object's end.
+  // Shared with the timer's handler, which may run after this object is destroyed.
   std::shared_ptr<State> state_;
 };
 
--- a/src/api/submission.cpp
+++ b/src/api/submission.cpp
@@ -22,40 +22,42 @@
   } catch (const protocol::ProtocolError& error) {
     return reply({net::status::kBadRequest, protocol::render_error(error.what())});
   }
-  if (!context_.reader->ready()) return reply(retry_later(kStarting));
-  // What was accepted once is never judged again.
-  if (auto state = status_.state(spec.id)) return handle_known(spec.id, *state, reply);
+  if (!context_.reader->ready()) return reply(retry_later(kControllerStarting));
+  // Admission control does not run again for a job that was accepted before.
+  if (auto state = status_.state(spec.id)) return handle_existing(spec.id, *state, reply);
   const auto result = admit(spec, context_.settings, context_.hooks.catalogue());
-  if (result.kind != AdmissionResult::Kind::kAccept) return refuse(spec.id, result, reply);
-  if (first_unknown_dependency(spec)) return accept_after_read(spec, reply);
+  if (result.kind != AdmissionResult::Kind::kAccept) return refuse_after_sync(spec.id, result, reply);
+  if (first_unknown_dependency(spec)) return accept_after_sync(spec, reply);
   accept(std::move(spec), reply);
 }
 
-void Submission::handle_known(const JobId& id, protocol::JobState state, const Reply& reply) const {
+void Submission::handle_existing(const JobId& id, protocol::JobState state, const Reply& reply) const {
   if (state == protocol::JobState::kDone || state == protocol::JobState::kCancelled)
-    return reply_known(id, true, reply);
-  context_.read_now([this, id, reply](bool fresh) { reply_known(id, fresh, reply); });
+    return reply_existing(id, true, reply);
+  context_.sync_view([this, id, reply](bool synced) { reply_existing(id, synced, reply); });
 }
 
-// Another controller may have accepted it, before the catalogue changed say: only what was read can tell.
-void Submission::refuse(const JobId& id, const AdmissionResult& refusal, const Reply& reply) const {
-  context_.read_now([this, id, refusal, reply](bool fresh) {
-    if (!fresh) return reply(retry_later(kUnreachable));
+// Another controller may have accepted the job before, for example with an older catalogue of machine types.
+// Only an up-to-date view tells.
+void Submission::refuse_after_sync(const JobId& id, const AdmissionResult& refusal,
+                                   const Reply& reply) const {
+  context_.sync_view([this, id, refusal, reply](bool synced) {
+    if (!synced) return reply(retry_later(kStateStoreUnreachable));
     if (auto state = status_.state(id)) return reply(status_.accepted_response(id, *state));
-    if (refusal.kind == AdmissionResult::Kind::kNever)
+    if (refusal.kind == AdmissionResult::Kind::kReject)
       return reply({net::status::kUnprocessableContent, protocol::render_error(refusal.reason)});
     reply(retry_later(refusal.reason, kRetryMuchLaterS));
   });
 }
 
-// Another controller may just have accepted what it depends on: only what was read can tell.
-void Submission::accept_after_read(const protocol::JobSpec& spec, const Reply& reply) const {
-  context_.read_now([this, spec, reply](bool fresh) {
-    if (!fresh) return reply(retry_later(kUnreachable));
+// Another controller may just have accepted the job's dependencies. Only an up-to-date view tells.
+void Submission::accept_after_sync(const protocol::JobSpec& spec, const Reply& reply) const {
+  context_.sync_view([this, spec, reply](bool synced) {
+    if (!synced) return reply(retry_later(kStateStoreUnreachable));
     if (auto state = status_.state(spec.id)) return reply(status_.accepted_response(spec.id, *state));
     if (const auto* unknown = first_unknown_dependency(spec))
       return reply({net::status::kUnprocessableContent,
-                    protocol::render_error("awaits " + unknown->value() + ", no such job")});
+                    protocol::render_error("depends on job " + unknown->value() + ", which does not exist")});
     accept(spec, reply);
   });
 }
@@ -65,18 +67,18 @@
       spec, [this](const JobId& dependency) { return status_.state(dependency).has_value(); });
 }
 
-void Submission::reply_known(const JobId& id, bool fresh, const Reply& reply) const {
-  if (auto state = status_.state(id); fresh && state) return reply(status_.accepted_response(id, *state));
-  reply(retry_later(kStateUnknown));
+void Submission::reply_existing(const JobId& id, bool synced, const Reply& reply) const {
+  if (auto state = status_.state(id); synced && state) return reply(status_.accepted_response(id, *state));
+  reply(retry_later(kOutcomeUnknown));
 }
 
-// A job with a cancelled dependency is accepted and cancelled at once. The response must not call it queued
-// because this controller has yet to read of a cancellation that was acknowledged long ago.
+// A job with a cancelled dependency is accepted and cancelled at once. The response must not report it as
+// queued merely because this controller has not yet read a cancellation that was acknowledged earlier.
 void Submission::reply_accepted(const JobId& id, const Reply& reply) const {
   const auto* job = context_.view().job(id);
-  auto respond = [this, id, reply](bool fresh) {
+  auto respond = [this, id, reply](bool synced) {
     auto state = status_.state(id);
-    if (!fresh || !state) return reply(retry_later(kStateUnknown));
+    if (!synced || !state) return reply(retry_later(kOutcomeUnknown));
     auto response = status_.accepted_response(id, *state);
     if (response.status == net::status::kOk) response.status = net::status::kCreated;
     reply(std::move(response));
@@ -85,24 +87,26 @@
   const bool recent =
       read_at && context_.clock.now() - *read_at < from_seconds(context_.settings.cancel_s / 4);
   if (!job || job->record.spec->depends_on.empty() || recent) return respond(true);
-  context_.read_now(respond);
+  context_.sync_view(respond);
 }
 
 void Submission::accept(protocol::JobSpec spec, const Reply& reply) const {
-  if (!context_.reader->is_responsive()) return reply(retry_later(kUnreachable));
+  if (!context_.reader->is_responsive()) return reply(retry_later(kStateStoreUnreachable));
   if (!spec.depends_on.empty() && !context_.hooks.all_controllers_support(state_store::kDependenciesSince))
-    return reply(retry_later("not all controllers know of jobs that await others", kRetryLaterS));
-  if (context_.overloaded()) return reply(retry_later("too many submissions", kRetryLaterS));
+    return reply(retry_later("not all controllers support jobs with dependencies yet", kRetryLaterS));
+  if (context_.overloaded()) return reply(retry_later(kOverloaded, kRetryLaterS));
   state_store::JobRecord record{std::make_shared<const protocol::JobSpec>(std::move(spec)),
                                 context_.clock.wall()};
   const auto max_bytes = std::min(context_.settings.value_bytes(), state_store::kMaxValueBytes);
   auto values = state_store::fit_job(std::move(record), max_bytes);
   if (!values)
     return reply({net::status::kUnprocessableContent,
-                  protocol::render_error("its record is larger than the state service takes")});
+                  protocol::render_error("the job's record does not fit into " + std::to_string(max_bytes) +
+                                         " bytes, the limit of a value in the state store")});
   if (!values->depends_on.empty() &&
       !context_.hooks.all_controllers_support(state_store::kUnboundedKeysSince))
-    return reply(retry_later("not all controllers know of so many awaited jobs", kRetryLaterS));
+    return reply(
+        retry_later("not all controllers support this many dependencies of a job yet", kRetryLaterS));
   write_job(*values, reply);
 }
 
@@ -120,9 +124,9 @@
       break;
   }
   if (draft.empty()) return write_record(values, reply);
-  // What is written by now is there when the user repeats the request.
+  // The segments written so far remain stored, so a repeated submission continues from there.
   context_.commit(draft.txn(), [this, values, reply, txn = draft.txn()](const TxnResult& result) {
-    if (!result) return reply(retry_later(kStateUnknown));
+    if (!result) return reply(retry_later(kOutcomeUnknown));
     context_.reader->apply_own(txn, *result);
     write_job(values, reply);
   });
@@ -132,7 +136,8 @@
   const auto& id = values.record.spec->id;
   protocol::Txn txn;
   txn.conditions = {{state_store::job_key(id), Revision()}, {state_store::terminal_key(id), Revision()}};
-  // These keys are deleted the first one first: then the record doesn't follow any more.
+  // Dependency keys are deleted in ascending order. The condition on the first one makes this transaction
+  // fail if their deletion has begun.
   if (!values.depends_on.empty())
     txn.conditions.push_back(
         {state_store::dependency_key(id, 0), context_.view().dependency_keys(id).at(0).revision});
@@ -146,17 +151,18 @@
   if (result) {
     context_.reader->apply_own(txn, *result);
     spdlog::debug("job_accepted job={} revision={}", id.value(), result->value());
-    context_.hooks.on_change(*result);
+    context_.hooks.on_commit(*result);
     return reply_accepted(id, reply);
   }
   switch (result.error()) {
     case TxnError::kConflict:
     case TxnError::kUnknown:
-      // Known already, or no response: what is stored decides.
-      return context_.read_now([this, id, reply](bool fresh) { reply_known(id, fresh, reply); });
+      // The job is stored already, or the transaction got no response. Either way, what the state store holds
+      // decides.
+      return context_.sync_view([this, id, reply](bool synced) { reply_existing(id, synced, reply); });
     case TxnError::kRefused:
     case TxnError::kRejected:
-      return reply(retry_later(kUnreachable));
+      return reply(retry_later(kStateStoreUnreachable));
   }
 }
 
--- a/src/api/submission.h
+++ b/src/api/submission.h
@@ -1,4 +1,4 @@
-// Submission of jobs by their users.
+// The endpoint with which users submit jobs.
 #pragma once
 
 #include "api/admission.h"
@@ -8,34 +8,38 @@
 
 namespace beaconsill::api {
 
-// Submissions are idempotent: a repeated one gets the state of the job that was accepted.
+// Submissions are idempotent: a repeated one gets the state of the job that was accepted before.
 class Submission {
  public:
   Submission(const Context& context, const JobStatus& status) : context_(context), status_(status) {}
 
-  // Responds to a request to run the job that `request` holds.
+  // Responds to a request to run the job that is described in the body of `request`.
   void handle(const net::Request& request, const net::HttpServer::Reply& reply) const;
 
  private:
   using Reply = net::HttpServer::Reply;
 
-  // Repeated: the job is known already.
-  void handle_known(const JobId& id, protocol::JobState state, const Reply& reply) const;
-  // A job that can't run as things stand here.
-  void refuse(const JobId& id, const AdmissionResult& refusal, const Reply& reply) const;
-  // A job with a dependency that isn't in the view.
-  void accept_after_read(const protocol::JobSpec& spec, const Reply& reply) const;
-  // Writes the job's record; the job was found fit to run.
+  // Responds to a repeated submission: the view already contains the job, in this state.
+  void handle_existing(const JobId& id, protocol::JobState state, const Reply& reply) const;
+  // Responds to a job that admission control did not accept, unless another controller has accepted it
+  // before.
+  void refuse_after_sync(const JobId& id, const AdmissionResult& refusal, const Reply& reply) const;
+  // Brings the view up to date because it lacks a dependency of the job, then accepts the job if all
+  // dependencies exist.
+  void accept_after_sync(const protocol::JobSpec& spec, const Reply& reply) const;
+  // Stores a job that passed admission control.
   void accept(protocol::JobSpec spec, const Reply& reply) const;
-  // Writes those keys of its dependencies that aren't there yet, then its record.
+  // Writes the keys of the job's dependencies that are not stored yet, then the job's record.
   void write_job(const state_store::JobValues& values, const Reply& reply) const;
   void write_record(const state_store::JobValues& values, const Reply& reply) const;
   void on_record_result(const protocol::Txn& txn, const JobId& id, const Reply& reply,
                         const state_store::TxnResult& result) const;
-  // Responds for a job that has just been accepted.
+  // Responds to the submission of a job whose record was just written.
   void reply_accepted(const JobId& id, const Reply& reply) const;
-  void reply_known(const JobId& id, bool fresh, const Reply& reply) const;
-  // The first of its dependencies that isn't in the view; null: all are.
+  // Responds with the state of a job that may be stored already. `synced` tells whether the state store could
+  // be read.
+  void reply_existing(const JobId& id, bool synced, const Reply& reply) const;
+  // Returns the first dependency of the job that is not in the view, or nullptr if all are.
   const JobId* first_unknown_dependency(const protocol::JobSpec& spec) const;
 
   const Context& context_;
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -7,13 +7,13 @@
 
 namespace beaconsill::cloud {
 namespace {
-constexpr Duration kTimeout = std::chrono::seconds(3);
-constexpr Duration kQueueWait = std::chrono::seconds(4);
-constexpr std::size_t kConnections = 2;
+constexpr Duration kResponseTimeout = std::chrono::seconds(3);
+constexpr Duration kMaxQueueWait = std::chrono::seconds(4);
+constexpr std::size_t kMaxConnections = 2;
 constexpr double kBurstSeconds = 1.5;
-constexpr std::size_t kMaxLoggedBody = 200;
+constexpr std::size_t kMaxLoggedBodyBytes = 200;
 
-bool says_no_capacity(const net::Response& response) {
+bool reports_no_capacity(const net::Response& response) {
   if (response.status != net::status::kServiceUnavailable) return false;
   try {
     return protocol::get_string(protocol::parse_object(response.body), "error") == "no capacity";
@@ -22,23 +22,24 @@
   }
 }
 
-// What an answer other than 200, or the lack of one, means.
-CloudError to_error(const net::Result& result) {
-  if (!result) return CloudError::kUnanswered;
+// Maps a response with a status other than 200, or a missing response, to an error.
+CloudError to_cloud_error(const net::Result& result) {
+  if (!result) return CloudError::kOutcomeUnknown;
   if (result->status == net::status::kBadRequest) return CloudError::kRejected;
-  return says_no_capacity(*result) ? CloudError::kNoCapacity : CloudError::kUnanswered;
+  return reports_no_capacity(*result) ? CloudError::kNoCapacity : CloudError::kOutcomeUnknown;
 }
 
-// The answer as `parse` reads it. `request`: for the log.
+// Returns the body of the response as parsed by `parse`, or an error. `request` names the request in log
+// lines.
 template <class Parse>
-auto parse_answer(const net::Result& result, const char* request, Parse parse)
+auto parse_response(const net::Result& result, const char* request, Parse parse)
     -> tl::expected<decltype(parse(protocol::Json())), CloudError> {
-  if (!result || result->status != net::status::kOk) return tl::unexpected(to_error(result));
+  if (!result || result->status != net::status::kOk) return tl::unexpected(to_cloud_error(result));
   try {
     return parse(protocol::parse_object(result->body));
   } catch (const protocol::ProtocolError& error) {
     spdlog::error("cloud_answer_malformed request={} reason=\"{}\"", request, error.what());
-    return tl::unexpected(CloudError::kUnanswered);
+    return tl::unexpected(CloudError::kOutcomeUnknown);
   }
 }
 }  // namespace
@@ -46,7 +47,7 @@
 CloudClient::CloudClient(asio::io_context& io_context, const Clock& clock, const net::Tcp::endpoint& endpoint,
                          double rps)
     : clock_(clock),
-      http_(std::make_shared<net::HttpClient>(io_context, endpoint, kConnections)),
+      http_(std::make_shared<net::HttpClient>(io_context, endpoint, kMaxConnections)),
       rate_limiter_(rps, kBurstSeconds, clock.now()),
       timer_(io_context) {}
 
@@ -61,7 +62,7 @@
     return;
   }
   QueuedRequest request{std::move(method), std::move(target), std::move(body), std::move(done),
-                        clock_.now() + kQueueWait};
+                        clock_.now() + kMaxQueueWait};
   if (position == QueuePosition::kFront) {
     queue_.push_front(std::move(request));
   } else {
@@ -72,11 +73,10 @@
 
 void CloudClient::send_queued() {
   if (stopped_) return;
-  // Called back last: a callback may enqueue the next request.
+  // Callbacks run last because they may enqueue further requests.
   for (auto& expired : send_until_rate_limit()) expired.done(tl::unexpected(net::RequestError::kNotSent));
 }
 
-// Returns the requests that waited for too long.
 std::vector<CloudClient::QueuedRequest> CloudClient::send_until_rate_limit() {
   auto now = clock_.now();
   std::vector<QueuedRequest> expired;
@@ -105,21 +105,21 @@
 }
 
 void CloudClient::send(QueuedRequest request) {
-  auto on_answer = [weak = weak_from_this(), done = std::move(request.done)](net::Result result) {
+  auto on_response = [weak = weak_from_this(), done = std::move(request.done)](net::Result result) {
     if (auto self = weak.lock(); self && result && result->status == net::status::kTooManyRequests)
       self->rate_limiter_.drain(self->clock_.now());
     done(std::move(result));
   };
-  http_->request(request.method, request.target, request.body, kTimeout, std::move(on_answer));
+  http_->request(request.method, request.target, request.body, kResponseTimeout, std::move(on_response));
 }
 
-void CloudClient::catalogue(CatalogueCallback done) {
+void CloudClient::fetch_catalogue(CatalogueCallback done) {
   enqueue(QueuePosition::kBack, "GET", "/catalog", "", [done = std::move(done)](const net::Result& result) {
-    done(parse_answer(result, "catalogue", protocol::parse_catalogue));
+    done(parse_response(result, "catalogue", protocol::parse_catalogue));
   });
 }
 
-void CloudClient::list(ListCallback done) {
+void CloudClient::list_machines(ListCallback done) {
   fetch_page(std::make_shared<std::vector<protocol::ListedMachine>>(), std::nullopt, std::move(done));
 }
 
@@ -128,9 +128,9 @@
   auto on_page = [weak = weak_from_this(), machines,
                   done = std::move(done)](const net::Result& result) mutable {
     auto self = weak.lock();
-    auto page = parse_answer(result, "list_machines", protocol::parse_machine_page);
+    auto page = parse_response(result, "list_machines", protocol::parse_machine_page);
     if (!self || !page) {
-      done(tl::unexpected(page ? CloudError::kUnanswered : page.error()));
+      done(tl::unexpected(page ? CloudError::kOutcomeUnknown : page.error()));
       return;
     }
     for (auto& machine : page->machines) machines->push_back(std::move(machine));
@@ -143,26 +143,26 @@
   enqueue(QueuePosition::kBack, "GET", protocol::machine_page_target(after), "", std::move(on_page));
 }
 
-void CloudClient::remove(const std::vector<MachineName>& machines, RemoveCallback done) {
+void CloudClient::delete_machines(const std::vector<MachineName>& machines, DeleteCallback done) {
   enqueue(QueuePosition::kFront, "POST", "/machines/delete", protocol::render_delete(machines),
           [done = std::move(done)](const net::Result& result) {
             if (result && result->status == net::status::kOk) {
               done({});
               return;
             }
-            done(tl::unexpected(to_error(result)));
+            done(tl::unexpected(to_cloud_error(result)));
           });
 }
 
-void CloudClient::rent(const protocol::RentRequest& request, RentCallback done) {
-  auto on_answer = [done = std::move(done)](const net::Result& result) {
-    auto machines = parse_answer(result, "rent_machines", protocol::parse_rented);
+void CloudClient::rent_machines(const protocol::RentRequest& request, RentCallback done) {
+  auto on_response = [done = std::move(done)](const net::Result& result) {
+    auto machines = parse_response(result, "rent_machines", protocol::parse_rented);
     if (result && machines == tl::unexpected(CloudError::kRejected))
       spdlog::error("cloud_request_refused request=rent_machines reason=\"{}\"",
-                    result->body.substr(0, kMaxLoggedBody));
+                    result->body.substr(0, kMaxLoggedBodyBytes));
     done(std::move(machines));
   };
-  enqueue(QueuePosition::kBack, "POST", "/machines", protocol::render_rent(request), std::move(on_answer));
+  enqueue(QueuePosition::kBack, "POST", "/machines", protocol::render_rent(request), std::move(on_response));
 }
 
 void CloudClient::stop() {
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -1,4 +1,4 @@
-// Client of the cloud's API, within its rate limit.
+// HTTP client for the cloud's API: lists, rents and deletes machines within the cloud's rate limit.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -17,36 +17,38 @@
 
 namespace beaconsill::cloud {
 
-// Why a request to the cloud has no result.
+// Why a request to the cloud failed.
 enum class CloudError {
-  kUnanswered,  // no well-formed answer in time: it may have been carried out, or may yet be
-  kNoCapacity,  // the cloud has no such machine to rent now
-  kRejected,    // 400: the request itself is wrong
+  kOutcomeUnknown,  // no usable response in time: the request may have been executed, or may still be
+  kNoCapacity,      // the cloud has no machine of this kind to rent at present
+  kRejected,        // status 400: the request is invalid
 };
 
-// Owns the queue of requests and the connections. A request waits for its turn within `rps` (requests per
-// second) for a few seconds, and isn't repeated. Errors aren't thrown: a callback gets a CloudError. Every
-// callback is called once, at the latest by stop(). One thread.
+// Owns the queue of requests and the connections. A request waits in the queue for a few seconds at most
+// until the rate limit of `rps` requests per second allows it to be sent; it is not retried. Errors are not
+// thrown: the callback receives a CloudError. Every callback is called exactly once, at the latest by stop().
+// Used on one thread.
 class CloudClient : public std::enable_shared_from_this<CloudClient> {
  public:
   using CatalogueResult = tl::expected<protocol::Catalogue, CloudError>;
   using ListResult = tl::expected<std::vector<protocol::ListedMachine>, CloudError>;
-  using RemoveResult = tl::expected<void, CloudError>;
+  using DeleteResult = tl::expected<void, CloudError>;
   using RentResult = tl::expected<std::vector<MachineName>, CloudError>;
   using CatalogueCallback = std::function<void(CatalogueResult)>;
   using ListCallback = std::function<void(ListResult)>;
-  using RemoveCallback = std::function<void(RemoveResult)>;
+  using DeleteCallback = std::function<void(DeleteResult)>;
   using RentCallback = std::function<void(RentResult)>;
 
   CloudClient(asio::io_context& io_context, const Clock& clock, const net::Tcp::endpoint& endpoint,
               double rps);
 
-  void catalogue(CatalogueCallback done);
-  // All pages of the list of machines.
-  void list(ListCallback done);
-  // Deletes machines; on success they are deleted. Deletions go before everything else: tasks wait for them.
-  void remove(const std::vector<MachineName>& machines, RemoveCallback done);
-  void rent(const protocol::RentRequest& request, RentCallback done);
+  void fetch_catalogue(CatalogueCallback done);
+  // Fetches all pages of the list of machines.
+  void list_machines(ListCallback done);
+  // Deletes machines; success means that they are deleted. Deletions are sent before all other requests,
+  // because tasks wait for them.
+  void delete_machines(const std::vector<MachineName>& machines, DeleteCallback done);
+  void rent_machines(const protocol::RentRequest& request, RentCallback done);
   void set_rate(double rps);
   void stop();
 
@@ -60,9 +62,11 @@
 
   void enqueue(QueuePosition position, std::string method, std::string target, std::string body,
                std::function<void(net::Result)> done);
+  // Sends queued requests as far as the rate limit allows, and fails those that waited too long.
   void send_queued();
   void send(QueuedRequest request);
   void wait_for_rate_limit(Instant now);
+  // Returns the requests that waited too long; their callbacks are not called yet.
   std::vector<QueuedRequest> send_until_rate_limit();
   void fetch_page(const std::shared_ptr<std::vector<protocol::ListedMachine>>& machines,
                   const std::optional<MachineName>& after, ListCallback done);
--- a/src/controller/autoscaler_service.cpp
+++ b/src/controller/autoscaler_service.cpp
@@ -62,7 +62,7 @@
                term = leadership_.term()](const cloud::CloudClient::RentResult& names) {
     if (leadership_.is_leader_under(term)) on_rent_result(request, names);
   };
-  ctx_.cloud->rent(*request, std::move(done));
+  ctx_.cloud->rent_machines(*request, std::move(done));
 }
 
 void AutoscalerService::on_rent_result(const protocol::RentRequest& request,
@@ -78,7 +78,7 @@
       autoscaler_->on_refused(request, ctx_.now());
       rent();
       return;
-    case cloud::CloudError::kUnanswered:
+    case cloud::CloudError::kOutcomeUnknown:
       autoscaler_->on_unanswered(ctx_.now());
       return;
   }
@@ -87,7 +87,7 @@
 void AutoscalerService::delete_failed_instances() {
   auto failed = autoscaler_->failed_instances(ctx_.now());
   if (failed.empty()) return;
-  ctx_.cloud->remove(failed, [this, failed](const cloud::CloudClient::RemoveResult& deleted) {
+  ctx_.cloud->delete_machines(failed, [this, failed](const cloud::CloudClient::DeleteResult& deleted) {
     if (!deleted || stopped_) return;
     messenger_.broadcast(protocol::TerminatedMachines{failed});
     shards_.on_machines_terminated(failed);
@@ -109,7 +109,7 @@
   const auto begun = ctx_.now();
   if (!autoscaler_ || listing_ || (list_not_before_ && begun < *list_not_before_)) return;
   listing_ = true;
-  ctx_.cloud->list([this, begun](cloud::CloudClient::ListResult machines) {
+  ctx_.cloud->list_machines([this, begun](cloud::CloudClient::ListResult machines) {
     listing_ = false;
     auto now = ctx_.now();
     list_not_before_ = now + (now - begun);
--- a/src/controller/catalogue_refresher.cpp
+++ b/src/controller/catalogue_refresher.cpp
@@ -23,7 +23,7 @@
 void CatalogueRefresher::run() {
   if (fetching_ || (ctx_.catalogue && ctx_.now() - fetched_at_ < kMaxAge)) return;
   fetching_ = true;
-  ctx_.cloud->catalogue(
+  ctx_.cloud->fetch_catalogue(
       [this](cloud::CloudClient::CatalogueResult catalogue) { on_fetched(std::move(catalogue)); });
 }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -90,7 +90,7 @@
 void Controller::make_api() {
   api::Api::Hooks hooks;
   hooks.catalogue = [this] { return ctx_.catalogue.get(); };
-  hooks.on_change = [this](Revision revision) {
+  hooks.on_commit = [this](Revision revision) {
     peers_->messenger().broadcast(protocol::ChangeNotification{revision});
   };
   hooks.may_reveal_cancellation = [this](const JobId& id) { return peers_->cancellations().may_reveal(id); };
--- a/src/controller/shard_service.cpp
+++ b/src/controller/shard_service.cpp
@@ -169,8 +169,8 @@
   if (!ctx_.roles_read_since_pause()) return;
   auto machines = shard.manager->take_machines_to_delete(ctx_.now());
   if (machines.empty()) return;
-  ctx_.cloud->remove(machines, [this, id, term = shard.manager->term(),
-                                machines](const cloud::CloudClient::RemoveResult& deleted) {
+  ctx_.cloud->delete_machines(machines, [this, id, term = shard.manager->term(),
+                                machines](const cloud::CloudClient::DeleteResult& deleted) {
     if (stopped_) return;
     if (deleted) {
       peers_.messenger().broadcast(protocol::TerminatedMachines{machines});
--- a/tests/cloud_client_test.cpp
+++ b/tests/cloud_client_test.cpp
@@ -51,21 +51,21 @@
   const Case cases[] = {
       {"machines", {200, R"({"beacons":["m1","m2"]})"}, machines},
       {"no machines", {200, R"({"beacons":[]})"}, std::vector<MachineName>{}},
-      {"no list", {200, "{}"}, tl::unexpected(CloudError::kUnanswered)},
-      {"no JSON", {200, "machines"}, tl::unexpected(CloudError::kUnanswered)},
+      {"no list", {200, "{}"}, tl::unexpected(CloudError::kOutcomeUnknown)},
+      {"no JSON", {200, "machines"}, tl::unexpected(CloudError::kOutcomeUnknown)},
       {"malformed request", {400, "{}"}, tl::unexpected(CloudError::kRejected)},
-      {"not found", {404, "{}"}, tl::unexpected(CloudError::kUnanswered)},
-      {"too many requests", {429, "{}"}, tl::unexpected(CloudError::kUnanswered)},
-      {"failure", {500, R"({"error":"no capacity"})"}, tl::unexpected(CloudError::kUnanswered)},
+      {"not found", {404, "{}"}, tl::unexpected(CloudError::kOutcomeUnknown)},
+      {"too many requests", {429, "{}"}, tl::unexpected(CloudError::kOutcomeUnknown)},
+      {"failure", {500, R"({"error":"no capacity"})"}, tl::unexpected(CloudError::kOutcomeUnknown)},
       {"no capacity", {503, R"({"error":"no capacity"})"}, tl::unexpected(CloudError::kNoCapacity)},
-      {"outage", {503, R"({"error":"unavailable"})"}, tl::unexpected(CloudError::kUnanswered)},
-      {"outage without JSON", {503, "unavailable"}, tl::unexpected(CloudError::kUnanswered)},
+      {"outage", {503, R"({"error":"unavailable"})"}, tl::unexpected(CloudError::kOutcomeUnknown)},
+      {"outage without JSON", {503, "unavailable"}, tl::unexpected(CloudError::kOutcomeUnknown)},
   };
   for (const auto& test_case : cases) {
     CloudClientFixture fixture(test_case.answer);
     std::optional<CloudClient::RentResult> result;
-    fixture.client->rent({"r1", MachineType("t"), Zone("z"), false, 2},
-                         [&](CloudClient::RentResult received) { result = std::move(received); });
+    fixture.client->rent_machines({"r1", MachineType("t"), Zone("z"), false, 2},
+                                  [&](CloudClient::RentResult received) { result = std::move(received); });
     fixture.run_until([&] { return result.has_value(); });
     EXPECT_TRUE(*result == test_case.result) << test_case.what;
   }
@@ -78,15 +78,15 @@
   };
   const Case cases[] = {{200, std::nullopt},
                         {400, CloudError::kRejected},
-                        {404, CloudError::kUnanswered},
-                        {429, CloudError::kUnanswered},
-                        {503, CloudError::kUnanswered}};
+                        {404, CloudError::kOutcomeUnknown},
+                        {429, CloudError::kOutcomeUnknown},
+                        {503, CloudError::kOutcomeUnknown}};
   for (const auto& test_case : cases) {
     SCOPED_TRACE(test_case.status);
     CloudClientFixture fixture(net::Response{test_case.status, "{}"});
-    std::optional<CloudClient::RemoveResult> result;
-    fixture.client->remove({MachineName("m1")},
-                           [&](CloudClient::RemoveResult received) { result = received; });
+    std::optional<CloudClient::DeleteResult> result;
+    fixture.client->delete_machines({MachineName("m1")},
+                                    [&](CloudClient::DeleteResult received) { result = received; });
     fixture.run_until([&] { return result.has_value(); });
     const auto error = *result ? std::nullopt : std::optional(result->error());
     EXPECT_EQ(error, test_case.error);
@@ -99,13 +99,13 @@
   auto record = [&](const auto& result) {
     errors.push_back(result ? std::nullopt : std::optional(result.error()));
   };
-  fixture.client->catalogue(record);
-  fixture.client->list(record);
+  fixture.client->fetch_catalogue(record);
+  fixture.client->list_machines(record);
   fixture.run_until([&] { return fixture.unanswered.size() == 2; });
-  fixture.client->remove({MachineName("m1")}, record);
+  fixture.client->delete_machines({MachineName("m1")}, record);
   fixture.client->stop();
-  fixture.client->rent({}, record);  // after the stop
-  EXPECT_EQ(errors, std::vector(4, std::optional(CloudError::kUnanswered)));
+  fixture.client->rent_machines({}, record);  // after the stop
+  EXPECT_EQ(errors, std::vector(4, std::optional(CloudError::kOutcomeUnknown)));
 }
 
 }  // namespace
