--- a/src/api/context.cpp
+++ b/src/api/context.cpp
@@ -11,8 +11,8 @@
 
 // A write that would wait longer than this for the state store's rate limits is refused at once.
 constexpr Duration kMaxWriteWait = std::chrono::milliseconds(500);
-// Longest time that a user's transaction may wait to be sent. After that it is dropped, because the user has
-// almost waited for as long as a response may take (see api.cpp).
+// A user's transaction that could not be sent within this time is dropped, because its result would come too
+// late for the response to the user (see kResponseTimeout in api.cpp).
 constexpr Duration kMaxSendDelay = std::chrono::milliseconds(600);
 
 }  // namespace
--- a/src/api/context.h
+++ b/src/api/context.h
@@ -46,12 +46,11 @@
   // state store could not be read; it does so at once while the state store is known not to respond to this
   // controller.
   void sync_view(std::function<void(bool synced)> done) const;
-  // Sends a transaction on behalf of a user, or refuses it if the rate limits would delay
-  // it too long.
+  // Sends a transaction on behalf of a user, or refuses it if the rate limits would delay it too long.
   void commit(const protocol::Txn& txn, std::function<void(state_store::TxnResult)> done) const;
 };
 
-// Error messages of responses.
+// Error messages of responses that several endpoints use.
 constexpr std::string_view kStateStoreUnreachable = "the state store is not reachable";
 constexpr std::string_view kControllerStarting = "the controller is starting";
 constexpr std::string_view kOutcomeUnknown = "the outcome of the request is not known";
--- a/src/api/reply_deadline.h
+++ b/src/api/reply_deadline.h
@@ -37,8 +37,8 @@
     asio::steady_timer timer;
     Duration timeout;
     net::Response timeout_response;
-    std::deque<std::shared_ptr<PendingRequest>>
-        pending;  // the oldest first; includes some that have their response
+    // The oldest first. Requests stay in the queue until their deadline, even if they have their response.
+    std::deque<std::shared_ptr<PendingRequest>> pending;
     bool armed = false;
   };
   static void arm(const std::shared_ptr<State>& state);
--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -186,7 +186,7 @@
 }
 
 // Guards against thousands of requests waiting in vain at controllers that are up but cannot reach the state
-// store. This was seen in the simulated day "gap".
+// store. This was found on the test day "gap".
 TEST(Api, RefusesRequestsQuicklyWhileTheStateStoreIsUnavailable) {
   struct Case {
     const char* description;
--- a/tests/cloud_client_test.cpp
+++ b/tests/cloud_client_test.cpp
@@ -1,4 +1,4 @@
-// What the answers of the cloud, or their lack, become as results: over loopback.
+// Tests of how the cloud client turns responses of the cloud, or missing ones, into results, over loopback.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -11,15 +11,17 @@
 namespace beaconsill::cloud {
 namespace {
 
-// A client, and a server that gives every request the same answer; none: it gives none.
+// A client and a server that sends the same response to every request, or no response at all if `response` is
+// empty.
 struct CloudClientFixture {
-  explicit CloudClientFixture(std::optional<net::Response> given_answer) : answer(std::move(given_answer)) {
+  explicit CloudClientFixture(std::optional<net::Response> fixed_response)
+      : response(std::move(fixed_response)) {
     spdlog::set_level(spdlog::level::off);
     server = std::make_shared<net::HttpServer>(
         io, fakes::any_port(), net::ServerLimits{}, [](const net::Request&) { return false; },
         [this](const net::Request&, net::HttpServer::Reply reply) {
-          if (answer) return reply(*answer);
-          unanswered.push_back(std::move(reply));
+          if (response) return reply(*response);
+          pending_replies.push_back(std::move(reply));
         });
     server->start();
     client = std::make_shared<CloudClient>(io, clock, server->local(), 100);
@@ -35,43 +37,45 @@
 
   asio::io_context io;
   SystemClock clock;
-  std::optional<net::Response> answer;
-  std::vector<net::HttpServer::Reply> unanswered;
+  std::optional<net::Response> response;
+  std::vector<net::HttpServer::Reply> pending_replies;
   std::shared_ptr<net::HttpServer> server;
   std::shared_ptr<CloudClient> client;
 };
 
-TEST(CloudClient, RentalsEndInMachinesOrAnError) {
+TEST(CloudClient, RentingReturnsTheMachinesOrAnError) {
   const std::vector<MachineName> machines{MachineName("m1"), MachineName("m2")};
   struct Case {
-    const char* what;
-    net::Response answer;
+    const char* description;
+    net::Response response;
     CloudClient::RentResult result;
   };
   const Case cases[] = {
       {"machines", {200, R"({"beacons":["m1","m2"]})"}, machines},
       {"no machines", {200, R"({"beacons":[]})"}, std::vector<MachineName>{}},
-      {"no list", {200, "{}"}, tl::unexpected(CloudError::kOutcomeUnknown)},
-      {"no JSON", {200, "machines"}, tl::unexpected(CloudError::kOutcomeUnknown)},
-      {"malformed request", {400, "{}"}, tl::unexpected(CloudError::kRejected)},
+      {"response without a list of machines", {200, "{}"}, tl::unexpected(CloudError::kOutcomeUnknown)},
+      {"response that is not JSON", {200, "machines"}, tl::unexpected(CloudError::kOutcomeUnknown)},
+      {"invalid request", {400, "{}"}, tl::unexpected(CloudError::kRejected)},
       {"not found", {404, "{}"}, tl::unexpected(CloudError::kOutcomeUnknown)},
       {"too many requests", {429, "{}"}, tl::unexpected(CloudError::kOutcomeUnknown)},
-      {"failure", {500, R"({"error":"no capacity"})"}, tl::unexpected(CloudError::kOutcomeUnknown)},
+      {"internal server error",
+       {500, R"({"error":"no capacity"})"},
+       tl::unexpected(CloudError::kOutcomeUnknown)},
       {"no capacity", {503, R"({"error":"no capacity"})"}, tl::unexpected(CloudError::kNoCapacity)},
       {"outage", {503, R"({"error":"unavailable"})"}, tl::unexpected(CloudError::kOutcomeUnknown)},
       {"outage without JSON", {503, "unavailable"}, tl::unexpected(CloudError::kOutcomeUnknown)},
   };
   for (const auto& test_case : cases) {
-    CloudClientFixture fixture(test_case.answer);
+    CloudClientFixture fixture(test_case.response);
     std::optional<CloudClient::RentResult> result;
     fixture.client->rent_machines({"r1", MachineType("t"), Zone("z"), false, 2},
                                   [&](CloudClient::RentResult received) { result = std::move(received); });
     fixture.run_until([&] { return result.has_value(); });
-    EXPECT_TRUE(*result == test_case.result) << test_case.what;
+    EXPECT_TRUE(*result == test_case.result) << test_case.description;
   }
 }
 
-TEST(CloudClient, MachinesAreDeletedOnlyIfTheAnswerSaysSo) {
+TEST(CloudClient, DeletionSucceedsOnlyIfTheStatusIsOk) {
   struct Case {
     int status;
     std::optional<CloudError> error;
@@ -93,7 +97,7 @@
   }
 }
 
-TEST(CloudClient, EveryRequestIsCalledBackByTheStop) {
+TEST(CloudClient, StopCallsBackEveryRequestWithAnError) {
   CloudClientFixture fixture(std::nullopt);
   std::vector<std::optional<CloudError>> errors;
   auto record = [&](const auto& result) {
@@ -101,10 +105,10 @@
   };
   fixture.client->fetch_catalogue(record);
   fixture.client->list_machines(record);
-  fixture.run_until([&] { return fixture.unanswered.size() == 2; });
+  fixture.run_until([&] { return fixture.pending_replies.size() == 2; });
   fixture.client->delete_machines({MachineName("m1")}, record);
   fixture.client->stop();
-  fixture.client->rent_machines({}, record);  // after the stop
+  fixture.client->rent_machines({}, record);  // a request after stop()
   EXPECT_EQ(errors, std::vector(4, std::optional(CloudError::kOutcomeUnknown)));
 }
 
