--- a/src/controller/autoscaler_service.cpp
+++ b/src/controller/autoscaler_service.cpp
@@ -63,7 +63,7 @@
                term = leadership_.term()](const cloud::CloudClient::RentResult& rented) {
     if (leadership_.is_leader_under(term)) on_rent_result(request, rented);
   };
-  ctx_.cloud->rent(*request, std::move(done));
+  ctx_.cloud->rent_machines(*request, std::move(done));
 }
 
 void AutoscalerService::on_rent_result(const protocol::RentRequest& request,
@@ -79,7 +79,7 @@
       autoscaler_->on_rent_refused(request, ctx_.now());
       rent();
       return;
-    case cloud::CloudError::kUnanswered:
+    case cloud::CloudError::kOutcomeUnknown:
       autoscaler_->on_rent_unanswered(ctx_.now());
       return;
   }
@@ -88,7 +88,7 @@
 void AutoscalerService::delete_failed_instances() {
   auto failed = autoscaler_->failed_instances(ctx_.now());
   if (failed.empty()) return;
-  ctx_.cloud->remove(failed, [this, failed](const cloud::CloudClient::RemoveResult& deleted) {
+  ctx_.cloud->delete_machines(failed, [this, failed](const cloud::CloudClient::DeleteResult& deleted) {
     if (!deleted || stopped_) return;
     messenger_.broadcast(protocol::TerminatedMachines{failed});
     shards_.on_machines_terminated(failed);
@@ -111,7 +111,7 @@
   const auto started_at = ctx_.now();
   if (!autoscaler_ || list_pending_ || (next_list_allowed_at_ && started_at < *next_list_allowed_at_)) return;
   list_pending_ = true;
-  ctx_.cloud->list([this, started_at](cloud::CloudClient::ListResult machines) {
+  ctx_.cloud->list_machines([this, started_at](cloud::CloudClient::ListResult machines) {
     list_pending_ = false;
     auto now = ctx_.now();
     next_list_allowed_at_ = now + (now - started_at);
--- a/src/controller/catalogue_refresher.cpp
+++ b/src/controller/catalogue_refresher.cpp
@@ -23,7 +23,7 @@
 void CatalogueRefresher::run() {
   if (fetch_pending_ || (ctx_.catalogue && ctx_.now() - fetched_at_ < kMaxAge)) return;
   fetch_pending_ = true;
-  ctx_.cloud->catalogue(
+  ctx_.cloud->fetch_catalogue(
       [this](cloud::CloudClient::CatalogueResult catalogue) { on_fetched(std::move(catalogue)); });
 }
 
