--- a/tests/api_concurrent_faults_test.cpp
+++ b/tests/api_concurrent_faults_test.cpp
@@ -18,7 +18,7 @@
 // A controller's view of the state store, without the rest of the controller.
 struct Viewer : EventLoopFixture {
   Viewer() {
-    store = std::make_shared<state_store::StoreClient>(io, clock, state.doors[0]->local(),
+    store = std::make_shared<state_store::StoreClient>(io, clock, state.servers[0]->local(),
                                                        state_store::StoreLimits{1000, 500},
                                                        state_store::StoreLimits{1000, 500}, 1.0);
     watch_cache = std::make_shared<state_store::WatchCache>(io, clock, store, std::chrono::milliseconds(100),
@@ -75,16 +75,16 @@
   ASSERT_TRUE(viewer.read_to(viewer.state.revision()));
   viewer.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
   viewer.state.fault = [](const fakes::Request& request) {
-    return request.path == "/watch" ? RequestFault::kAnswerKept : RequestFault::kNone;
+    return request.path == "/watch" ? RequestFault::kResponseDelayed : RequestFault::kNone;
   };
-  ASSERT_TRUE(viewer.run_until([&] { return viewer.state.kept() > 0; }));
+  ASSERT_TRUE(viewer.run_until([&] { return viewer.state.delayed_responses() > 0; }));
   viewer.state.fault = nullptr;
   viewer.state.remove(state_store::job_key(kJob));
   protocol::Txn own;
   own.writes = {{state_store::job_key(kJob), std::nullopt, std::nullopt}};
   viewer.watch_cache->apply_own(own, Revision(viewer.state.revision()));
   auto before = viewer.watch_cache->revision();
-  viewer.state.answer_kept();
+  viewer.state.send_delayed_responses();
   ASSERT_TRUE(viewer.run_until([&] { return viewer.watch_cache->revision() > before; }));
   EXPECT_EQ(viewer.watch_cache->view().job(kJob), nullptr);
 }
@@ -141,14 +141,14 @@
     Users users;
     ASSERT_TRUE(users.ready);
     users.state.fault = [](const fakes::Request& request) {
-      return is_txn_that_sets(request, "beaconsill/jobs/") ? RequestFault::kAnswerKept : RequestFault::kNone;
+      return is_txn_that_sets(request, "beaconsill/jobs/") ? RequestFault::kResponseDelayed : RequestFault::kNone;
     };
     auto answer = users.send("POST", "/v1/jobs", job("run-000001"));
-    ASSERT_TRUE(users.run_until([&] { return users.state.kept() == 1; }));
+    ASSERT_TRUE(users.run_until([&] { return users.state.delayed_responses() == 1; }));
     users.state.set(state_store::terminal_key(kJob),
                     state_store::to_json(state_store::TerminalRecord{end, 1}));
     ASSERT_TRUE(users.read_to(users.state.revision()));
-    users.state.answer_kept();
+    users.state.send_delayed_responses();
     ASSERT_TRUE(users.run_until([&] { return answer->has_value(); }));
     EXPECT_EQ(users.job_state(**answer), end == state_store::TerminalState::kDone ? "done" : "withdrawn");
   }
@@ -241,7 +241,7 @@
   users.state.set(state_store::job_key(kJob), Viewer::record("run-000001"));
   ASSERT_TRUE(users.read_to(users.state.revision()));
   users.state.fault = [](const fakes::Request& request) {
-    return is_txn_that_sets(request, "beaconsill/ends/") ? RequestFault::kAnswerKept : RequestFault::kNone;
+    return is_txn_that_sets(request, "beaconsill/ends/") ? RequestFault::kResponseDelayed : RequestFault::kNone;
   };
   auto answer = users.send("POST", "/v1/jobs/run-000001/withdraw");
   ASSERT_TRUE(users.run_until([&] { return answer->has_value(); }));
--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -118,8 +118,8 @@
   constexpr std::size_t kMost = 4000;
   ApiFixture fixture;
   fixture.settings.value_kb = 2;
-  fixture.settings.txn_ops = fixture.state.max_ops = 6;
-  fixture.state.max_value = 2048;
+  fixture.settings.txn_ops = fixture.state.max_txn_writes = 6;
+  fixture.state.max_value_bytes = 2048;
   auto names = [](std::size_t n) {
     protocol::Json list = protocol::Json::array();
     for (std::size_t i = 0; i < n; ++i) list.push_back("run-" + std::to_string(100000 + i));
@@ -172,8 +172,8 @@
   };
   const Case cases[] = {
       {"an outage", [](auto& s) { s.down = true; }},
-      {"this controller alone is refused", [](auto& s) { s.shut[0] = true; }},
-      {"connections stay open with no response", [](auto& s) { s.silent = true; }},
+      {"this controller alone is refused", [](auto& s) { s.server_unavailable[0] = true; }},
+      {"connections stay open with no response", [](auto& s) { s.ignore_requests = true; }},
   };
   struct UserRequest {
     const char* method;
@@ -277,7 +277,7 @@
 // The responses to transactions are lost, the transactions are carried out.
 TEST(Api, LostResponsesAreReadBack) {
   ApiFixture fixture;
-  fixture.state.txn_answers_lost = true;
+  fixture.state.drop_txn_responses = true;
   auto a = fixture.call("POST", "/v1/jobs", ApiFixture::job("run-000001"));
   EXPECT_EQ(a.response.status, 201);
   EXPECT_LT(a.after, ms(300));
--- a/tests/controller_concurrent_faults_test.cpp
+++ b/tests/controller_concurrent_faults_test.cpp
@@ -24,15 +24,15 @@
     settings.zone = Zone("east");
     settings.zones = {Zone("east")};
     settings.teams = {{Team("blue"), 0, kQuotaCpus, 0, 0}};
-    settings.listen = fakes::text(endpoint);
-    settings.peer_listen = fakes::text(peer_port.endpoint());
+    settings.listen = fakes::to_string(endpoint);
+    settings.peer_listen = fakes::to_string(peer_port.endpoint());
     controller = std::make_unique<controller::Controller>(io, clock, settings,
                                                           config::parse_policy("", "test", settings));
     controller->start();
     for (const char* name : {"host-0", "host-1"}) {
       workers.push_back(std::make_unique<fakes::Worker>(io, name, "east", std::vector{endpoint},
                                                         std::vector<std::string>{"n0"}));
-      workers.back()->run_reports = 1000000;
+      workers.back()->heartbeats_until_done = 1000000;
     }
   }
   ~OneController() {
@@ -66,17 +66,17 @@
   OneController cluster;
   ASSERT_TRUE(cluster.wait_until_healthy());
   cluster.state.fault = [&](const fakes::Request& request) {
-    return is_txn_that_sets(request, "beaconsill/grants/run-000001") && cluster.state.late() == 0
-               ? RequestFault::kLate
+    return is_txn_that_sets(request, "beaconsill/grants/run-000001") && cluster.state.delayed_requests() == 0
+               ? RequestFault::kExecutionDelayed
                : RequestFault::kNone;
   };
   ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000001", "standard")), 201);
-  ASSERT_TRUE(cluster.run_until([&] { return cluster.state.late() == 1; }));
+  ASSERT_TRUE(cluster.run_until([&] { return cluster.state.delayed_requests() == 1; }));
   ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000002", "production")), 201);
   ASSERT_TRUE(cluster.run_until([&] { return cluster.state.keys.contains("beaconsill/grants/run-000002"); }));
   ASSERT_TRUE(cluster.run_until([&] { return cluster.started() == 4; }));
   cluster.state.fault = nullptr;
-  for (int status : cluster.state.carry_out_late()) EXPECT_EQ(status, 409);
+  for (int status : cluster.state.execute_delayed_requests()) EXPECT_EQ(status, 409);
   cluster.run_for(std::chrono::milliseconds(1500));
   auto superseded = cluster.state.keys.find("beaconsill/grants/run-000001");
   if (superseded != cluster.state.keys.end()) {
@@ -93,7 +93,7 @@
   cluster.state.fault = [&](const fakes::Request& request) {
     if (!is_txn_that_sets(request, "beaconsill/grants/") || lost > 0) return RequestFault::kNone;
     ++lost;
-    return RequestFault::kAnswerKept;
+    return RequestFault::kResponseDelayed;
   };
   ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000001", "standard")), 201);
   EXPECT_TRUE(cluster.run_until([&] { return cluster.started() == 4; }));
@@ -113,14 +113,14 @@
     cluster.state.fault = [&](const fakes::Request& request) {
       if (!is_txn_that_sets(request, "beaconsill/grants/run-000001") || ++writes_of_first > 2)
         return RequestFault::kNone;
-      return writes_of_first == 2 && carried_out ? RequestFault::kAnswerKept : RequestFault::kLate;
+      return writes_of_first == 2 && carried_out ? RequestFault::kResponseDelayed : RequestFault::kExecutionDelayed;
     };
     ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000001", "standard")), 201);
-    ASSERT_TRUE(cluster.run_until([&] { return cluster.state.late() >= 1; }));
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.state.delayed_requests() >= 1; }));
     ASSERT_EQ(cluster.call("POST", "/v1/jobs", job("run-000002", "production")), 201);
     EXPECT_TRUE(cluster.run_until([&] { return cluster.started() == 4; })) << carried_out;
     EXPECT_GE(writes_of_first, carried_out ? 2 : 3);
-    for (int status : cluster.state.carry_out_late()) EXPECT_EQ(status, 409) << carried_out;
+    for (int status : cluster.state.execute_delayed_requests()) EXPECT_EQ(status, 409) << carried_out;
     cluster.run_for(std::chrono::milliseconds(1500));
     EXPECT_EQ(cluster.started(), 4) << carried_out;
   }
--- a/tests/controller_end_to_end_test.cpp
+++ b/tests/controller_end_to_end_test.cpp
@@ -38,10 +38,10 @@
   void start(std::size_t i) {
     auto config = controller_settings(state, cloud, i);
     config.zone = Zone(i ? "west" : "east");
-    config.listen = fakes::text(ports[2 * i]);
-    config.peer_listen = fakes::text(ports[2 * i + 1]);
+    config.listen = fakes::to_string(ports[2 * i]);
+    config.peer_listen = fakes::to_string(ports[2 * i + 1]);
     config.peers = {{ControllerName("n" + std::to_string(1 - i)), Zone(i ? "east" : "west"),
-                     fakes::text(ports[2 * (1 - i) + 1])}};
+                     fakes::to_string(ports[2 * (1 - i) + 1])}};
     config.zones = {Zone("east"), Zone("west")};
     config.teams = {{Team("blue"), 0, 0, 0, 0}};
     config.lease_s = settings.lease_s;
@@ -76,10 +76,10 @@
   }
   // Ends the first controller for good: its lease expires as well.
   void end_first() {
-    run_until([&] { return state.hold_of("beaconsill/alive/n0").has_value(); }, "n0 is alive");
+    run_until([&] { return state.lease_of("beaconsill/alive/n0").has_value(); }, "n0 is alive");
     controllers[0]->stop();
     controllers[0].reset();
-    state.expire(*state.hold_of("beaconsill/alive/n0"));
+    state.expire(*state.lease_of("beaconsill/alive/n0"));
   }
   static std::string job(const std::string& id, const char* kind, int tasks) {
     return job_json(id, kind, tasks, "high");
@@ -261,7 +261,7 @@
 // The keys with a job's dependencies are deleted after its record.
 TEST(Pipelines, KeysOfDependenciesAreGarbageCollected) {
   TwoControllers cluster({.value_kb = 0.5});
-  cluster.state.max_value = 512;
+  cluster.state.max_value_bytes = 512;
   cluster.wait_until_healthy();
   cluster.wait_until_pipelines_accepted();
   EXPECT_EQ(cluster.call(0, "POST", "/v1/jobs", TwoControllers::job("run-1", "daemon", 1)).status, 201);
@@ -311,12 +311,12 @@
 TEST(EndToEnd, ListsOfMachinesDoNotPileUp) {
   TwoControllers cluster;
   cluster.wait_until_healthy();
-  cluster.run_until([&] { return cluster.cloud.lists > 0; }, "listed");
-  cluster.cloud.lists = 0;
-  cluster.cloud.lists_silent = true;
+  cluster.run_until([&] { return cluster.cloud.list_requests > 0; }, "listed");
+  cluster.cloud.list_requests = 0;
+  cluster.cloud.ignore_list_requests = true;
   cluster.io.run_for(std::chrono::seconds(9));
-  EXPECT_GE(cluster.cloud.lists, 1);
-  EXPECT_LE(cluster.cloud.lists, 2);
+  EXPECT_GE(cluster.cloud.list_requests, 1);
+  EXPECT_LE(cluster.cloud.list_requests, 2);
 }
 
 TEST(EndToEnd, AnUnreadableStateStoreIsNever404) {
@@ -342,7 +342,7 @@
   cluster.call(0, "POST", "/v1/jobs", TwoControllers::job("run-8", "daemon", 4));
   cluster.run_until([&] { return cluster.running("run-7/") == 4 && cluster.running("run-8/") == 4; },
                     "both services run");
-  cluster.state.shut[0] = true;
+  cluster.state.server_unavailable[0] = true;
   EXPECT_EQ(cluster.cancel(1, "run-7").status, 200);
   cluster.state.down = true;
   cluster.run_until([&] { return cluster.running("run-7/") == 0; }, "what was cancelled is stopped");
@@ -389,7 +389,7 @@
   };
   cluster.run_until([&] { return shard_leader("0") == "n1"; }, "n1 leads both shards");
   cluster.start(0);
-  cluster.run_until([&] { return cluster.state.hold_of("beaconsill/alive/n0").has_value(); }, "n0 is back");
+  cluster.run_until([&] { return cluster.state.lease_of("beaconsill/alive/n0").has_value(); }, "n0 is back");
   cluster.state.down = true;
   cluster.io.run_for(std::chrono::milliseconds(800));
   auto before = cluster.workers[0]->answered;
@@ -427,9 +427,9 @@
   for (auto& worker : cluster.workers) worker->services.insert("run-7");
   cluster.call(0, "POST", "/v1/jobs", TwoControllers::job("run-7", "daemon", 8));
   cluster.run_until([&] { return cluster.started() == 8; }, "eight replicas run");
-  cluster.run_until([&] { return cluster.state.hold_of("beaconsill/alive/n0").has_value(); }, "n0 is alive");
-  cluster.state.shut[0] = true;
-  cluster.state.expire(*cluster.state.hold_of("beaconsill/alive/n0"));
+  cluster.run_until([&] { return cluster.state.lease_of("beaconsill/alive/n0").has_value(); }, "n0 is alive");
+  cluster.state.server_unavailable[0] = true;
+  cluster.state.expire(*cluster.state.lease_of("beaconsill/alive/n0"));
   cluster.run_until([&] { return (cluster.workers[0]->token >> 20) >= 2; },
                     "the worker of n0 has seen its successor's term");
   EXPECT_EQ(cluster.started(), 8);
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -28,8 +28,8 @@
                                             std::size_t number) {
   config::Settings settings;
   settings.controller = ControllerName("n" + std::to_string(number));
-  settings.cloud = fakes::text(cloud.server->local());
-  settings.state = fakes::text(state.doors[number]->local());
+  settings.cloud = fakes::to_string(cloud.server->local());
+  settings.state = fakes::to_string(state.servers[number]->local());
   settings.report_s = 0.2;
   settings.lease_s = 5;
   settings.cancel_s = 20;
@@ -65,7 +65,7 @@
 struct EventLoopFixture {
   EventLoopFixture() : state(io), cloud(io) { spdlog::set_level(spdlog::level::err); }
   ~EventLoopFixture() {
-    for (auto& door : state.doors) door->stop();
+    for (auto& door : state.servers) door->stop();
     cloud.server->stop();
     io.poll();
   }
--- a/tests/fakes/cloud.h
+++ b/tests/fakes/cloud.h
@@ -1,4 +1,5 @@
-// Fake of the cloud's API, as far as the protocol needs for the service to run on loopback.
+// Fake of the cloud's API: an HTTP server on loopback that implements the subset of the protocol that the
+// controllers use.
 #pragma once
 
 #include <memory>
@@ -10,14 +11,15 @@
 
 namespace beaconsill::fakes {
 
-// Rents nothing; knows one type.
+// Offers one machine type. Every request to rent machines fails for lack of capacity, and the list of
+// machines is empty.
 class Cloud {
  public:
   explicit Cloud(asio::io_context& io);
-  std::set<std::string> deleted;
-  int lists = 0;              // requests for the list of machines
-  bool lists_silent = false;  // they get no answer
-  std::vector<HttpServer::Reply> unanswered;
+  std::set<std::string> deleted;              // names of the machines whose deletion was requested
+  int list_requests = 0;                      // number of requests for the list of machines
+  bool ignore_list_requests = false;          // these requests are not answered
+  std::vector<HttpServer::Reply> unanswered;  // callbacks of the list requests that were not answered
   std::shared_ptr<HttpServer> server;
 };
 
--- a/tests/fakes/loopback.cpp
+++ b/tests/fakes/loopback.cpp
@@ -16,12 +16,12 @@
 }
 
 bool run_until(asio::io_context& io, const std::function<bool()>& done, Duration limit) {
-  const auto end = std::chrono::steady_clock::now() + limit;
-  while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(5));
+  const auto deadline = std::chrono::steady_clock::now() + limit;
+  while (!done() && std::chrono::steady_clock::now() < deadline) io.run_one_for(std::chrono::milliseconds(5));
   return done();
 }
 
-std::string text(const Tcp::endpoint& endpoint) {
+std::string to_string(const Tcp::endpoint& endpoint) {
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
--- a/tests/fakes/loopback.h
+++ b/tests/fakes/loopback.h
@@ -1,4 +1,5 @@
-// What all fakes need to listen on loopback.
+// Helpers of the fakes and tests that use loopback sockets: addresses, reserved ports and running the event
+// loop.
 #pragma once
 
 #include <functional>
@@ -17,11 +18,11 @@
 using net::Tcp;
 using protocol::Json;
 
-// An ephemeral port of loopback.
+// The loopback address with port 0, for which the kernel assigns an ephemeral port on bind.
 Tcp::endpoint any_port();
-// A port of loopback that stays bound, without listening, as long as this object lives. The kernel then gives
-// it to nobody else, while a listener that names it may still bind it (both with SO_REUSEADDR), also
-// repeatedly.
+// A loopback port that is bound, without listening, for the lifetime of this object. The kernel does not
+// assign it as an ephemeral port during that time, while a listener can still bind to it explicitly, also
+// repeatedly: both sockets use SO_REUSEADDR.
 class ReservedPort {
  public:
   explicit ReservedPort(asio::io_context& io);
@@ -32,12 +33,12 @@
   Tcp::endpoint endpoint_;
 };
 
-// Runs the loop until `done` holds, for at most `limit`. Returns whether it holds.
+// Runs the event loop until `done` returns true, for at most `limit`. Returns the last result of `done`.
 bool run_until(asio::io_context& io, const std::function<bool()>& done, Duration limit);
 
-// As "address:port".
-std::string text(const Tcp::endpoint& endpoint);
-// The parameters of a URL's query.
+// Formats an endpoint as "address:port".
+std::string to_string(const Tcp::endpoint& endpoint);
+// Splits the query string of a URL into its parameters. Percent-encoding is not decoded.
 std::map<std::string, std::string> parse_query(const std::string& query);
 
 }  // namespace beaconsill::fakes
--- a/tests/fakes/peers.h
+++ b/tests/fakes/peers.h
@@ -1,4 +1,5 @@
-// Other controllers without connections: the test says what they show, and sees what they are sent.
+// Fakes of the connections to other controllers: they record the messages that a component sends to its
+// peers, and report the peer status that the test has set.
 #pragma once
 
 #include <map>
@@ -12,7 +13,7 @@
 
 namespace beaconsill::fakes {
 
-// Keeps what is sent.
+// Records the messages that are sent.
 class PeerMessenger : public controller::PeerMessenger {
  public:
   struct Sent {
@@ -28,7 +29,7 @@
   std::vector<protocol::PeerPayload> broadcasts;
 };
 
-// Shows what the test has set.
+// Reports the status that the test has set.
 class PeerStatus : public controller::PeerStatus {
  public:
   bool reachable(const ControllerName& controller) const override {
--- a/tests/fakes/watch_cache.h
+++ b/tests/fakes/watch_cache.h
@@ -1,4 +1,5 @@
-// A watch cache without a state store: the test fills its view, and answers its transactions and reads.
+// Fake of the watch cache, without a state store: the test writes the contents of its view, and completes its
+// pending transactions and reads.
 #pragma once
 
 #include <functional>
@@ -23,34 +24,34 @@
       : state_store::WatchCache(io, clock, std::move(client), std::chrono::seconds(1),
                                 [](const state_store::StateView::ChangeSet&) {}) {}
 
-  // ---- For the test
-  // Writes a key as if another controller had. Returns the revision.
+  // ---- Interface for tests
+  // Writes a key as another controller would. Returns the revision of the change.
   Revision put(const std::string& key, const protocol::Json& value) {
     apply({key, value, next_revision()});
     return revision_;
   }
   void remove(const std::string& key) { apply({key, std::nullopt, next_revision()}); }
-  // Transactions and reads whose answers are awaited, the oldest first.
+  // Pending transactions and reads, oldest first.
   std::vector<PendingTxn> txns;
   std::vector<std::function<void(bool)>> syncs;
-  // Transactions that were reported as this controller's own.
+  // Revisions of the transactions that were reported by `apply_own`.
   std::vector<Revision> applied;
-  // The oldest transaction is carried out. Returns its revision.
-  Revision commit_oldest() {
+  // Completes the oldest pending transaction successfully. Returns its revision.
+  Revision commit_oldest_txn() {
     auto revision = next_revision();
     take_oldest_txn().done(revision);
     return revision;
   }
-  // The oldest transaction isn't carried out.
-  void refuse_oldest(state_store::TxnError error) { take_oldest_txn().done(tl::unexpected(error)); }
-  // The oldest read ends.
+  // Completes the oldest pending transaction with an error.
+  void fail_oldest_txn(state_store::TxnError error) { take_oldest_txn().done(tl::unexpected(error)); }
+  // Completes the oldest pending read; `read` says whether it succeeded.
   void finish_oldest_sync(bool read) {
     auto done = std::move(syncs.at(0));
     syncs.erase(syncs.begin());
     done(read);
   }
 
-  // ---- As components see it
+  // ---- Implementation of state_store::WatchCache
   const state_store::StateView& view() const override { return view_; }
   bool ready() const override { return true; }
   void sync(std::function<void(bool)> done) override { syncs.push_back(std::move(done)); }
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -1,4 +1,5 @@
-// Fake of a worker's agent, as far as the protocol needs for the service to run on loopback.
+// Fake of the agent on a worker: sends heartbeats to the controllers and executes the commands that it
+// receives over HTTP on loopback, without running any processes.
 #pragma once
 
 #include <asio/steady_timer.hpp>
@@ -11,40 +12,41 @@
 
 namespace beaconsill::fakes {
 
-// A worker whose array tasks complete after `run_reports` heartbeats.
+// Tasks of array jobs complete after `heartbeats_until_done` heartbeats; tasks of services run until they are
+// stopped.
 class Worker {
  public:
   Worker(asio::io_context& io, std::string name, std::string zone, std::vector<Tcp::endpoint> controllers,
-         std::vector<std::string> names);
+         std::vector<std::string> controller_names);
   void stop();
   struct Task {
     std::string id;
     std::uint64_t attempt;
-    int age = 0;
+    int age = 0;  // number of heartbeats sent while it was running
     std::string state = "running";
     std::string cause;
   };
   std::vector<Task> tasks;
-  std::set<std::string> services;  // job ids that never complete
-  int run_reports = 3;
-  int started = 0;
-  int answered = 0;  // heartbeats that a shard leader answered
-  std::uint64_t token = 0;
+  std::set<std::string> services;  // ids of the jobs whose tasks never complete
+  int heartbeats_until_done = 3;
+  int started = 0;          // tasks started
+  int answered = 0;         // heartbeats that a shard leader answered
+  std::uint64_t token = 0;  // the highest fencing token seen
   std::shared_ptr<HttpServer> server;
 
  private:
-  Json body();
-  Response handle(const Request& r);
-  void heartbeat();
+  Json heartbeat_body();
+  Response handle(const Request& request);
+  void send_heartbeat();
 
   asio::io_context& io_;
   std::string name_, zone_;
   std::vector<Tcp::endpoint> controllers_;
-  std::vector<std::string> names_;
+  std::vector<std::string> controller_names_;  // in the order of `controllers_`
   asio::steady_timer timer_;
   std::shared_ptr<net::HttpClient> client_;
-  std::size_t at_ = 0;
-  std::uint64_t sequence_ = 0;
+  std::size_t current_controller_ = 0;  // index of the controller that heartbeats are sent to
+  std::uint64_t sequence_ = 0;          // number of the last heartbeat
   bool stopped_ = false;
 };
 
--- a/tests/grant_writer_test.cpp
+++ b/tests/grant_writer_test.cpp
@@ -85,7 +85,7 @@
   write(run_round());
   ASSERT_EQ(cache->txns.size(), 1u);
   EXPECT_EQ(rounds_written, 0);
-  auto revision = cache->commit_oldest();
+  auto revision = cache->commit_oldest_txn();
   EXPECT_EQ(cache->applied, std::vector{revision});
   ASSERT_EQ(messenger.broadcasts.size(), 1u);
   EXPECT_EQ(std::get<protocol::ChangeNotification>(messenger.broadcasts[0]).revision, revision);
@@ -98,7 +98,7 @@
   for (auto outcome : {TxnError::kConflict, TxnError::kRefused, TxnError::kUnknown}) {
     write(run_round());
     ASSERT_EQ(cache->txns.size(), 1u);
-    cache->refuse_oldest(outcome);
+    cache->fail_oldest_txn(outcome);
     EXPECT_TRUE(round_open());
     ASSERT_EQ(cache->syncs.size(), 1u);
     cache->finish_oldest_sync(true);
@@ -123,7 +123,7 @@
   ASSERT_EQ(cache->txns.size(), 1u);
   leadership.end_term();
   leadership.begin_term(Term(8));
-  cache->commit_oldest();
+  cache->commit_oldest_txn();
   EXPECT_TRUE(cache->applied.empty());
   EXPECT_TRUE(messenger.broadcasts.empty());
   EXPECT_EQ(rounds_written, 0);
@@ -132,7 +132,7 @@
 TEST_F(GrantWriterTest, AReadForAnEarlierTermHasNoEffect) {
   write(run_round());
   ASSERT_EQ(cache->txns.size(), 1u);
-  cache->refuse_oldest(TxnError::kConflict);
+  cache->fail_oldest_txn(TxnError::kConflict);
   leadership.end_term();
   cache->finish_oldest_sync(true);
   EXPECT_EQ(rounds_written, 0);
--- a/tests/progress_writer_test.cpp
+++ b/tests/progress_writer_test.cpp
@@ -101,7 +101,7 @@
   write();
   write_after(kBatchDelay);
   ASSERT_EQ(cache->txns.size(), 1u);
-  auto revision = cache->commit_oldest();
+  auto revision = cache->commit_oldest_txn();
   EXPECT_EQ(cache->applied, std::vector{revision});
   ASSERT_EQ(messenger.broadcasts.size(), 1u);
   EXPECT_EQ(std::get<protocol::ChangeNotification>(messenger.broadcasts[0]).revision, revision);
@@ -122,7 +122,7 @@
     write_after(kCheckPeriod);
     write_after(kBatchDelay);
     ASSERT_EQ(cache->txns.size(), 1u);
-    cache->refuse_oldest(outcome);
+    cache->fail_oldest_txn(outcome);
     EXPECT_TRUE(messenger.broadcasts.empty());
     write_after(kCheckPeriod);
     EXPECT_TRUE(cache->txns.empty());
@@ -151,7 +151,7 @@
   next.manager =
       std::make_unique<shard::ShardManager>(kShard, Term(6), shard::fixture::params(), clock.now());
   next.writing_progress = true;
-  cache->commit_oldest();
+  cache->commit_oldest_txn();
   EXPECT_TRUE(shard().writing_progress);
 }
 
--- a/tests/registry_sync_test.cpp
+++ b/tests/registry_sync_test.cpp
@@ -98,7 +98,7 @@
     return condition.key == state_store::shard_role_key(kShard);
   };
   EXPECT_TRUE(std::any_of(pending.txn.conditions.begin(), pending.txn.conditions.end(), is_role));
-  auto revision = cache->commit_oldest();
+  auto revision = cache->commit_oldest_txn();
   EXPECT_EQ(cache->applied, std::vector{revision});
   auto registered = state_store::registered_machines(context.view(), kShard);
   ASSERT_EQ(registered.size(), 1u);
@@ -129,7 +129,7 @@
 TEST_F(RegistrySyncTest, RepeatsAFailedTransactionOnceTheStateWasRead) {
   read_and_add_worker();
   write();
-  cache->refuse_oldest(TxnError::kConflict);
+  cache->fail_oldest_txn(TxnError::kConflict);
   EXPECT_TRUE(cache->applied.empty());
   write();
   EXPECT_TRUE(cache->txns.empty());
--- a/tests/state_store_fixture.h
+++ b/tests/state_store_fixture.h
@@ -13,7 +13,7 @@
   explicit StateStoreFixture(state_store::StoreLimits limits = {1000, 500}) : state(io) {
     spdlog::set_level(spdlog::level::err);
     client =
-        std::make_shared<state_store::StoreClient>(io, clock, state.doors[0]->local(), limits, limits, 1);
+        std::make_shared<state_store::StoreClient>(io, clock, state.servers[0]->local(), limits, limits, 1);
     watch_cache = std::make_shared<state_store::WatchCache>(io, clock, client, std::chrono::milliseconds(400),
                                                             [](const state_store::StateView::ChangeSet&) {});
     watch_cache->start();
@@ -22,7 +22,7 @@
   ~StateStoreFixture() {
     watch_cache->stop();
     client->stop();
-    for (auto& door : state.doors) door->stop();
+    for (auto& door : state.servers) door->stop();
     io.poll();
   }
   // Runs handlers until `done`, for 20 s at most. Returns the time that it took.
--- a/tests/state_store_test.cpp
+++ b/tests/state_store_test.cpp
@@ -194,7 +194,7 @@
 // As many lost responses as users' changes in a second must not take all connections from the reads.
 TEST(StoreClient, LostResponsesLeaveConnectionsForReads) {
   StateStoreFixture fixture;
-  fixture.state.txn_answers_lost = true;
+  fixture.state.drop_txn_responses = true;
   for (int i = 0; i < 20; ++i)
     fixture.client->txn(create("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
@@ -208,7 +208,7 @@
 // late.
 TEST(WatchCache, ALostResponseIsReadBack) {
   StateStoreFixture fixture;
-  fixture.state.txn_answers_lost = true;
+  fixture.state.drop_txn_responses = true;
   auto reads = fixture.state.requests["/watch"];
   int ok = 0;
   for (int i = 0; i < 10; ++i)
@@ -226,13 +226,13 @@
 // What was not carried out yet proves nothing: it's unknown, and no sooner than its timeout.
 TEST(WatchCache, WhatIsNotFoundStaysUnknown) {
   StateStoreFixture fixture;
-  fixture.state.silent = true;
+  fixture.state.ignore_requests = true;
   std::optional<TxnResult> result;
   bool sent_again = false;
   fixture.watch_cache->commit(create("x"), Urgency::kUserRequest,
                               [&](TxnResult received) { result = received; });
   fixture.io.run_for(ms(50));
-  fixture.state.silent = false;  // reads are answered from here on, and show nothing
+  fixture.state.ignore_requests = false;  // reads are answered from here on, and show nothing
   EXPECT_GT(fixture.run_until([&] { return result.has_value(); }), ms(1000));
   EXPECT_TRUE(*result == tl::unexpected(TxnError::kUnknown));
   fixture.watch_cache->commit(create("x"), Urgency::kUserRequest,
@@ -249,8 +249,8 @@
   };
   const Case cases[] = {
       {"an outage", [](auto& store, bool on) { store.down = on; }},
-      {"this controller alone is refused", [](auto& store, bool on) { store.shut[0] = on; }},
-      {"connections stay open with no response", [](auto& store, bool on) { store.silent = on; }},
+      {"this controller alone is refused", [](auto& store, bool on) { store.server_unavailable[0] = on; }},
+      {"connections stay open with no response", [](auto& store, bool on) { store.ignore_requests = on; }},
   };
   for (const auto& test_case : cases) {
     SCOPED_TRACE(test_case.what);
