--- a/tests/check_log_events_test.sh
+++ b/tests/check_log_events_test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # usage: check_log_events_test.sh CHECK_LOG_EVENTS_SCRIPT
-# Tests which log messages .ci/check-log-events accepts and reports, on small trees of sources and documentation.
+# Tests which log messages .ci/check-log-events accepts and reports, on small trees of sources and
+# documentation.
 set -euo pipefail
 script=$1
 # shellcheck source=tests/script_test_lib.sh
--- a/tests/script_test_lib.sh
+++ b/tests/script_test_lib.sh
@@ -1,23 +1,25 @@
-# Frame of the tests of scripts under .ci: what SCRIPT says of small trees that a test writes into $directory.
-# A test sets `script`, sources this file, calls `expect` for each case, and ends with `finish`.
+# Library for the tests of the scripts under .ci. Each test runs a script on small source trees that it
+# creates in $directory: it sets `script`, sources this file, calls `expect` for each case, and ends with
+# `finish`.
 directory=$(mktemp -d)
 trap 'rm -rf "$directory"' EXIT
 failures=0
 
-# Empties $directory.
+# Deletes the contents of $directory.
 remove_tree() { find "$directory" -mindepth 1 -delete; }
 
-# expect WHAT VERDICT [OUTPUT]: `$script $directory` passes or fails, and prints a line with this text.
+# expect DESCRIPTION VERDICT [OUTPUT]: runs `$script $directory`, and checks that it passes or fails as
+# VERDICT says, and that its output contains a line with this text.
 expect() {
-  local what=$1 expected=$2 text=${3:-} verdict=pass
+  local description=$1 expected=$2 text=${3:-} verdict=pass
   "$script" "$directory" >"$directory/output" 2>&1 || verdict=fail
-  # The empty line is for an empty text, which any output contains, also none.
+  # `echo` adds an empty line, so that an empty text is also found if the script prints nothing.
   if [ "$verdict" != "$expected" ] || ! grep -qF -- "$text" <(echo; cat "$directory/output"); then
-    echo "FAILED: $what: expected $expected and '$text', got $verdict:"
+    echo "FAILED: $description: expected $expected and output with '$text', got $verdict and this output:"
     cat "$directory/output"
     failures=$((failures + 1))
   fi
 }
 
-# The test's own verdict.
+# Succeeds if all calls of `expect` did.
 finish() { [ "$failures" -eq 0 ]; }
