--- a/tests/check_log_events_test.sh
+++ b/tests/check_log_events_test.sh
@@ -65,7 +65,8 @@
 expect "sources that match their documentation" pass
 expect_line "an event that is not documented" 'spdlog::info("no_event");' \
   "src/shard/b.h:1: event no_event is not listed in docs/operations.md"
-expect_line "one of several selectable events is not documented" 'spdlog::info("{}", a ? "store_available" : "no_event");' \
+expect_line "one of several selectable events is not documented" \
+  'spdlog::info("{}", a ? "store_available" : "no_event");' \
   "src/shard/b.h:1: event no_event is not listed"
 expect_line "a message of '{}' whose argument contains no event name" 'spdlog::info("{}", text);' \
   "src/shard/b.h:1: the argument of '{}' contains no event name"
@@ -75,7 +76,8 @@
   "event task_running is logged at level info, but docs/operations.md lists it at level debug"
 expect_line "a key that is not listed" 'spdlog::info("lease_expired host={}", name);' \
   "src/shard/b.h:1: key host is not listed in .ci/log-keys.txt"
-expect_line "a key with a quoted value that is not listed" 'spdlog::info("lease_expired why=\"{}\"", name);' "key why is not listed"
+expect_line "a key with a quoted value that is not listed" 'spdlog::info("lease_expired why=\"{}\"", name);' \
+  "key why is not listed"
 expect_line "a message that is a sentence" 'spdlog::info("lease expired on {}", name);' \
   "src/shard/b.h:1: the log message is not of the form 'event_name key=value ...': lease expired on {}"
 expect_line "text before the event name" 'spdlog::info("{} lease_expired", name);' "not of the form"
@@ -89,7 +91,8 @@
   "src/shard/a.cpp:2: event store_unavailable is not listed"
 expect_edit "an event documented with two levels" docs/operations.md 's/(lease_expired machine=` \|) info/\1 error/' \
   "docs/operations.md: lease_expired is listed with two levels"
-expect_edit "documentation without a section for log events" docs/operations.md 's/^## Log events/## Events/' "no events are listed under 'Log events'"
+expect_edit "documentation without a section for log events" docs/operations.md 's/^## Log events/## Events/' \
+  "no events are listed under 'Log events'"
 expect_edit "a listed key that is not used" .ci/log-keys.txt 's/^count/count\nsize/' \
   ".ci/log-keys.txt: key size is not used in src"
 expect_edit "a key listed twice" .ci/log-keys.txt 's/^count/count\ntask/' ".ci/log-keys.txt: task is listed twice"
--- a/tests/fakes/state_store.cpp
+++ b/tests/fakes/state_store.cpp
@@ -110,7 +110,7 @@
 }
 
 Response StateStore::execute_txn(const Json& txn_json) {
-  if (too_large(t)) return {400, "{}"};
+  if (too_large(txn_json)) return {400, "{}"};
   Json failed = Json::array();
   for (auto& condition : txn_json["when"]) {
     auto it = keys.find(condition["path"].get<std::string>());
