--- a/tests/api_concurrent_faults_test.cpp
+++ b/tests/api_concurrent_faults_test.cpp
@@ -19,7 +19,7 @@
 // A watch cache that is connected to the fake state store, without the rest of the controller.
 struct WatchCacheFixture : EventLoopFixture {
   WatchCacheFixture() {
-    store = std::make_shared<state_store::StoreClient>(io, clock, state.doors[0]->local(),
+    store = std::make_shared<state_store::StoreClient>(io, clock, state.servers[0]->local(),
                                                        state_store::StoreLimits{1000, 500},
                                                        state_store::StoreLimits{1000, 500}, 1.0);
     watch_cache = std::make_shared<state_store::WatchCache>(io, clock, store, std::chrono::milliseconds(100),
@@ -76,16 +76,16 @@
   ASSERT_TRUE(fixture.read_up_to(fixture.state.revision()));
   fixture.state.set(state_store::job_key(kJob), WatchCacheFixture::job_record("run-000001"));
   fixture.state.fault = [](const fakes::Request& request) {
-    return request.path == "/watch" ? RequestFault::kAnswerKept : RequestFault::kNone;
+    return request.path == "/watch" ? RequestFault::kResponseDelayed : RequestFault::kNone;
   };
-  ASSERT_TRUE(fixture.run_until([&] { return fixture.state.kept() > 0; }));
+  ASSERT_TRUE(fixture.run_until([&] { return fixture.state.delayed_responses() > 0; }));
   fixture.state.fault = nullptr;
   fixture.state.remove(state_store::job_key(kJob));
   protocol::Txn own_txn;
   own_txn.writes = {{state_store::job_key(kJob), std::nullopt, std::nullopt}};
   fixture.watch_cache->apply_own_txn(own_txn, Revision(fixture.state.revision()));
   auto revision_before = fixture.watch_cache->revision();
-  fixture.state.answer_kept();
+  fixture.state.send_delayed_responses();
   ASSERT_TRUE(fixture.run_until([&] { return fixture.watch_cache->revision() > revision_before; }));
   EXPECT_EQ(fixture.watch_cache->view().job(kJob), nullptr);
 }
@@ -145,14 +145,15 @@
     ApiFixture fixture;
     ASSERT_TRUE(fixture.ready);
     fixture.state.fault = [](const fakes::Request& request) {
-      return is_txn_that_sets(request, "beaconsill/jobs/") ? RequestFault::kAnswerKept : RequestFault::kNone;
+      return is_txn_that_sets(request, "beaconsill/jobs/") ? RequestFault::kResponseDelayed
+                                                           : RequestFault::kNone;
     };
     auto response = fixture.send("POST", "/v1/jobs", job_body("run-000001"));
-    ASSERT_TRUE(fixture.run_until([&] { return fixture.state.kept() == 1; }));
+    ASSERT_TRUE(fixture.run_until([&] { return fixture.state.delayed_responses() == 1; }));
     fixture.state.set(state_store::terminal_key(kJob),
                       state_store::to_json(state_store::TerminalRecord{end, 1}));
     ASSERT_TRUE(fixture.read_up_to(fixture.state.revision()));
-    fixture.state.answer_kept();
+    fixture.state.send_delayed_responses();
     ASSERT_TRUE(fixture.run_until([&] { return response->has_value(); }));
     EXPECT_EQ(fixture.job_state(**response), end == state_store::TerminalState::kDone ? "done" : "withdrawn");
   }
@@ -247,7 +248,8 @@
   fixture.state.set(state_store::job_key(kJob), WatchCacheFixture::job_record("run-000001"));
   ASSERT_TRUE(fixture.read_up_to(fixture.state.revision()));
   fixture.state.fault = [](const fakes::Request& request) {
-    return is_txn_that_sets(request, "beaconsill/ends/") ? RequestFault::kAnswerKept : RequestFault::kNone;
+    return is_txn_that_sets(request, "beaconsill/ends/") ? RequestFault::kResponseDelayed
+                                                         : RequestFault::kNone;
   };
   auto response = fixture.send("POST", "/v1/jobs/run-000001/withdraw");
   ASSERT_TRUE(fixture.run_until([&] { return response->has_value(); }));
--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -131,8 +131,8 @@
   constexpr std::size_t kMaxDependencies = 4000;
   ApiFixture fixture;
   fixture.settings.value_kb = 2;
-  fixture.settings.txn_ops = fixture.state.max_ops = 6;
-  fixture.state.max_value = 2048;
+  fixture.settings.txn_ops = fixture.state.max_txn_writes = 6;
+  fixture.state.max_value_bytes = 2048;
   auto dependency_names = [](std::size_t count) {
     protocol::Json list = protocol::Json::array();
     for (std::size_t i = 0; i < count; ++i) list.push_back("run-" + std::to_string(100000 + i));
@@ -194,8 +194,9 @@
   };
   const Case cases[] = {
       {"outage of the state store", [](auto& state) { state.down = true; }},
-      {"the state store refuses this controller only", [](auto& state) { state.shut[0] = true; }},
-      {"connections stay open without a response", [](auto& state) { state.silent = true; }},
+      {"the state store refuses this controller only",
+       [](auto& state) { state.server_unavailable[0] = true; }},
+      {"connections stay open without a response", [](auto& state) { state.ignore_requests = true; }},
   };
   struct UserRequest {
     const char* method;
@@ -302,7 +303,7 @@
 // The state store executes the transactions, but their responses are lost. The API must read the result back.
 TEST(Api, RespondsFromStoredStateIfTheResponseToATransactionIsLost) {
   ApiFixture fixture;
-  fixture.state.txn_answers_lost = true;
+  fixture.state.drop_txn_responses = true;
   auto timed = fixture.call("POST", "/v1/jobs", ApiFixture::job_body("run-000001"));
   EXPECT_EQ(timed.response.status, 201);
   EXPECT_LT(timed.elapsed, ms(300));
--- a/tests/grant_writer_test.cpp
+++ b/tests/grant_writer_test.cpp
@@ -87,7 +87,7 @@
   write(run_round());
   ASSERT_EQ(cache->txns.size(), 1u);
   EXPECT_EQ(written_callbacks, 0);
-  auto revision = cache->commit_oldest();
+  auto revision = cache->commit_oldest_txn();
   EXPECT_EQ(cache->applied, std::vector{revision});
   ASSERT_EQ(messenger.broadcasts.size(), 1u);
   EXPECT_EQ(std::get<protocol::ChangeNotification>(messenger.broadcasts[0]).revision, revision);
@@ -100,7 +100,7 @@
   for (auto outcome : {TxnError::kConflict, TxnError::kNotExecuted, TxnError::kUnknown}) {
     write(run_round());
     ASSERT_EQ(cache->txns.size(), 1u);
-    cache->refuse_oldest(outcome);
+    cache->fail_oldest_txn(outcome);
     EXPECT_TRUE(is_round_open());
     ASSERT_EQ(cache->syncs.size(), 1u);
     cache->finish_oldest_sync(true);
@@ -125,7 +125,7 @@
   ASSERT_EQ(cache->txns.size(), 1u);
   leadership.end_term();
   leadership.begin_term(Term(8));
-  cache->commit_oldest();
+  cache->commit_oldest_txn();
   EXPECT_TRUE(cache->applied.empty());
   EXPECT_TRUE(messenger.broadcasts.empty());
   EXPECT_EQ(written_callbacks, 0);
@@ -134,7 +134,7 @@
 TEST_F(GrantWriterTest, IgnoresTheOutcomeOfAReadOfAnEarlierTerm) {
   write(run_round());
   ASSERT_EQ(cache->txns.size(), 1u);
-  cache->refuse_oldest(TxnError::kConflict);
+  cache->fail_oldest_txn(TxnError::kConflict);
   leadership.end_term();
   cache->finish_oldest_sync(true);
   EXPECT_EQ(written_callbacks, 0);
--- a/tests/progress_writer_test.cpp
+++ b/tests/progress_writer_test.cpp
@@ -102,7 +102,7 @@
   write();
   write_after(kUnnotifiedBatchDelay);
   ASSERT_EQ(cache->txns.size(), 1u);
-  auto revision = cache->commit_oldest();
+  auto revision = cache->commit_oldest_txn();
   EXPECT_EQ(cache->applied, std::vector{revision});
   ASSERT_EQ(messenger.broadcasts.size(), 1u);
   EXPECT_EQ(std::get<protocol::ChangeNotification>(messenger.broadcasts[0]).revision, revision);
@@ -123,7 +123,7 @@
     write_after(kCheckPeriod);
     write_after(kUnnotifiedBatchDelay);
     ASSERT_EQ(cache->txns.size(), 1u);
-    cache->refuse_oldest(outcome);
+    cache->fail_oldest_txn(outcome);
     EXPECT_TRUE(messenger.broadcasts.empty());
     write_after(kCheckPeriod);
     EXPECT_TRUE(cache->txns.empty());
@@ -152,7 +152,7 @@
   next_term_shard.manager =
       std::make_unique<shard::ShardManager>(kShard, Term(6), shard::fixture::params(), clock.now());
   next_term_shard.progress_write_pending = true;
-  cache->commit_oldest();
+  cache->commit_oldest_txn();
   EXPECT_TRUE(shard().progress_write_pending);
 }
 
--- a/tests/state_store_test.cpp
+++ b/tests/state_store_test.cpp
@@ -209,7 +209,7 @@
 // second must leave connections for reads.
 TEST(StoreClient, LostResponsesLeaveConnectionsForReads) {
   StateStoreFixture fixture;
-  fixture.state.txn_answers_lost = true;
+  fixture.state.drop_txn_responses = true;
   for (int i = 0; i < 20; ++i)
     fixture.client->txn(create_keys("x" + std::to_string(i)), Urgency::kUserRequest, [](TxnResult) {});
   bool read = false;
@@ -223,7 +223,7 @@
 // transaction times out. One read serves all transactions whose responses are late.
 TEST(WatchCache, ATransactionWithALostResponseIsFoundByARead) {
   StateStoreFixture fixture;
-  fixture.state.txn_answers_lost = true;
+  fixture.state.drop_txn_responses = true;
   auto reads_before = fixture.state.requests["/watch"];
   int succeeded = 0;
   for (int i = 0; i < 10; ++i)
@@ -242,13 +242,14 @@
 // only after its timeout.
 TEST(WatchCache, ATransactionThatReadsDoNotShowStaysUnknownUntilItsTimeout) {
   StateStoreFixture fixture;
-  fixture.state.silent = true;
+  fixture.state.ignore_requests = true;
   std::optional<TxnResult> result;
   bool second_succeeded = false;
   fixture.watch_cache->commit(create_keys("x"), Urgency::kUserRequest,
                               [&](TxnResult received) { result = received; });
   fixture.io.run_for(ms(50));
-  fixture.state.silent = false;  // from here on reads are answered, and don't contain the transaction
+  fixture.state.ignore_requests =
+      false;  // from here on reads are answered, and don't contain the transaction
   EXPECT_GT(fixture.run_until([&] { return result.has_value(); }), ms(1000));
   EXPECT_TRUE(*result == tl::unexpected(TxnError::kUnknown));
   fixture.watch_cache->commit(create_keys("x"), Urgency::kUserRequest,
@@ -265,8 +266,8 @@
   };
   const Case cases[] = {
       {"state store outage", [](auto& store, bool on) { store.down = on; }},
-      {"only this controller is refused", [](auto& store, bool on) { store.shut[0] = on; }},
-      {"connections stay open with no response", [](auto& store, bool on) { store.silent = on; }},
+      {"only this controller is refused", [](auto& store, bool on) { store.server_unavailable[0] = on; }},
+      {"connections stay open with no response", [](auto& store, bool on) { store.ignore_requests = on; }},
   };
   for (const auto& test_case : cases) {
     SCOPED_TRACE(test_case.description);
