--- a/tests/sim/clock.h
+++ b/tests/sim/clock.h
@@ -1,4 +1,5 @@
-// The event queue, the time and the randomness. All times are in seconds of simulated time.
+// The simulation's event queue, which also provides its clock and its random numbers. All times are in
+// seconds of simulated time.
 #pragma once
 
 #include <algorithm>
@@ -20,14 +21,15 @@
   WallMs wall() const { return WallMs(static_cast<std::int64_t>(now_ * 1000)); }
 
   std::uint64_t draw() { return rng_(); }
-  // From 0 to n - 1.
+  // Draws an integer from 0 to `bound` - 1.
   int draw_below(int bound) { return static_cast<int>(draw() % static_cast<std::uint64_t>(bound)); }
   double uniform(double low, double high) {
     return low + (high - low) * static_cast<double>(draw() % 100000) / 100000;
   }
-  bool chance(double probability) { return uniform(0, 1) < probability; }
-  // Whether a rare fault of a single message occurs. Never if the schedule is without noise.
-  bool random_fault(double probability) { return noise_ && chance(probability); }
+  bool draw_bool(double probability) { return uniform(0, 1) < probability; }
+  // Draws whether a rare fault of a single message occurs. If noise is disabled, this returns false without
+  // drawing a random number.
+  bool random_fault(double probability) { return noise_ && draw_bool(probability); }
 
   void at(double time, std::function<void()> callback) {
     events_.emplace(std::max(time, now_), std::move(callback));
@@ -41,7 +43,7 @@
   }
 
   bool empty() const { return events_.empty(); }
-  // Runs the next event.
+  // Advances the clock to the next event and runs it.
   void step() {
     auto event = events_.begin();
     now_ = event->first;
@@ -57,7 +59,7 @@
   std::multimap<double, std::function<void()>> events_;
 };
 
-// The service's own interface to the clocks.
+// Implements the production code's clock interface with the simulated time.
 class ServiceClock : public Clock {
  public:
   explicit ServiceClock(const EventQueue& queue) : queue_(queue) {}
@@ -68,11 +70,13 @@
   const EventQueue& queue_;
 };
 
-// Until a time, a share of the messages of some kind is subject to a fault.
-struct Window {
+// A period, ending at `until` (s), during which each message of one kind is affected by a fault with
+// probability `share`.
+struct FaultWindow {
   double until = 0;
   double share = 0;
-  bool hits(EventQueue& queue) const { return queue.now() < until && queue.chance(share); }
+  // Draws whether the fault affects one message. Draws no random number after the period has ended.
+  bool draw_fault(EventQueue& queue) const { return queue.now() < until && queue.draw_bool(share); }
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -5,34 +5,34 @@
 namespace beaconsill::sim {
 
 void Cloud::add_machine() {
-  auto number = next_++;
+  auto number = next_number_++;
   MachineName name("host-" + std::to_string(number));
   auto& machine = ledger_.machines[name];
   machine.name = name;
   machine.zone = zones()[static_cast<std::size_t>(number) % zones().size()];
   machine.lease_from = queue_.now();
   machine.controller = number % kControllers;
-  on_added_(name);
+  on_machine_added_(name);
 }
 
-void Cloud::kill(const MachineName& name) {
+void Cloud::terminate_machine(const MachineName& name) {
   auto* machine = ledger_.machine(name);
   if (!machine) return;
   machine->terminated = true;
   machine->tasks.clear();
-  double boot = queue_.now() < fast_boot_until_   ? queue_.uniform(0.2, 2)
-                : queue_.now() < slow_boot_until_ ? queue_.uniform(20, 60)
-                                                  : queue_.uniform(3, 10);
-  queue_.after(boot, [this] { add_machine(); });
+  double boot_s = queue_.now() < fast_boot_until_   ? queue_.uniform(0.2, 2)
+                  : queue_.now() < slow_boot_until_ ? queue_.uniform(20, 60)
+                                                    : queue_.uniform(3, 10);
+  queue_.after(boot_s, [this] { add_machine(); });
 }
 
-void Cloud::remove(const MachineName& name, const std::function<void(bool)>& answer) {
-  ++deletions_;
+void Cloud::delete_machine(const MachineName& name, const std::function<void(bool)>& answer) {
+  ++requested_deletions_;
   queue_.after(queue_.uniform(0.1, 0.4), [this, name, answer] {
-    bool ok = !queue_.random_fault(0.1);
-    bool done = ok || queue_.chance(0.3);  // carried out, though the answer says otherwise
-    if (done) kill(name);
-    answer(ok);
+    bool confirmed = !queue_.random_fault(0.1);
+    bool executed = confirmed || queue_.draw_bool(0.3);  // may be executed although a failure is reported
+    if (executed) terminate_machine(name);
+    answer(confirmed);
   });
 }
 
--- a/tests/sim/cloud.h
+++ b/tests/sim/cloud.h
@@ -1,4 +1,5 @@
-// Fake of the cloud: machines come, are deleted, and are replaced.
+// Fake of the cloud provider: creates machines, deletes them on request, and replaces machines that
+// terminated.
 #pragma once
 
 #include <functional>
@@ -10,30 +11,31 @@
 
 class Cloud {
  public:
-  // `on_added` is called with each new machine.
-  Cloud(EventQueue& queue, Ledger& ledger, std::function<void(const MachineName&)> on_added)
-      : queue_(queue), ledger_(ledger), on_added_(std::move(on_added)) {}
+  // `on_machine_added` is called with the name of each new machine.
+  Cloud(EventQueue& queue, Ledger& ledger, std::function<void(const MachineName&)> on_machine_added)
+      : queue_(queue), ledger_(ledger), on_machine_added_(std::move(on_machine_added)) {}
 
   void add_machine();
-  // Ends a machine; nobody is notified. Another one comes some seconds later.
-  void kill(const MachineName& name);
-  // A request for deletion. `answer` gets whether the cloud said that it was carried out.
-  void remove(const MachineName& name, const std::function<void(bool)>& answer);
-  // Until then new machines are up within two seconds.
-  void boot_fast(double until) { fast_boot_until_ = until; }
-  // Until then they take up to a minute.
-  void boot_slowly(double until) { slow_boot_until_ = until; }
-  // How many deletions were asked for.
-  int deletions() const { return deletions_; }
+  // Terminates a machine without notifying any component. A replacement machine is added some seconds later.
+  void terminate_machine(const MachineName& name);
+  // Requests the deletion of a machine. `answer` receives whether the cloud reported success; the machine may
+  // have been deleted although the cloud reported a failure.
+  void delete_machine(const MachineName& name, const std::function<void(bool)>& answer);
+  // Replacements of machines that terminate before this time (s) boot within 2 s.
+  void boot_fast_until(double until) { fast_boot_until_ = until; }
+  // Replacements of machines that terminate before this time (s) take 20 to 60 s to boot.
+  void boot_slowly_until(double until) { slow_boot_until_ = until; }
+  // The number of deletion requests received so far.
+  int requested_deletions() const { return requested_deletions_; }
 
  private:
   EventQueue& queue_;
   Ledger& ledger_;
-  std::function<void(const MachineName&)> on_added_;
-  int next_ = 0;
+  std::function<void(const MachineName&)> on_machine_added_;
+  int next_number_ = 0;
   double fast_boot_until_ = 0;
   double slow_boot_until_ = 0;
-  int deletions_ = 0;
+  int requested_deletions_ = 0;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/concurrent_faults.cpp
+++ b/tests/sim/concurrent_faults.cpp
@@ -28,9 +28,9 @@
   fault.kind = kind;
   fault.duration_s = queue.uniform(4, 25);
   fault.share = queue.uniform(0.1, 0.6);
-  fault.deliver_later = queue.chance(0.5);
-  fault.controllers = queue.chance(0.5) ? ControllerSelector::leader() : ControllerSelector::drawn();
-  fault.machines = queue.chance(0.3)
+  fault.deliver_later = queue.draw_bool(0.5);
+  fault.controllers = queue.draw_bool(0.5) ? ControllerSelector::leader() : ControllerSelector::drawn();
+  fault.machines = queue.draw_bool(0.3)
                        ? MachineSelector::in_zone(zones()[static_cast<std::size_t>(queue.draw_below(3))])
                        : MachineSelector::drawn(1 + queue.draw_below(4));
   fault.zone = zones()[static_cast<std::size_t>(queue.draw_below(3))];
@@ -46,12 +46,12 @@
     case FaultKind::kControllerCrash: {
       constexpr double kBack[] = {0.1, 0.15, 1, 3, 13};
       fault.duration_s = kBack[queue.draw_below(5)];
-      if (queue.chance(0.25)) fault.controllers = ControllerSelector::all();
+      if (queue.draw_bool(0.25)) fault.controllers = ControllerSelector::all();
       break;
     }
     case FaultKind::kControllerPause:
       fault.duration_s = queue.uniform(1, 12);
-      if (queue.chance(0.7))
+      if (queue.draw_bool(0.7))
         fault.before_callback =
             static_cast<CallbackKind>(queue.draw_below(static_cast<int>(CallbackKind::kUserRequest) + 1));
       break;
@@ -60,7 +60,7 @@
       fault.period_s = queue.uniform(6, 13);
       break;
     case FaultKind::kStateOutage:
-      fault.duration_s = queue.chance(0.25) ? kCancelLimit + queue.uniform(0, 15) : queue.uniform(3, 15);
+      fault.duration_s = queue.draw_bool(0.25) ? kCancelLimit + queue.uniform(0, 15) : queue.uniform(3, 15);
       break;
     case FaultKind::kMachineHangs:
       fault.duration_s = queue.uniform(1, 30);
@@ -78,7 +78,7 @@
       fault.duration_s = queue.uniform(60, 80);
       break;
     case FaultKind::kCancelRunning:
-      if (queue.chance(0.3)) fault.duration_s = 0;
+      if (queue.draw_bool(0.3)) fault.duration_s = 0;
       break;
     default:
       break;
--- a/tests/sim/controller.cpp
+++ b/tests/sim/controller.cpp
@@ -2,11 +2,12 @@
 
 namespace beaconsill::sim {
 namespace {
-constexpr double kTick = 0.1;
-constexpr double kLeaseRenewal = 0.5;
-constexpr double kHeartbeat = 0.5;
+// Times are in seconds.
+constexpr double kTickPeriod = 0.1;
+constexpr double kLeaseRenewalPeriod = 0.5;
+constexpr double kHeartbeatPeriod = 0.5;
 constexpr double kSummaryPeriod = 5;
-constexpr double kReadPeriod = 0.4;
+constexpr double kStateReadPeriod = 0.4;
 }  // namespace
 
 void Controller::start() {
@@ -15,10 +16,10 @@
   auto seeded_bug = env_.options.seeded_bug;
   process_.watch_cache = std::make_shared<WatchCache>(
       number_, env_.queue, env_.state,
-      [this](const state_store::StateView::ChangeSet& changes) { on_view(changes); });
+      [this](const state_store::StateView::ChangeSet& changes) { on_view_changed(changes); });
   process_.endpoint_reader = std::make_shared<EndpointReader>(process_.watch_cache, seeded_bug);
   process_.heartbeats = std::make_unique<Heartbeats>(number_, env_.queue.wall(), instant());
-  process_.ticked = now();
+  process_.last_tick_s = now();
   process_.api = std::make_unique<api::Api>(
       io_, clock_, env_.settings, std::make_shared<Transactions>(number_, env_.state),
       process_.endpoint_reader,
@@ -28,34 +29,35 @@
             broadcast([](Controller& controller) { controller.process_.watch_cache->sync([](bool) {}); });
           },
           [this](const JobId& id) { return may_reveal_cancellation(id); },
-          [this](const JobId& id) { return running(id); },
+          [this](const JobId& id) { return count_running_tasks(id); },
           [] { return true; },
           [](std::uint32_t) { return true; },
       });
-  every(kTick, &Controller::tick);
-  every(kLeaseRenewal, &Controller::renew_lease);
-  every(kHeartbeat, &Controller::send_heartbeats);
+  every(kTickPeriod, &Controller::tick);
+  every(kLeaseRenewalPeriod, &Controller::renew_lease);
+  every(kHeartbeatPeriod, &Controller::send_heartbeats);
   every(kSummaryPeriod, &Controller::send_summaries);
   process_.watch_cache->sync([](bool) {});
 }
 
-void Controller::crash(double back_s) {
-  if (!env_.network.up(number_)) return;
+void Controller::crash(double restart_delay_s) {
+  if (!env_.network.is_up(number_)) return;
   env_.network.stop(number_);
   process_ = Process{};
-  env_.queue.after(back_s, [this] {
-    if (!env_.network.up(number_)) start();
+  env_.queue.after(restart_delay_s, [this] {
+    if (!env_.network.is_up(number_)) start();
   });
 }
 
-void Controller::every(double period, void (Controller::*work)()) {
-  (this->*work)();
-  env_.network.later(number_, period, CallbackKind::kTimer, [this, period, work] { every(period, work); });
+void Controller::every(double period, void (Controller::*task)()) {
+  (this->*task)();
+  env_.network.run_later(number_, period, CallbackKind::kTimer,
+                         [this, period, task] { every(period, task); });
 }
 
 void Controller::send(int to, std::function<void(Controller&)> callback) {
-  env_.network.peer(number_, to,
-                    [this, to, callback = std::move(callback)] { callback(env_.controller(to)); });
+  env_.network.send_to_peer(number_, to,
+                            [this, to, callback = std::move(callback)] { callback(env_.controller(to)); });
 }
 
 void Controller::broadcast(const std::function<void(Controller&)>& callback) {
@@ -64,23 +66,23 @@
 }
 
 void Controller::renew_lease() {
-  env_.state.renew(number_, state_store::alive_key(name()));
+  env_.state.renew_liveness_lease(number_, state_store::alive_key(name()));
 }
 
 void Controller::tick() {
-  if (now() - process_.watch_cache->synced_at_s() > kReadPeriod && !process_.watch_cache->reading())
+  if (now() - process_.watch_cache->synced_at_s() > kStateReadPeriod && !process_.watch_cache->is_reading())
     process_.watch_cache->sync([](bool) {});
   check_roles();
   if (process_.scheduler && !process_.records_read) read_records();
   tick_shards();
   tick_leader();
-  process_.ticked = now();
+  process_.last_tick_s = now();
 }
 
-void Controller::on_view(const state_store::StateView::ChangeSet& changes) {
+void Controller::on_view_changed(const state_store::StateView::ChangeSet& changes) {
   for (auto& [id, led] : process_.shards) {
-    if (led.read && changes.machines.contains(id)) load_registry(id);
-    for (const auto& job : changes.jobs) publish(*led.shard, job);
+    if (led.registry_read && changes.machines.contains(id)) load_registry(id);
+    for (const auto& job : changes.jobs) publish_to_shard(*led.shard, job);
   }
   if (process_.scheduler) {
     auto jobs = changes.jobs;
@@ -92,7 +94,7 @@
   share_cancellations(changes);
 }
 
-void Controller::on_user(const net::Request& request, net::HttpServer::Reply reply) {
+void Controller::on_user_request(const net::Request& request, net::HttpServer::Reply reply) {
   if (has_bug(SeededBug::kRepeatedSubmissionRejected) && request.method == "POST" &&
       request.path == "/v1/jobs") {
     auto id = JobId(protocol::parse_object(request.body).value("ref", ""));
--- a/tests/sim/controller.h
+++ b/tests/sim/controller.h
@@ -1,6 +1,6 @@
-// One controller: the state machines of `shard` and `scheduler`, the view of `state_store` and the users'
-// endpoints of `api`, connected to fakes as `controller` connects them to sockets. Its state lasts for one
-// incarnation of its process.
+// Simulates one controller: the state machines of `shard` and `scheduler`, the view of `state_store` and the
+// users' endpoints of `api`, connected to fakes in the way that `controller` connects them to sockets. Its
+// state lasts for one incarnation of its process.
 #pragma once
 
 #include <memory>
@@ -18,37 +18,37 @@
  public:
   Controller(int number, Environment& env) : number_(number), env_(env), clock_(env.queue) {}
 
-  // A new process begins.
+  // Starts a new incarnation of the process.
   void start();
-  // The process ends, and another one begins some seconds later.
-  void crash(double back_s);
+  // Ends the process and starts a new one `restart_delay_s` seconds later.
+  void crash(double restart_delay_s);
 
-  // Whether the state store was read since the process began.
+  // Returns whether the process has read the state store since it started.
   bool ready() const { return process_.watch_cache && process_.watch_cache->ready(); }
   const state_store::StateView& view() const { return process_.watch_cache->view(); }
   bool is_leader() const { return process_.scheduler != nullptr; }
-  // The shards that this process leads, unless it knows that it lost them.
+  // The shards that this process leads, except those for which it has learned of a newer leader.
   std::vector<protocol::ShardTerm> led_shards() const;
-  // Null unless it leads the shard.
+  // Returns null unless this process leads the shard.
   const shard::ShardManager* shard(ShardId id) const;
 
-  // ---- What comes in
-  void on_user(const net::Request& request, net::HttpServer::Reply reply);
+  // ---- Incoming requests
+  void on_user_request(const net::Request& request, net::HttpServer::Reply reply);
   void on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat, const Workers::Reply& reply);
 
  private:
   struct LedShard {
     std::unique_ptr<shard::ShardManager> shard;
-    bool read = false;
-    bool reading = false;
-    bool writing = false;
-    bool registering = false;
+    bool registry_read = false;
+    bool registry_read_in_progress = false;
+    bool progress_write_in_progress = false;
+    bool registry_write_in_progress = false;
     double next_full_notification = 0;
-    Term reported_to;  // term of the leader that got the last full report
-    std::map<JobId, double> unwritten_progress;
+    Term fully_reported_leader_term;                   // of the leader to which the last full report was sent
+    std::map<JobId, double> progress_unwritten_since;  // time (s)
   };
   struct RoleState {
-    std::optional<Term> held;  // by this process
+    std::optional<Term> held_term;  // set while this process holds the role
     bool acquiring = false;
     std::optional<double> vacant_since;
     std::optional<double> preferred_alive_since;  // while another controller holds the role
@@ -62,37 +62,37 @@
     std::shared_ptr<EndpointReader> endpoint_reader;
     std::unique_ptr<api::Api> api;
     std::unique_ptr<Heartbeats> heartbeats;
-    double ticked = 0;
+    double last_tick_s = 0;
     std::map<ShardId, LedShard> shards;
     std::map<std::string, RoleState> roles;
     std::unique_ptr<scheduler::Scheduler> scheduler;
     Term leader_term;
     bool records_read = false;
-    std::set<JobId> terminal_record;
+    std::set<JobId> pending_terminal_records;
     std::map<ShardId, protocol::Summary> summaries;
-    std::map<std::uint64_t, RelayedReply> relayed;
-    std::uint64_t next_relay = 0;
+    std::map<std::uint64_t, RelayedReply> relayed_replies;
+    std::uint64_t next_relay_id = 0;
   };
 
   double now() const { return env_.queue.now(); }
   Instant instant() const { return env_.queue.instant(); }
   bool has_bug(SeededBug bug) const { return env_.options.seeded_bug == bug; }
   ControllerName name() const { return controller_name(number_); }
-  void every(double period, void (Controller::*work)());
-  // Runs at the other controller when the message arrives there.
+  void every(double period, void (Controller::*task)());
+  // Sends a message to another controller; `callback` runs there when the message arrives.
   void send(int to, std::function<void(Controller&)> callback);
   void broadcast(const std::function<void(Controller&)>& callback);
 
   void tick();
   void renew_lease();
-  void on_view(const state_store::StateView::ChangeSet& changes);
+  void on_view_changed(const state_store::StateView::ChangeSet& changes);
 
-  // Other controllers (controller_peers.cpp)
+  // Communication with other controllers (controller_peers.cpp)
   void send_heartbeats();
   void on_heartbeat(int from, const protocol::Heartbeat& heartbeat);
-  // All cancellations disclosed by any controller before this time are known here.
+  // This controller has seen all cancellations that any controller disclosed to users before this time.
   std::optional<Instant> cancellations_known_until() const;
-  Heartbeats::Known known() const;
+  Heartbeats::LocalView local_view() const;
   void send_heartbeat(int to);
   void share_cancellations(const state_store::StateView::ChangeSet& changes);
   bool may_reveal_cancellation(const JobId& id) const;
@@ -108,8 +108,8 @@
   void check_role(const std::string& key, const state_store::Versioned<state_store::Role>& role,
                   std::optional<ShardId> shard);
   void lose_role(RoleState& state, std::optional<ShardId> shard);
-  void keep_or_fail_back(RoleState& state, const std::string& key,
-                         const state_store::Versioned<state_store::Role>& role, ShardId shard);
+  void check_fail_back(RoleState& state, const std::string& key,
+                       const state_store::Versioned<state_store::Role>& role, ShardId shard);
   int rank(std::optional<ShardId> shard) const;
   void acquire(const std::string& key, const state_store::Versioned<state_store::Role>& role,
                std::optional<ShardId> shard);
@@ -119,22 +119,22 @@
 
   // Shards (controller_shards.cpp)
   void acquire_shard(ShardId id, Term term);
-  LedShard* find(ShardId id, Term term);
-  void publish(shard::ShardManager& shard, const JobId& job);
+  LedShard* find_led_shard(ShardId id, Term term);
+  void publish_to_shard(shard::ShardManager& shard, const JobId& job);
   void load_registry(ShardId id);
   void tick_shards();
   void tick_shard(ShardId id);
   void read_registry(ShardId id, LedShard& led);
   void notify_leader(ShardId id, LedShard& led);
-  void write(ShardId id, Term term, const protocol::Txn& txn, bool LedShard::*flag);
+  void commit_shard_txn(ShardId id, Term term, const protocol::Txn& txn, bool LedShard::*in_progress);
   void write_registry(ShardId id, LedShard& led);
   void write_progress(ShardId id, LedShard& led);
-  HeartbeatReply answer(LedShard& led, ShardId id, const protocol::WorkerHeartbeat& heartbeat);
-  void command(ShardId id, Term term, const shard::ShardManager::Batch& batch);
-  void remove(ShardId id, Term term, const MachineName& machine);
+  HeartbeatReply process_heartbeat(LedShard& led, ShardId id, const protocol::WorkerHeartbeat& heartbeat);
+  void send_commands(ShardId id, Term term, const shard::ShardManager::Batch& batch);
+  void delete_machine(ShardId id, Term term, const MachineName& machine);
   void on_machine_terminated(const MachineName& machine);
   void on_estimate_request(int leader, const protocol::EstimateRequest& estimate_request);
-  std::uint32_t running(const JobId& id) const;
+  std::uint32_t count_running_tasks(const JobId& id) const;
 
   // Scheduler (controller_scheduler.cpp)
   void become_leader(Term term);
@@ -151,7 +151,7 @@
   int number_;
   Environment& env_;
   ServiceClock clock_;
-  // Never run: deadlines of answers are real time, and nothing here waits for that.
+  // Never run: the API's response deadlines use real time, and the simulation does not wait for them.
   asio::io_context io_;
   Process process_;
 };
--- a/tests/sim/controller_leader_election.cpp
+++ b/tests/sim/controller_leader_election.cpp
@@ -1,12 +1,13 @@
-// Leader election: acquiring, keeping and failing back the roles (shard leaders and the scheduler's leader),
-// as `controller::LeaderElection` does.
+// Leader election: acquires, retains and fails back the roles (shard leaders and the scheduler's leader).
+// Simulation counterpart of `controller::LeaderElection`.
 #include "sim/controller.h"
 
 namespace beaconsill::sim {
 namespace {
+// Times are in seconds.
 constexpr double kCandidateDelay = 1.2;
 constexpr double kFailBackDelay = 6;
-constexpr int kUnstableFactor = 4;  // an unstable shard stays for so many times longer
+constexpr int kUnstableDelayFactor = 4;  // applied to the fail-back delay of an unstable shard
 }  // namespace
 
 scheduler::ShardTerms Controller::terms() const {
@@ -28,16 +29,17 @@
 void Controller::check_role(const std::string& key, const state_store::Versioned<state_store::Role>& role,
                             std::optional<ShardId> shard) {
   auto& state = process_.roles[key];
-  bool mine = role.exists() && role.value.controller == name();
-  if (state.held && (!mine || role.value.term > *state.held)) lose_role(state, shard);
+  bool held_by_this_controller = role.exists() && role.value.controller == name();
+  if (state.held_term && (!held_by_this_controller || role.value.term > *state.held_term))
+    lose_role(state, shard);
   if (state.acquiring) return;
-  if (state.held) {
-    if (shard) keep_or_fail_back(state, key, role, *shard);
+  if (state.held_term) {
+    if (shard) check_fail_back(state, key, role, *shard);
     return;
   }
   if (!view().alive(name())) return;
-  // Held by an earlier process of this controller, or given to it.
-  if (mine) return acquire(key, role, shard);
+  // An earlier process of this controller held the role, or another controller failed it back to this one.
+  if (held_by_this_controller) return acquire(key, role, shard);
   if (role.exists() && view().alive(role.value.controller)) {
     state.vacant_since.reset();
     return;
@@ -47,40 +49,42 @@
 }
 
 void Controller::lose_role(RoleState& state, std::optional<ShardId> shard) {
-  state.held.reset();
+  state.held_term.reset();
   if (shard) {
     process_.shards.erase(*shard);
   } else {
     process_.scheduler.reset();
-    process_.terminal_record.clear();
+    process_.pending_terminal_records.clear();
   }
 }
 
-void Controller::keep_or_fail_back(RoleState& state, const std::string& key,
-                                   const state_store::Versioned<state_store::Role>& role, ShardId shard) {
+void Controller::check_fail_back(RoleState& state, const std::string& key,
+                                 const state_store::Versioned<state_store::Role>& role, ShardId shard) {
   const auto& preferred_controller = env_.partitioning.preferred_controller(shard);
   if (preferred_controller == name() || !view().alive(preferred_controller)) {
     state.preferred_alive_since.reset();
     return;
   }
   if (!state.preferred_alive_since) state.preferred_alive_since = now();
-  double away = now() - *state.preferred_alive_since;
-  auto owned = process_.shards.find(shard);
-  bool is_stable = owned != process_.shards.end() && owned->second.shard->is_stable(instant());
-  if (away <= kFailBackDelay || (!is_stable && away <= kUnstableFactor * kFailBackDelay)) return;
+  double preferred_alive_s = now() - *state.preferred_alive_since;
+  auto led = process_.shards.find(shard);
+  bool is_stable = led != process_.shards.end() && led->second.shard->is_stable(instant());
+  if (preferred_alive_s <= kFailBackDelay ||
+      (!is_stable && preferred_alive_s <= kUnstableDelayFactor * kFailBackDelay))
+    return;
   state.preferred_alive_since.reset();
   fail_back(key, role, shard);
 }
 
 int Controller::rank(std::optional<ShardId> shard) const {
-  int first = shard ? static_cast<int>(shard->value()) : 0;
-  int place = 0;
+  int first_candidate = shard ? static_cast<int>(shard->value()) : 0;
+  int position = 0;
   for (int i = 0; i < kControllers; ++i) {
-    int controller = (first + i) % kControllers;
+    int controller = (first_candidate + i) % kControllers;
     if (controller == number_) break;
-    if (view().alive(controller_name(controller))) ++place;
+    if (view().alive(controller_name(controller))) ++position;
   }
-  return place;
+  return position;
 }
 
 void Controller::acquire(const std::string& key, const state_store::Versioned<state_store::Role>& role,
@@ -91,7 +95,7 @@
       {{key, role.revision}},
       {{key, state_store::to_json(state_store::Role{name(), term, role.value.min_reader_version}),
         std::nullopt}}};
-  // Only a leader that has terminated, or is this very controller, may be replaced.
+  // A leader may be replaced only if its liveness key is gone or if it is this controller itself.
   if (role.exists() && role.value.controller != name())
     txn.conditions.push_back({state_store::alive_key(role.value.controller), Revision()});
   env_.state.txn(number_, txn, [this, key, shard, term, txn](state_store::TxnResult result) {
@@ -100,9 +104,9 @@
       return process_.watch_cache->sync([this, key](bool) { process_.roles[key].acquiring = false; });
     state.acquiring = false;
     state.vacant_since.reset();
-    state.held = term;
+    state.held_term = term;
     process_.watch_cache->apply_own(txn, *result);
-    if (!state.held) return;  // lost again within the call above
+    if (!state.held_term) return;  // apply_own() may have processed the loss of the role
     if (shard) {
       acquire_shard(*shard, term);
     } else {
@@ -111,11 +115,11 @@
   });
 }
 
-// This controller goes on as the shard leader until it sees that the change was applied.
+// This controller continues as the shard's leader until its view includes the change.
 void Controller::fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& role,
                            ShardId shard) {
   auto& state = process_.roles[key];
-  state_store::Role next{env_.partitioning.preferred_controller(shard), Term(state.held->value() + 1)};
+  state_store::Role next{env_.partitioning.preferred_controller(shard), Term(state.held_term->value() + 1)};
   protocol::Txn txn{{{key, role.revision}}, {{key, state_store::to_json(next), std::nullopt}}};
   state.acquiring = true;
   env_.state.txn(number_, txn, [this, key, txn](state_store::TxnResult result) {
--- a/tests/sim/controller_peers.cpp
+++ b/tests/sim/controller_peers.cpp
@@ -1,10 +1,12 @@
-// Messages between controllers: heartbeats, summaries, and worker heartbeats relayed to the shard leader.
+// Messages between controllers: heartbeats, shard summaries, and worker heartbeats relayed to the shard
+// leader.
 #include "sim/controller.h"
 
 namespace beaconsill::sim {
 namespace {
-constexpr double kRelayWait = 0.8;
-}
+// Times are in seconds.
+constexpr double kRelayReplyTimeout = 0.8;
+}  // namespace
 
 void Controller::send_heartbeats() {
   for (int to = 0; to < kControllers; ++to)
@@ -12,22 +14,22 @@
 }
 
 void Controller::send_heartbeat(int to) {
-  auto heartbeat = process_.heartbeats->next(to, known(), instant());
-  heartbeat.acknowledged_until = Revision(UINT64_MAX);  // for earlier versions only
+  auto heartbeat = process_.heartbeats->compose(to, local_view(), instant());
+  heartbeat.acknowledged_until = Revision(UINT64_MAX);  // read only by earlier versions
   heartbeat.terms = led_shards();
   heartbeat.reaches_state_store = process_.watch_cache->ready();
   send(to, [from = number_, heartbeat](Controller& controller) { controller.on_heartbeat(from, heartbeat); });
 }
 
-Heartbeats::Known Controller::known() const {
+Heartbeats::LocalView Controller::local_view() const {
   return {process_.watch_cache->ready(), process_.watch_cache->revision(), view().cancelled()};
 }
 
 void Controller::on_heartbeat(int from, const protocol::Heartbeat& heartbeat) {
-  // Before anything is sent that acknowledges them.
+  // Cancellations must be applied before a heartbeat that acknowledges them is sent.
   if (heartbeat.cancellation_sync)
     process_.watch_cache->apply_cancelled(heartbeat.cancellation_sync->cancelled);
-  if (process_.heartbeats->on_heartbeat(from, heartbeat, known(), instant())) send_heartbeat(from);
+  if (process_.heartbeats->on_heartbeat(from, heartbeat, local_view(), instant())) send_heartbeat(from);
   for (const auto& shard_term : heartbeat.terms)
     if (auto it = process_.shards.find(shard_term.shard); it != process_.shards.end())
       it->second.shard->supersede(shard_term.term);
@@ -40,14 +42,14 @@
   if (!any) return;
   for (int to = 0; to < kControllers; ++to)
     if (to != number_ && process_.heartbeats->reachable(to, instant()) &&
-        process_.heartbeats->cancellation_sync().lacks_cancellations(controller_name(to), known()))
+        process_.heartbeats->cancellation_sync().lacks_cancellations(controller_name(to), local_view()))
       send_heartbeat(to);
 }
 
 bool Controller::may_reveal_cancellation(const JobId& id) const {
   if (has_bug(SeededBug::kCancellationAcknowledgedAtOnce)) return true;
   const auto& end = view().terminal_record(id);
-  return process_.heartbeats->cancellation_sync().may_reveal({end.revision, id, end.value.done}, known(),
+  return process_.heartbeats->cancellation_sync().may_reveal({end.revision, id, end.value.done}, local_view(),
                                                              instant());
 }
 
@@ -71,8 +73,8 @@
   if (process_.scheduler) process_.scheduler->on_summary(summary);
 }
 
-// The shard leader of the highest term that the state store or another controller has announced, if it's
-// there and isn't this one.
+// Returns the leader with the highest term for the shard according to the state store and the other
+// controllers' heartbeats, provided that it is alive or reachable and is not this controller.
 std::optional<int> Controller::leader_of(ShardId id) const {
   const auto& role = view().shard_role(id);
   std::optional<int> leader;
@@ -89,11 +91,11 @@
   auto leader = leader_of(id);
   if (!leader || !process_.heartbeats->reachable(*leader, instant()))
     return reply({std::nullopt, leader.value_or(-1)});
-  auto number = process_.next_relay++;
-  process_.relayed[number] = {id, reply};
-  env_.network.later(number_, kRelayWait, CallbackKind::kTimer, [this, number] {
-    auto it = process_.relayed.find(number);
-    if (it != process_.relayed.end())
+  auto number = process_.next_relay_id++;
+  process_.relayed_replies[number] = {id, reply};
+  env_.network.run_later(number_, kRelayReplyTimeout, CallbackKind::kTimer, [this, number] {
+    auto it = process_.relayed_replies.find(number);
+    if (it != process_.relayed_replies.end())
       on_relayed_reply(number, {std::nullopt, leader_of(it->second.shard).value_or(-1)});
   });
   send(*leader, [from = number_, number, heartbeat](Controller& controller) {
@@ -109,16 +111,16 @@
   if (it == process_.shards.end() || it->second.shard->superseded()) {
     out.redirect = leader_of(id).value_or(-1);
   } else if (!it->second.shard->should_redirect_here(heartbeat, instant())) {
-    out = answer(it->second, id, heartbeat);
+    out = process_heartbeat(it->second, id, heartbeat);
   }
   send(from, [number, out](Controller& controller) { controller.on_relayed_reply(number, out); });
 }
 
 void Controller::on_relayed_reply(std::uint64_t number, const HeartbeatReply& answer) {
-  auto it = process_.relayed.find(number);
-  if (it == process_.relayed.end()) return;
+  auto it = process_.relayed_replies.find(number);
+  if (it == process_.relayed_replies.end()) return;
   auto reply = std::move(it->second.reply);
-  process_.relayed.erase(it);
+  process_.relayed_replies.erase(it);
   reply(answer);
 }
 
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -1,17 +1,18 @@
-// The leader: rounds, grants, and what it records of jobs that are over, as `controller::SchedulerService`
-// does.
+// The scheduler's leader: scheduling rounds, grants, terminal records and garbage collection. Simulation
+// counterpart of `controller::SchedulerService`.
 #include "sim/controller.h"
 
 namespace beaconsill::sim {
 namespace {
-constexpr double kReplyWait = 0.5;
+// Times are in seconds.
+constexpr double kEstimateReplyWait = 0.5;
 constexpr double kLongestWait = 60;
-constexpr double kGarbageCollectionShare = 0.2;  // of the ticks
+constexpr double kGarbageCollectionShare = 0.2;  // share of ticks that collect garbage
 }  // namespace
 
 void Controller::become_leader(Term term) {
   scheduler::SchedulerParams params;
-  params.reply_wait = from_seconds(kReplyWait);
+  params.reply_wait = from_seconds(kEstimateReplyWait);
   params.heartbeat_period = from_seconds(env_.options.heartbeat_period_s);
   params.longest_wait = from_seconds(kLongestWait);
   auto limits = env_.settings.teams;
@@ -22,9 +23,9 @@
   process_.records_read = false;
   process_.scheduler->on_terms(terms());
   for (const auto& [shard, summary] : process_.summaries) process_.scheduler->on_summary(summary);
-  std::set<JobId> all;
-  for (const auto& [id, job] : view().jobs()) all.insert(id);
-  publish_to_scheduler(all);
+  std::set<JobId> job_ids;
+  for (const auto& [id, job] : view().jobs()) job_ids.insert(id);
+  publish_to_scheduler(job_ids);
   env_.workers.on_new_leader();
 }
 
@@ -32,7 +33,8 @@
   for (const auto& id : jobs) {
     if (has_bug(SeededBug::kJobSkipped) && id == JobId("run-2")) continue;
     const auto& dependencies = view().dependencies();
-    // Cancelled through others: there is nothing to serve.
+    // A job that is cancelled because of its dependencies, without a terminal record of its own yet, has no
+    // tasks to schedule.
     const auto* job = dependencies.unrecorded().contains(id) ? nullptr : view().job(id);
     auto since = dependencies.ready_since(id, WallMs());
     if (has_bug(SeededBug::kDependenciesIgnored)) since = env_.queue.wall();
@@ -51,9 +53,9 @@
   if (!process_.scheduler || !process_.records_read || !role.exists() ||
       role.value.term != process_.leader_term)
     return;
-  auto all = terms();
+  auto shard_terms = terms();
   std::set<ShardId> reachable;
-  for (auto& [shard, term] : all)
+  for (auto& [shard, term] : shard_terms)
     if (process_.heartbeats->reachable(controller_number(view().shard_role(shard).value.controller),
                                        instant()))
       reachable.insert(shard);
@@ -63,7 +65,7 @@
     });
     on_estimate_request(number_, *estimate_request);
   }
-  if (auto grants = process_.scheduler->decide(instant(), all)) {
+  if (auto grants = process_.scheduler->decide(instant(), shard_terms)) {
     if (grants->empty()) {
       process_.scheduler->on_granted({}, std::nullopt, instant());
     } else {
@@ -76,15 +78,15 @@
 
 void Controller::write_grants(const std::vector<scheduler::Scheduler::Grant>& grants) {
   protocol::Txn txn;
-  bool conditional = !has_bug(SeededBug::kNoFencing);
-  if (conditional) txn.conditions.push_back({state_store::leader_role_key(), view().leader().revision});
+  bool fenced = !has_bug(SeededBug::kNoFencing);
+  if (fenced) txn.conditions.push_back({state_store::leader_role_key(), view().leader().revision});
   std::set<ShardId> depends_on_shards;
   for (const auto& grant : grants)
     depends_on_shards.insert(grant.depends_on_shards.begin(), grant.depends_on_shards.end());
   for (auto shard : depends_on_shards)
     txn.conditions.push_back({state_store::shard_role_key(shard), view().shard_role(shard).revision});
   for (const auto& grant : grants) {
-    if (conditional) txn.conditions.push_back({state_store::grants_key(grant.job), grant.expected});
+    if (fenced) txn.conditions.push_back({state_store::grants_key(grant.job), grant.expected});
     txn.conditions.push_back({state_store::terminal_key(grant.job), Revision()});
     txn.writes.push_back(
         {state_store::grants_key(grant.job), state_store::to_json(grant.grants), std::nullopt});
@@ -120,22 +122,23 @@
 }
 
 void Controller::write_terminal_record(const JobId& id, const state_store::TerminalRecord& terminal_record) {
-  if (!process_.terminal_record.insert(id).second) return;
+  if (!process_.pending_terminal_records.insert(id).second) return;
   protocol::Txn txn{{{state_store::terminal_key(id), Revision()},
                      {state_store::leader_role_key(), view().leader().revision}},
                     {{state_store::terminal_key(id), state_store::to_json(terminal_record), std::nullopt}}};
   env_.state.txn(number_, txn, [this, id, txn](state_store::TxnResult result) {
     if (result) process_.watch_cache->apply_own(txn, *result);
-    process_.watch_cache->sync([this, id](bool) { process_.terminal_record.erase(id); });
+    process_.watch_cache->sync([this, id](bool) { process_.pending_terminal_records.erase(id); });
   });
 }
 
-// Drops what is no longer needed of a job that is over.
+// Deletes the records of at most one job that has ended and whose records are no longer needed.
 void Controller::collect_garbage() {
-  if (!env_.queue.chance(kGarbageCollectionShare)) return;
+  if (!env_.queue.draw_bool(kGarbageCollectionShare)) return;
   for (const auto& id : process_.scheduler->collectable()) {
     const auto* job = view().job(id);
-    // Without an end of its own, those that it was cancelled through are still needed to know its state.
+    // Without a terminal record of its own, the job's state can only be derived from the records of the
+    // dependencies that caused its cancellation, so its records are retained.
     if (!job || !view().terminal_record(id).exists()) continue;
     std::vector<protocol::Condition> keys{{state_store::job_key(id), job->created}};
     if (job->grants.exists()) keys.push_back({state_store::grants_key(id), job->grants.revision});
@@ -155,14 +158,14 @@
 
 void Controller::on_progress_report(const protocol::ProgressReport& report) {
   if (!process_.scheduler) return;
-  protocol::ProgressReport known{report.shard, report.term, {}};
+  protocol::ProgressReport known_jobs{report.shard, report.term, {}};
   std::set<JobId> jobs;
   for (auto& progress : report.jobs) {
     if (!view().job(progress.job)) continue;
-    known.jobs.push_back(progress);
+    known_jobs.jobs.push_back(progress);
     jobs.insert(progress.job);
   }
-  process_.scheduler->on_progress_report(known, instant());
+  process_.scheduler->on_progress_report(known_jobs, instant());
   publish_to_scheduler(jobs);
 }
 
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -1,15 +1,17 @@
-// A shard leader: heartbeats, commands, and what it records, as `controller::ShardService` does.
+// The shard leaders: worker heartbeats, commands, and the registry and progress records that they write.
+// Simulation counterpart of `controller::ShardService`.
 #include "sim/controller.h"
 #include "state_store/machine_registry.h"
 
 namespace beaconsill::sim {
 namespace {
+// Times are in seconds.
 constexpr double kPauseThreshold = 1;
 constexpr double kFullReportPeriod = 2;
-constexpr double kProgressDelay = 1;
-constexpr double kAcknowledgedProgressDelay = 20;
-constexpr double kReleasedDelay = 2;
-constexpr double kGrace = 5;
+constexpr double kProgressWriteDelay = 1;
+constexpr double kAcknowledgedProgressWriteDelay = 20;
+constexpr double kReleaseWriteDelay = 2;
+constexpr double kGracePeriod = 5;
 constexpr double kCancelMargin = 1;
 constexpr state_store::RegistryLimits kRegistryLimits{16, std::size_t{8} * 1024};
 
@@ -26,16 +28,16 @@
   params.heartbeat_period = from_seconds(env_.options.heartbeat_period_s);
   params.lease = from_seconds(kLease);
   params.cancel_limit = from_seconds(kCancelLimit);
-  params.grace = from_seconds(kGrace);
+  params.grace = from_seconds(kGracePeriod);
   auto& led = process_.shards[id];
   led = {};
   led.shard = std::make_unique<shard::ShardManager>(id, term, params, instant());
   led.shard->set_catalogue(env_.catalogue);
-  for (const auto& [job, record] : view().jobs()) publish(*led.shard, job);
+  for (const auto& [job, record] : view().jobs()) publish_to_shard(*led.shard, job);
   ++env_.outcome.shard_acquisitions;
 }
 
-Controller::LedShard* Controller::find(ShardId id, Term term) {
+Controller::LedShard* Controller::find_led_shard(ShardId id, Term term) {
   auto it = process_.shards.find(id);
   return it == process_.shards.end() || it->second.shard->term() != term ? nullptr : &it->second;
 }
@@ -52,14 +54,15 @@
   return out;
 }
 
-void Controller::publish(shard::ShardManager& shard, const JobId& job) {
+void Controller::publish_to_shard(shard::ShardManager& shard, const JobId& job) {
   auto end = view().terminal_state(job);
   if (has_bug(SeededBug::kCancellationsIgnored) && end == state_store::TerminalState::kCancelled) end.reset();
   shard.on_job(job, view().job(job), end, instant());
 }
 
-// Tasks of the job that run, by what this controller knows.
-std::uint32_t Controller::running(const JobId& id) const {
+// Returns the number of running tasks of the job, according to the shards led here and to the other shards'
+// latest summaries.
+std::uint32_t Controller::count_running_tasks(const JobId& id) const {
   std::uint32_t count = 0;
   for (const auto& [shard, led] : process_.shards) count += led.shard->running(id);
   for (const auto& [shard, summary] : process_.summaries) {
@@ -71,28 +74,28 @@
 }
 
 void Controller::load_registry(ShardId id) {
-  auto all = state_store::registered_machines(view(), id);
+  auto registered = state_store::registered_machines(view(), id);
   auto& shard = *process_.shards.at(id).shard;
   if (has_bug(SeededBug::kRegistryNotRead))
-    std::erase_if(all, [&](const auto& machine) { return !shard.find_machine(machine.name); });
-  shard.on_registry(all, instant());
+    std::erase_if(registered, [&](const auto& machine) { return !shard.find_machine(machine.name); });
+  shard.on_registry(registered, instant());
 }
 
 void Controller::read_registry(ShardId id, LedShard& led) {
-  if (led.read || led.reading) return;
-  led.reading = true;
+  if (led.registry_read || led.registry_read_in_progress) return;
+  led.registry_read_in_progress = true;
   process_.watch_cache->sync([this, id, term = led.shard->term()](bool ok) {
-    auto* still_led = find(id, term);
+    auto* still_led = find_led_shard(id, term);
     if (!still_led) return;
-    still_led->reading = false;
+    still_led->registry_read_in_progress = false;
     if (!ok) return;
-    still_led->read = true;
+    still_led->registry_read = true;
     load_registry(id);
   });
 }
 
 void Controller::tick_shards() {
-  if (now() - process_.ticked > kPauseThreshold)
+  if (now() - process_.last_tick_s > kPauseThreshold)
     for (auto& [id, led] : process_.shards) led.shard->on_process_pause(instant());
   std::vector<ShardId> ids;
   for (auto& [id, led] : process_.shards) ids.push_back(id);
@@ -104,22 +107,23 @@
   auto term = led.shard->term();
   read_registry(id, led);
   led.shard->tick(instant(), *cancellations_known_until(), *process_.watch_cache->up_to_date_at());
-  for (auto& batch : led.shard->take_command_batches(instant())) command(id, term, batch);
+  for (auto& batch : led.shard->take_command_batches(instant())) send_commands(id, term, batch);
   notify_leader(id, led);
   write_registry(id, led);
   write_progress(id, led);
-  for (auto& machine : led.shard->take_machines_to_delete(instant())) remove(id, term, machine);
+  for (auto& machine : led.shard->take_machines_to_delete(instant())) delete_machine(id, term, machine);
 }
 
 void Controller::notify_leader(ShardId id, LedShard& led) {
   const auto& leader = view().leader();
   if (led.shard->superseded() || !leader.exists()) return;
-  bool all = now() >= led.next_full_notification || led.reported_to != leader.value.term;
-  if (all) {
+  bool full_report =
+      now() >= led.next_full_notification || led.fully_reported_leader_term != leader.value.term;
+  if (full_report) {
     led.next_full_notification = now() + kFullReportPeriod;
-    led.reported_to = leader.value.term;
+    led.fully_reported_leader_term = leader.value.term;
   }
-  auto jobs = led.shard->progress_report(all);
+  auto jobs = led.shard->progress_report(full_report);
   if (has_bug(SeededBug::kReleasesNotReported))
     for (auto& job : jobs) job.released.clear();
   if (has_bug(SeededBug::kFailuresNotReported))
@@ -140,51 +144,53 @@
   }
 }
 
-void Controller::write(ShardId id, Term term, const protocol::Txn& txn, bool LedShard::*flag) {
-  find(id, term)->*flag = true;
-  env_.state.txn(number_, txn, [this, id, term, txn, flag](state_store::TxnResult result) {
+void Controller::commit_shard_txn(ShardId id, Term term, const protocol::Txn& txn,
+                                  bool LedShard::*in_progress) {
+  find_led_shard(id, term)->*in_progress = true;
+  env_.state.txn(number_, txn, [this, id, term, txn, in_progress](state_store::TxnResult result) {
     if (result) {
-      if (auto* led = find(id, term)) led->*flag = false;
+      if (auto* led = find_led_shard(id, term)) led->*in_progress = false;
       return process_.watch_cache->apply_own(txn, *result);
     }
-    process_.watch_cache->sync([this, id, term, flag](bool) {
-      if (auto* led = find(id, term)) led->*flag = false;
+    process_.watch_cache->sync([this, id, term, in_progress](bool) {
+      if (auto* led = find_led_shard(id, term)) led->*in_progress = false;
     });
   });
 }
 
 void Controller::write_registry(ShardId id, LedShard& led) {
   const auto& role = view().shard_role(id);
-  if (led.registering || !role.exists() || role.value.term != led.shard->term()) return;
+  if (led.registry_write_in_progress || !role.exists() || role.value.term != led.shard->term()) return;
   auto txn = state_store::registry_txn(view(), id, led.shard->registry_buckets_to_write(), all_controllers(),
                                        kRegistryLimits);
-  if (txn) write(id, led.shard->term(), *txn, &LedShard::registering);
+  if (txn) commit_shard_txn(id, led.shard->term(), *txn, &LedShard::registry_write_in_progress);
 }
 
 void Controller::write_progress(ShardId id, LedShard& led) {
   const auto& role = view().shard_role(id);
-  if (led.writing || !role.exists() || role.value.term != led.shard->term()) return;
+  if (led.progress_write_in_progress || !role.exists() || role.value.term != led.shard->term()) return;
   auto unwritten_progress = led.shard->unwritten_progress();
-  std::erase_if(led.unwritten_progress,
+  std::erase_if(led.progress_unwritten_since,
                 [&](const auto& entry) { return !unwritten_progress.contains(entry.first); });
   const auto& leader = view().leader();
   bool acknowledged = leader.exists() &&
                       process_.heartbeats->reachable(controller_number(leader.value.controller), instant());
   protocol::Txn txn{{{state_store::shard_role_key(id), role.revision}}, {}};
   for (auto& [job_id, progress] : unwritten_progress) {
-    double delay = !acknowledged               ? kProgressDelay
-                   : progress.released.empty() ? kAcknowledgedProgressDelay
-                                               : kReleasedDelay;
-    if (now() - led.unwritten_progress.try_emplace(job_id, now()).first->second < delay) continue;
+    double delay = !acknowledged               ? kProgressWriteDelay
+                   : progress.released.empty() ? kAcknowledgedProgressWriteDelay
+                                               : kReleaseWriteDelay;
+    if (now() - led.progress_unwritten_since.try_emplace(job_id, now()).first->second < delay) continue;
     if (has_bug(SeededBug::kReleasesNotReported)) progress.released.clear();
     const auto* job = view().job(job_id);
     if (!job) continue;
     auto key = state_store::progress_key(id, job_id);
-    auto have = job->progress.find(id);
-    txn.conditions.push_back({key, have == job->progress.end() ? Revision() : have->second.revision});
+    auto recorded = job->progress.find(id);
+    txn.conditions.push_back({key, recorded == job->progress.end() ? Revision() : recorded->second.revision});
     txn.writes.push_back({key, state_store::to_json(progress), std::nullopt});
   }
-  if (!txn.writes.empty()) write(id, led.shard->term(), txn, &LedShard::writing);
+  if (!txn.writes.empty())
+    commit_shard_txn(id, led.shard->term(), txn, &LedShard::progress_write_in_progress);
 }
 
 void Controller::on_worker_heartbeat(const protocol::WorkerHeartbeat& heartbeat,
@@ -192,15 +198,16 @@
   auto id = env_.partitioning.shard_of(heartbeat.zone, heartbeat.machine);
   auto it = process_.shards.find(id);
   if (it == process_.shards.end() || it->second.shard->superseded()) return relay(id, heartbeat, reply);
-  auto out = answer(it->second, id, heartbeat);
+  auto out = process_heartbeat(it->second, id, heartbeat);
   it->second.shard->on_direct_contact(heartbeat.machine);
   reply(out);
 }
 
-HeartbeatReply Controller::answer(LedShard& led, ShardId id, const protocol::WorkerHeartbeat& heartbeat) {
+HeartbeatReply Controller::process_heartbeat(LedShard& led, ShardId id,
+                                             const protocol::WorkerHeartbeat& heartbeat) {
   auto& shard = *led.shard;
-  // Without knowing of cancellations for this long, the leases of tasks that may be cancelled have to run
-  // out.
+  // If cancellations have been unknown for this long, the leases of tasks that may have been cancelled must
+  // be allowed to expire, so the heartbeat gets no response that would renew the machine's lease.
   if (instant() - *cancellations_known_until() > from_seconds(kCancelLimit - kLease - kCancelMargin))
     return {};
   shard.on_worker_heartbeat(heartbeat, instant());
@@ -212,12 +219,12 @@
   return {shard.heartbeat_response(heartbeat.machine, instant()), -1};
 }
 
-void Controller::command(ShardId id, Term term, const shard::ShardManager::Batch& batch) {
+void Controller::send_commands(ShardId id, Term term, const shard::ShardManager::Batch& batch) {
   auto incarnation = env_.network.incarnation(number_);
-  env_.workers.command(
+  env_.workers.send_commands(
       number_, batch, [this, id, term, batch, incarnation](const std::optional<CommandReply>& reply) {
         env_.network.run(number_, incarnation, CallbackKind::kCommand, [this, id, term, batch, reply] {
-          auto* led = find(id, term);
+          auto* led = find_led_shard(id, term);
           if (!led) return;
           using Result = shard::ShardManager::CommandResult;
           if (!reply) return led->shard->on_command_result(batch, Result::kNoAnswer, std::nullopt, instant());
@@ -227,15 +234,15 @@
       });
 }
 
-void Controller::remove(ShardId id, Term term, const MachineName& machine) {
+void Controller::delete_machine(ShardId id, Term term, const MachineName& machine) {
   env_.decisions.on_deletion(number_, machine);
   auto incarnation = env_.network.incarnation(number_);
-  env_.cloud.remove(machine, [this, id, term, machine, incarnation](bool ok) {
+  env_.cloud.delete_machine(machine, [this, id, term, machine, incarnation](bool ok) {
     env_.network.run(number_, incarnation, CallbackKind::kCommand, [this, id, term, machine, ok] {
       if (ok) {
         broadcast([machine](Controller& controller) { controller.on_machine_terminated(machine); });
         on_machine_terminated(machine);
-      } else if (auto* led = find(id, term)) {
+      } else if (auto* led = find_led_shard(id, term)) {
         led->shard->on_delete_failed(machine, instant());
       }
     });
--- a/tests/sim/environment.h
+++ b/tests/sim/environment.h
@@ -1,4 +1,4 @@
-// What a simulated controller finds around it.
+// The simulated components, settings and outputs that a simulated controller has access to.
 #pragma once
 
 #include <functional>
--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -86,9 +86,9 @@
       for (auto* machine : select(fault.machines)) begin_at_machine(fault, *machine);
       return;
     case FaultKind::kFastBoot:
-      return env_.cloud.boot_fast(env_.queue.now() + fault.duration_s);
+      return env_.cloud.boot_fast_until(env_.queue.now() + fault.duration_s);
     case FaultKind::kSlowBoot:
-      return env_.cloud.boot_slowly(env_.queue.now() + fault.duration_s);
+      return env_.cloud.boot_slowly_until(env_.queue.now() + fault.duration_s);
     case FaultKind::kStateOutage:
     case FaultKind::kStateSlow:
     case FaultKind::kLostResponses:
@@ -132,7 +132,7 @@
     case FaultKind::kControllerCutFromPeers:
       return network.cut_peers(controller, cut);
     case FaultKind::kStateRefusesController:
-      return env_.state.refuse(controller, until);
+      return env_.state.refuse_requests_of(controller, until);
     case FaultKind::kControllerCut:
       network.cut_workers(controller, cut);
       network.cut_users(controller, cut);
@@ -160,18 +160,18 @@
       machine.faulty_until = until;
       return;
     default:
-      return env_.cloud.kill(machine.name);
+      return env_.cloud.terminate_machine(machine.name);
   }
 }
 
 void FaultInjector::begin_in_state_store(const Fault& fault) {
   double until = env_.queue.now() + fault.duration_s;
-  Window window{until, fault.share};
+  FaultWindow window{until, fault.share};
   switch (fault.kind) {
     case FaultKind::kStateOutage:
-      return env_.state.outage(until);
+      return env_.state.begin_outage(until);
     case FaultKind::kStateSlow:
-      return env_.state.answer_slowly(window);
+      return env_.state.delay_responses(window);
     case FaultKind::kLostResponses:
       return env_.state.lose_responses(window);
     default:
@@ -181,7 +181,7 @@
 
 void FaultInjector::begin_with_messages(const Fault& fault) {
   double until = env_.queue.now() + fault.duration_s;
-  Window window{until, fault.share};
+  FaultWindow window{until, fault.share};
   switch (fault.kind) {
     case FaultKind::kZoneCut:
       return env_.network.cut_zone(fault.zone.value_or(zones().front()), {until, fault.deliver_later});
--- a/tests/sim/heartbeats.cpp
+++ b/tests/sim/heartbeats.cpp
@@ -4,7 +4,7 @@
 
 namespace beaconsill::sim {
 namespace {
-constexpr Duration kFresh = std::chrono::milliseconds(1700);
+constexpr Duration kReachabilityTimeout = std::chrono::milliseconds(1700);
 
 std::vector<ControllerName> peers_of(int controller) {
   std::vector<ControllerName> out;
@@ -15,38 +15,39 @@
 
 shard::CancellationBarrier::Params barrier_params() {
   using shard::CancellationBarrier;
-  return {CancellationBarrier::read_lease_for(from_seconds(kCancelLimit), from_seconds(kLease)), kFresh};
+  return {CancellationBarrier::read_lease_for(from_seconds(kCancelLimit), from_seconds(kLease)),
+          kReachabilityTimeout};
 }
 }  // namespace
 
-Heartbeats::Heartbeats(int controller, WallMs began, Instant now)
+Heartbeats::Heartbeats(int controller, WallMs process_started, Instant now)
     : controller_(controller),
-      sequence_(static_cast<std::uint64_t>(began.value()) << 16),
+      sequence_(static_cast<std::uint64_t>(process_started.value()) << 16),
       cancellation_barrier_(barrier_params(), peers_of(controller), now) {}
 
-protocol::Heartbeat Heartbeats::next(int to, const Known& known, Instant now) {
+protocol::Heartbeat Heartbeats::compose(int to, const LocalView& local_view, Instant now) {
   protocol::Heartbeat heartbeat;
   heartbeat.sequence = ++sequence_;
   heartbeat.echo = cancellation_barrier_.received(controller_name(to));
   heartbeat.cancellation_sync =
-      cancellation_barrier_.outgoing(controller_name(to), heartbeat.sequence, known, now);
+      cancellation_barrier_.outgoing(controller_name(to), heartbeat.sequence, local_view, now);
   return heartbeat;
 }
 
-bool Heartbeats::on_heartbeat(int from, const protocol::Heartbeat& heartbeat, const Known& known,
+bool Heartbeats::on_heartbeat(int from, const protocol::Heartbeat& heartbeat, const LocalView& local_view,
                               Instant now) {
   for (const auto& shard_term : heartbeat.terms) {
     auto& leader = shard_leaders_[shard_term.shard];
     if (shard_term.term > leader.term) leader = {from, shard_term.term};
   }
-  return cancellation_barrier_.on_heartbeat(controller_name(from), heartbeat, known, now) ==
+  return cancellation_barrier_.on_heartbeat(controller_name(from), heartbeat, local_view, now) ==
          shard::CancellationBarrier::NextHeartbeat::kAtOnce;
 }
 
 bool Heartbeats::reachable(int controller, Instant now) const {
   if (controller == controller_) return true;
   auto echoed = cancellation_barrier_.echoed(controller_name(controller));
-  return echoed && now - *echoed < kFresh;
+  return echoed && now - *echoed < kReachabilityTimeout;
 }
 
 std::optional<Heartbeats::ShardLeader> Heartbeats::shard_leader(ShardId shard) const {
--- a/tests/sim/heartbeats.h
+++ b/tests/sim/heartbeats.h
@@ -1,4 +1,6 @@
-// What a controller knows of the others by their heartbeats, as `controller::PeerHeartbeats` keeps it.
+// Tracks what one controller learns from the heartbeats of the other controllers: their reachability, the
+// shards that they lead, and the cancellations that they have seen. Simulation counterpart of
+// `controller::PeerHeartbeats`.
 #pragma once
 
 #include <map>
@@ -12,20 +14,22 @@
 
 class Heartbeats {
  public:
-  using Known = shard::CancellationBarrier::Known;
-  Heartbeats(int controller, WallMs began, Instant now);
+  using LocalView = shard::CancellationBarrier::Known;
+  Heartbeats(int controller, WallMs process_started, Instant now);
 
-  // The next heartbeat for that controller. The sender adds the shards that it leads.
-  protocol::Heartbeat next(int to, const Known& known, Instant now);
-  // Whether one should go back at once.
-  bool on_heartbeat(int from, const protocol::Heartbeat& heartbeat, const Known& known, Instant now);
+  // Creates the next heartbeat to controller `to`. The caller adds the shards that it leads.
+  protocol::Heartbeat compose(int to, const LocalView& local_view, Instant now);
+  // Processes a heartbeat from another controller. Returns whether a heartbeat should be sent back
+  // immediately.
+  bool on_heartbeat(int from, const protocol::Heartbeat& heartbeat, const LocalView& local_view, Instant now);
   const shard::CancellationBarrier& cancellation_sync() const { return cancellation_barrier_; }
   bool reachable(int controller, Instant now) const;
   struct ShardLeader {
     int controller = 0;
     Term term;
   };
-  // The one with the highest term that any controller has announced.
+  // Returns the leader with the highest term that any controller has announced for the shard, if there is
+  // one.
   std::optional<ShardLeader> shard_leader(ShardId shard) const;
 
  private:
--- a/tests/sim/job_generator.cpp
+++ b/tests/sim/job_generator.cpp
@@ -54,7 +54,7 @@
   pipeline.back().deadline_s = 60;
   // Some go on with what others have submitted.
   auto earlier = submitted_job();
-  if (queue_.chance(0.4) && earlier && ledger_.jobs.at(*earlier).spec->kind == JobKind::kArray)
+  if (queue_.draw_bool(0.4) && earlier && ledger_.jobs.at(*earlier).spec->kind == JobKind::kArray)
     pipeline.front().depends_on.push_back(*earlier);
   return pipeline;
 }
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -1,4 +1,5 @@
-// The controllers' processes, the network, and what it loses, delays and repeats.
+// Fake of the controller processes (running, paused or stopped) and of the network between the components,
+// which can lose, delay and duplicate messages.
 #pragma once
 
 #include <array>
@@ -10,10 +11,12 @@
 
 namespace beaconsill::sim {
 
-// What a controller's callback is about: the process can be paused right before the next one of a kind.
+// The kinds of callbacks that run in a controller process. A process can be paused right before its next
+// callback of one kind.
 enum class CallbackKind { kTimer, kTransaction, kRead, kCommand, kPeer, kHeartbeat, kUserRequest };
 
-// A connection that is interrupted. What is sent meanwhile is refused, or held and delivered afterwards.
+// An interruption of a connection until the time `until` (s). Messages sent in the meantime are refused or
+// lost, or, with `deliver_later`, delivered once the interruption is over.
 struct Cut {
   double until = 0;
   bool deliver_later = false;
@@ -24,40 +27,45 @@
   explicit Network(EventQueue& queue) : queue_(queue) {}
 
   // ---- Processes
-  bool up(int controller) const { return at(controller).up; }
+  bool is_up(int controller) const { return at(controller).up; }
   std::uint64_t incarnation(int controller) const { return at(controller).incarnation; }
   void start(int controller);
   void stop(int controller) { at(controller).up = false; }
-  // The process does nothing until then; what comes meanwhile waits.
+  // Pauses the process until the given time (s). Callbacks that become due in the meantime run afterwards.
   void pause(int controller, double until) { at(controller).paused_until = until; }
-  // The same, beginning with its next callback of that kind.
+  // Pauses the process for `duration_s`, beginning right before its next callback of the given kind.
   void pause_before(int controller, CallbackKind kind, double duration_s);
-  // `callback` happens at the controller now, or once it's no longer paused; never in another incarnation.
+  // Runs `callback` in the controller process, immediately or at the end of the current pause. The callback
+  // is dropped if the process is down or has a different incarnation by then.
   void run(int controller, std::uint64_t incarnation, CallbackKind kind, std::function<void()> callback);
   void run(int controller, CallbackKind kind, std::function<void()> callback) {
     run(controller, incarnation(controller), kind, std::move(callback));
   }
-  void later(int controller, double delay, CallbackKind kind, std::function<void()> callback);
+  // As `run`, in the current incarnation, after `delay` seconds.
+  void run_later(int controller, double delay, CallbackKind kind, std::function<void()> callback);
 
   // ---- Cuts
   void cut_state(int controller, Cut cut) { at(controller).state = cut; }
   void cut_peers(int controller, Cut cut) { at(controller).peers = cut; }
   void cut_workers(int controller, Cut cut) { at(controller).workers = cut; }
   void cut_users(int controller, Cut cut) { at(controller).users = cut; }
-  // Nothing passes between the zone and everything else.
+  // Interrupts all connections between the zone and everything outside it.
   void cut_zone(const Zone& zone, Cut cut) { zones_[zone] = cut; }
-  // The cut on the path, if there is one.
+  // Each of these returns the active cut on the path, or std::nullopt if the path is not interrupted.
   std::optional<Cut> blocked_path_to_state(int controller) const;
   std::optional<Cut> blocked_path_between(int controller, int other) const;
   std::optional<Cut> blocked_path_to_worker(int controller, const Zone& zone) const;
   std::optional<Cut> blocked_path_to_user(int controller) const;
 
   // ---- Messages between controllers
-  // Lost, late, or come twice. `callback` is what the receiver does.
-  void peer(int from, int to, const std::function<void()>& callback);
-  // That share of the messages between controllers is lost, or comes late and repeatedly.
-  void lose_peer_messages(Window window) { lost_ = window; }
-  void delay_peer_messages(Window window) { delayed_ = window; }
+  // Sends a message, which may be lost, delayed or duplicated. `callback` runs in the receiver's process when
+  // the message arrives.
+  void send_to_peer(int from, int to, const std::function<void()>& callback);
+  // The window's share of the messages between controllers is lost.
+  void lose_peer_messages(FaultWindow window) { peer_loss_window_ = window; }
+  // The window's share of the messages between controllers is delayed by 0.5 to 40 s; with the same share, a
+  // second copy arrives 0.5 to 40 s later.
+  void delay_peer_messages(FaultWindow window) { peer_delay_window_ = window; }
 
  private:
   struct Process {
@@ -69,14 +77,14 @@
   };
   Process& at(int controller) { return processes_[static_cast<std::size_t>(controller)]; }
   const Process& at(int controller) const { return processes_[static_cast<std::size_t>(controller)]; }
-  std::optional<Cut> active(const Cut& cut) const;
-  std::optional<Cut> leaving(const Zone& zone) const;
-  std::optional<Cut> between(const Zone& zone, const Zone& other) const;
+  std::optional<Cut> if_active(const Cut& cut) const;
+  std::optional<Cut> cut_around_zone(const Zone& zone) const;
+  std::optional<Cut> cut_between_zones(const Zone& zone, const Zone& other) const;
 
   EventQueue& queue_;
   std::array<Process, kControllers> processes_;
   std::map<Zone, Cut> zones_;
-  Window lost_, delayed_;
+  FaultWindow peer_loss_window_, peer_delay_window_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/random_users.cpp
+++ b/tests/sim/random_users.cpp
@@ -12,7 +12,7 @@
 int RandomUsers::random_controller() {
   int controller = env_.queue.draw_below(kControllers);
   for (int i = 0; i < kControllers; ++i, controller = (controller + 1) % kControllers)
-    if (env_.network.up(controller) && env_.controller(controller).ready() &&
+    if (env_.network.is_up(controller) && env_.controller(controller).ready() &&
         !env_.network.blocked_path_to_user(controller))
       return controller;
   return controller;
@@ -42,8 +42,8 @@
 void RandomUsers::submit_pipeline(int index) {
   auto& queue = env_.queue;
   auto pipeline = std::make_shared<const JobGenerator::Pipeline>(jobs_.pipeline(index));
-  submit_step(pipeline, 0, queue.chance(0.25));
-  if (!queue.chance(0.5)) return;
+  submit_step(pipeline, 0, queue.draw_bool(0.25));
+  if (!queue.draw_bool(0.5)) return;
   auto cancelled =
       (*pipeline)[static_cast<std::size_t>(queue.draw_below(static_cast<int>(pipeline->size())))].id;
   queue.after(queue.uniform(1, 40), [this, cancelled] {
@@ -53,7 +53,7 @@
 }
 
 void RandomUsers::submit_small() {
-  bool cancelled = env_.queue.chance(0.25);
+  bool cancelled = env_.queue.draw_bool(0.25);
   submit_until_accepted(jobs_.next(1), std::nullopt, cancelled ? env_.queue.uniform(0.05, 6) : 0);
 }
 
@@ -110,7 +110,7 @@
 
 void RandomUsers::on_job_completed(const JobId& id) {
   query_burst(id);
-  if (cancel_at_completion_.hits(env_.queue)) cancel_until_confirmed(id);
+  if (cancel_at_completion_.draw_fault(env_.queue)) cancel_until_confirmed(id);
 }
 
 // At all controllers, again and again; some repeat the submission, some cancel at once.
@@ -123,7 +123,7 @@
   queue.after(queue.uniform(0, 0.03), [this, id, controller = queue.draw_below(kControllers)] {
     users_.submit(controller, *ledger_.jobs.at(id).spec);
   });
-  if (queue.chance(0.1)) queue.after(queue.uniform(0, 0.02), [this, id] { cancel_until_confirmed(id); });
+  if (queue.draw_bool(0.1)) queue.after(queue.uniform(0, 0.02), [this, id] { cancel_until_confirmed(id); });
 }
 
 std::vector<MachineName> RandomUsers::cancel_running(int count) {
@@ -162,7 +162,7 @@
       return;
     case 2: {
       JobId unknown("run-" + std::to_string(900000 + env_.queue.draw_below(1000)));
-      if (env_.queue.chance(0.5)) return users_.cancel(random_controller(), unknown);
+      if (env_.queue.draw_bool(0.5)) return users_.cancel(random_controller(), unknown);
       return users_.poll(random_controller(), unknown);
     }
     case 3:
@@ -173,11 +173,11 @@
 // Of a job that can't run, or that lacks a field: it's not in the ledger, and must not be accepted.
 void RandomUsers::invalid_submission() {
   auto spec = jobs_.next(4);
-  bool lacks = env_.queue.chance(0.4);
-  if (env_.queue.chance(0.5)) {
+  bool lacks = env_.queue.draw_bool(0.4);
+  if (env_.queue.draw_bool(0.5)) {
     spec.kind = JobKind::kService;
     spec.tasks = static_cast<std::uint32_t>(kTeamCpus) + 1;
-  } else if (env_.queue.chance(0.5)) {
+  } else if (env_.queue.draw_bool(0.5)) {
     spec.each.cpus = kMachineCpus + 1;
   } else {
     spec.team = Team("nobody");
--- a/tests/sim/random_users.h
+++ b/tests/sim/random_users.h
@@ -40,7 +40,7 @@
   // Users query all controllers within milliseconds after a job was accepted, ended or cancelled.
   void query_in_bursts(double until) { query_bursts_until_ = until; }
   // That share of the jobs that end is cancelled at the moment of the end.
-  void cancel_at_completion(Window window) { cancel_at_completion_ = window; }
+  void cancel_at_completion(FaultWindow window) { cancel_at_completion_ = window; }
 
   // Users have learned that the job is accepted, or that it's cancelled.
   void on_news(const JobId& id) { query_burst(id); }
@@ -64,7 +64,7 @@
   Users& users_;
   JobGenerator jobs_;
   double query_bursts_until_ = 0;
-  Window cancel_at_completion_;
+  FaultWindow cancel_at_completion_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/state_store.h
+++ b/tests/sim/state_store.h
@@ -1,4 +1,5 @@
-// Fake of the state store: keys with versions, transactions, and leases of the controllers' liveness keys.
+// Fake of the state store: a versioned key-value store with transactions, and with leases for the
+// controllers' liveness keys.
 #pragma once
 
 #include <map>
@@ -13,36 +14,42 @@
 
 class StateStore {
  public:
-  // The JSON library checks its invariants by assertions, which clang-tidy takes for exceptions of a move.
+  // The JSON library checks its invariants with assertions; clang-tidy mistakes them for exceptions thrown by
+  // a move.
   struct Entry {  // NOLINT(bugprone-exception-escape)
     protocol::Json value;
     std::uint64_t version = 0;
   };
-  using Done = std::function<void(state_store::TxnResult)>;
+  using OnTxnResult = std::function<void(state_store::TxnResult)>;
 
-  // `decisions` gets every transaction that is sent. `lost_responses`: the share of transactions without an
-  // answer, at any time.
-  // `on_written` is called for each change.
-  StateStore(EventQueue& queue, Network& network, DecisionDigest& decisions, double lost_responses,
-             std::function<void(const protocol::Write&)> on_written);
+  // `decisions` records every transaction that is sent. `lost_response_share` is the share of transactions
+  // that get no response, independent of injected faults; it has no effect if noise is disabled.
+  // `on_write_applied` is called for each write that is applied.
+  StateStore(EventQueue& queue, Network& network, DecisionDigest& decisions, double lost_response_share,
+             std::function<void(const protocol::Write&)> on_write_applied);
 
   // ---- Faults
-  void outage(double until) { outage_until_ = std::max(outage_until_, until); }
-  void refuse(int controller, double until) { refused_until_[controller] = until; }
-  // Of that share of transactions only the answer is lost.
-  void lose_responses(Window window) { lost_response_window_ = window; }
-  // That share has no answer and is carried out 2 to 12 s later, after newer ones.
-  void delay_writes(Window window) { late_write_window_ = window; }
-  void answer_slowly(Window window) { slow_window_ = window; }
+  // Until the given time (s), no controller is served.
+  void begin_outage(double until) { outage_until_ = std::max(outage_until_, until); }
+  // Until the given time (s), requests of this controller are refused.
+  void refuse_requests_of(int controller, double until) { refused_until_[controller] = until; }
+  // The window's share of transactions is applied, but the response is lost.
+  void lose_responses(FaultWindow window) { lost_response_window_ = window; }
+  // The window's share of transactions gets no response and is applied 2 to 12 s later, possibly after newer
+  // transactions.
+  void delay_writes(FaultWindow window) { delayed_write_window_ = window; }
+  // For the window's share of requests, each direction between controller and state store takes 0.1 to 1.2 s.
+  void delay_responses(FaultWindow window) { slow_response_window_ = window; }
 
-  // Whether this controller is served now.
-  bool answers(int controller) const;
-  void txn(int controller, const protocol::Txn& txn, const Done& done);
-  // Reads all changes so far; `done` gets the number of entries of the log that were read, or none.
+  // Returns whether requests of this controller are currently served.
+  bool serves(int controller) const;
+  void txn(int controller, const protocol::Txn& txn, const OnTxnResult& done);
+  // Reads all changes so far. `done` receives the number of log entries that were read, or std::nullopt if
+  // the read failed.
   void read(int controller, const std::function<void(std::optional<std::size_t>)>& done);
   const std::vector<protocol::Change>& log() const { return log_; }
-  // Renews the lease of a controller's liveness key, and writes the key if it isn't there.
-  void renew(int controller, const std::string& key);
+  // Renews the lease of a controller's liveness key, and writes the key if it does not exist.
+  void renew_liveness_lease(int controller, const std::string& key);
 
   const Entry* find(const std::string& key) const {
     auto it = entries_.find(key);
@@ -51,21 +58,21 @@
 
  private:
   bool apply(const protocol::Txn& txn, Revision& revision);
-  void apply_later(double delay, const protocol::Txn& txn);
-  void expire(int controller, const std::string& key);
-  double path_delay();
+  void apply_after(double delay, const protocol::Txn& txn);
+  void expire_liveness_key(int controller, const std::string& key);
+  double draw_path_delay();
 
   EventQueue& queue_;
   Network& network_;
   DecisionDigest& decisions_;
-  double lost_responses_;
-  std::function<void(const protocol::Write&)> on_written_;
+  double lost_response_share_;
+  std::function<void(const protocol::Write&)> on_write_applied_;
   std::map<std::string, Entry> entries_;
   std::vector<protocol::Change> log_;
   std::uint64_t revision_ = 0;
   std::map<int, double> lease_until_, refused_until_;
   double outage_until_ = 0;
-  Window lost_response_window_, late_write_window_, slow_window_;
+  FaultWindow lost_response_window_, delayed_write_window_, slow_response_window_;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/topology.h
+++ b/tests/sim/topology.h
@@ -1,4 +1,4 @@
-// The simulated deployment: three controllers in two zones, machines in three.
+// Defines the simulated deployment: three controllers in two zones, machines in three zones, and two teams.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 namespace beaconsill::sim {
 
 constexpr int kControllers = 3;
-// The settings, in seconds and CPUs.
+// Settings of the deployment: times in seconds, memory in GB.
 constexpr double kLease = 10;
 constexpr double kCancelLimit = 40;
 constexpr double kTeamCpus = 30;
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -86,9 +86,9 @@
   if (env_.network.blocked_path_to_user(controller)) return;
   queue.after(queue.uniform(0.0002, 0.001),
               [this, controller, finish, unanswered, reply, request = render(id, request, std::move(body))] {
-                if (!env_.network.up(controller)) return finish(unanswered);
+                if (!env_.network.is_up(controller)) return finish(unanswered);
                 env_.network.run(controller, CallbackKind::kUserRequest, [this, controller, request, reply] {
-                  env_.controller(controller).on_user(request, reply);
+                  env_.controller(controller).on_user_request(request, reply);
                 });
               });
 }
--- a/tests/sim/watch_cache.cpp
+++ b/tests/sim/watch_cache.cpp
@@ -7,34 +7,34 @@
     : controller_(controller), queue_(queue), state_(state), on_change_(std::move(on_change)) {}
 
 Revision WatchCache::revision() const {
-  return known_ ? state_.log()[known_ - 1].revision : Revision();
+  return applied_changes_ ? state_.log()[applied_changes_ - 1].revision : Revision();
 }
 
 void WatchCache::sync(std::function<void(bool)> done) {
-  waiting_.push_back(std::move(done));
+  waiting_callbacks_.push_back(std::move(done));
   if (reading_) return;
   reading_ = true;
-  auto served = std::make_shared<Waiting>(std::move(waiting_));
-  waiting_.clear();
-  state_.read(controller_, [this, served, begun = queue_.now()](std::optional<std::size_t> upto) {
-    if (!upto) return finish(false, *served);
-    for (; known_ < *upto; ++known_) view_.apply(state_.log()[known_]);
-    synced_at_ = begun;
+  auto callbacks = std::make_shared<Callbacks>(std::move(waiting_callbacks_));
+  waiting_callbacks_.clear();
+  state_.read(controller_, [this, callbacks, started_at = queue_.now()](std::optional<std::size_t> log_size) {
+    if (!log_size) return finish_read(false, *callbacks);
+    for (; applied_changes_ < *log_size; ++applied_changes_) view_.apply(state_.log()[applied_changes_]);
+    synced_at_ = started_at;
     ready_ = true;
     publish_changes();
-    finish(true, *served);
+    finish_read(true, *callbacks);
   });
 }
 
-void WatchCache::finish(bool ok, const Waiting& served) {
+void WatchCache::finish_read(bool ok, const Callbacks& callbacks) {
   reading_ = false;
-  for (const auto& done : served) done(ok);
-  if (!reading_ && !waiting_.empty()) sync([](bool) {});
+  for (const auto& done : callbacks) done(ok);
+  if (!reading_ && !waiting_callbacks_.empty()) sync([](bool) {});
 }
 
 void WatchCache::publish_changes() {
-  auto touched = view_.take_changes();
-  if (touched.any()) on_change_(touched);
+  auto changes = view_.take_changes();
+  if (changes.any()) on_change_(changes);
 }
 
 void WatchCache::apply_own(const protocol::Txn& txn, Revision revision) {
@@ -54,8 +54,8 @@
 void EndpointReader::sync(std::function<void(bool)> done) {
   if (seeded_bug_ == SeededBug::kNoReadBarrier) return done(true);
   watch_cache_->sync([this, done](bool ok) {
-    failed_ |= !ok;
-    if (seeded_bug_ == SeededBug::kCallbackLost && failed_) return;
+    read_failed_ |= !ok;
+    if (seeded_bug_ == SeededBug::kCallbackLost && read_failed_) return;
     done(ok || seeded_bug_ == SeededBug::kOutageReadsAsEmpty);
   });
 }
--- a/tests/sim/watch_cache.h
+++ b/tests/sim/watch_cache.h
@@ -1,4 +1,5 @@
-// A controller's view of the state store, as `state_store::WatchCache` keeps it.
+// Maintains one controller's view of the simulated state store. Simulation counterpart of
+// `state_store::WatchCache`.
 #pragma once
 
 #include "sim/options.h"
@@ -13,7 +14,8 @@
 
   const state_store::StateView& view() const override { return view_; }
   bool ready() const override { return ready_; }
-  // Calls while a read is under way share the next one.
+  // Reads the changes since the last read and then calls `done`. Calls made while a read is in progress share
+  // the next read.
   void sync(std::function<void(bool)> done) override;
   void apply_own(const protocol::Txn& txn, Revision revision) override;
   bool is_responsive() const override { return true; }
@@ -21,17 +23,17 @@
               Duration) override {
     state_.txn(controller_, txn, done);
   }
-  // Ends that another controller has read.
+  // Applies the terminal records of cancelled jobs that another controller has read and passed on.
   void apply_cancelled(const std::vector<protocol::CancelledJob>& jobs);
-  bool reading() const { return reading_; }
-  // The view holds all changes that were made before this time.
+  bool is_reading() const { return reading_; }
+  // The view includes all changes made before this time.
   std::optional<Instant> up_to_date_at() const override { return EventQueue::instant(synced_at_); }
   double synced_at_s() const { return synced_at_; }
   Revision revision() const;
 
  private:
-  using Waiting = std::vector<std::function<void(bool)>>;
-  void finish(bool ok, const Waiting& served);
+  using Callbacks = std::vector<std::function<void(bool)>>;
+  void finish_read(bool ok, const Callbacks& callbacks);
   void publish_changes();
 
   int controller_;
@@ -39,14 +41,15 @@
   StateStore& state_;
   std::function<void(const state_store::StateView::ChangeSet&)> on_change_;
   state_store::StateView view_;
-  std::size_t known_ = 0;  // entries of the state store's log that were read
+  std::size_t applied_changes_ = 0;  // number of entries of the state store's log that were read
   double synced_at_ = -100;
   bool ready_ = false;
   bool reading_ = false;
-  Waiting waiting_;
+  Callbacks waiting_callbacks_;
 };
 
-// The users' endpoints read through this: the place for bugs seeded into them.
+// State reader for the API's endpoints. It forwards to the watch cache and injects the seeded bugs that
+// concern the endpoints' reads.
 class EndpointReader : public state_store::StateReader {
  public:
   EndpointReader(std::shared_ptr<WatchCache> watch_cache, SeededBug seeded_bug)
@@ -67,10 +70,10 @@
  private:
   std::shared_ptr<WatchCache> watch_cache_;
   SeededBug seeded_bug_;
-  bool failed_ = false;
+  bool read_failed_ = false;
 };
 
-// A controller's transactions.
+// Executes one controller's transactions on the simulated state store.
 class Transactions : public state_store::TxnExecutor {
  public:
   Transactions(int controller, StateStore& state) : controller_(controller), state_(state) {}
@@ -78,7 +81,7 @@
            std::function<void(state_store::TxnResult)> done) override {
     state_.txn(controller_, txn, done);
   }
-  // The fake has no limits.
+  // The fake has no rate limits.
   Duration write_wait(state_store::Urgency) const override { return Duration(0); }
 
  private:
--- a/tests/sim/worker_agents.cpp
+++ b/tests/sim/worker_agents.cpp
@@ -2,7 +2,8 @@
 
 namespace beaconsill::sim {
 namespace {
-constexpr double kFailsWithin = 3;
+// Times are in seconds.
+constexpr double kMaxTimeToFailure = 3;
 }  // namespace
 
 void WorkerAgents::advance_all() {
@@ -29,7 +30,6 @@
   return heartbeat;
 }
 
-// What happened on the machine up to now.
 void WorkerAgents::advance(Machine& machine) {
   double now = queue_.now();
   if (now - machine.lease_from > kLease) {
@@ -43,7 +43,7 @@
     auto& job = ledger_.jobs.at(key.first.job);
     if (!task.running && now >= task.ready) {
       task.running = true;
-      // The result of a task that completed is kept: it ends at once.
+      // The result of a completed task is retained, so another attempt at the task ends immediately.
       if (job.done.contains(key.first.index)) task.ends = now;
       invariants_.on_begin(machine, key.first, job);
     }
@@ -65,7 +65,7 @@
   queue_.after(0, [this, id] { on_job_completed_(id); });
 }
 
-void WorkerAgents::apply(Machine& machine, const protocol::Command& command) {
+void WorkerAgents::apply_command(Machine& machine, const protocol::Command& command) {
   const TaskKey key{command.task, command.attempt};
   auto it = machine.tasks.find(key);
   if (command.op == protocol::Command::Op::kStart) {
@@ -85,24 +85,24 @@
   const auto& job = ledger_.jobs.at(key.first.job);
   task.ends = task.ready + job.run_s.value_or(queue_.uniform(0.5, 6));
   task.fails = job.always_fails || queue_.now() < machine.faulty_until;
-  if (task.fails) task.ends = task.ready + queue_.uniform(0.1, kFailsWithin);
+  if (task.fails) task.ends = task.ready + queue_.uniform(0.1, kMaxTimeToFailure);
   ++outcome_.started;
   outcome_.failing_starts += job.always_fails;
-  // Time passes between heartbeats as well.
-  for (double when : {task.ready, task.ends})
-    queue_.at(when + 0.001, [this, name = machine.name] {
+  // Tasks start and end at their exact times, not only when the next heartbeat is composed.
+  for (double due : {task.ready, task.ends})
+    queue_.at(due + 0.001, [this, name = machine.name] {
       if (auto* current = ledger_.machine(name)) advance(*current);
     });
 }
 
 CommandReply WorkerAgents::execute(Machine& machine, const shard::ShardManager::Batch& batch) {
   advance(machine);
-  bool ok = batch.token.value() >= machine.token && batch.incarnation.value() == machine.incarnation;
-  if (ok) {
+  bool accepted = batch.token.value() >= machine.token && batch.incarnation.value() == machine.incarnation;
+  if (accepted) {
     machine.token = batch.token.value();
-    for (const auto& command : batch.commands) apply(machine, command);
+    for (const auto& command : batch.commands) apply_command(machine, command);
   }
-  return {ok, compose_heartbeat(machine)};
+  return {accepted, compose_heartbeat(machine)};
 }
 
 }  // namespace beaconsill::sim
--- a/tests/sim/worker_agents.h
+++ b/tests/sim/worker_agents.h
@@ -1,5 +1,5 @@
-// What the agents on the machines do: they let tasks run, carry out commands, and say in heartbeats what
-// runs.
+// Fake of the agents on the worker machines: runs tasks, executes commands, and reports the tasks in
+// heartbeats.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace beaconsill::sim {
 
-// What comes back from a direct command.
+// A machine's reply to a batch of commands sent directly by a controller.
 struct CommandReply {
   bool executed = false;
   protocol::WorkerHeartbeat heartbeat;
@@ -21,7 +21,7 @@
 
 class WorkerAgents {
  public:
-  // `on_job_completed`: the last task of a job has completed.
+  // `on_job_completed` is called when the last task of a job has completed.
   WorkerAgents(EventQueue& queue, Ledger& ledger, InvariantChecker& invariants, Outcome& outcome,
                std::function<void(const JobId&)> on_job_completed)
       : queue_(queue),
@@ -30,13 +30,15 @@
         outcome_(outcome),
         on_job_completed_(std::move(on_job_completed)) {}
 
-  // Lets everything happen that is due on the machines, or on one of them.
+  // Processes everything that is due by now on all machines, or on one machine: lease expiry, task starts and
+  // task ends.
   void advance_all();
   void advance(Machine& machine);
   protocol::WorkerHeartbeat compose_heartbeat(Machine& machine);
-  // Carries out commands unless they are for an earlier incarnation, or of a shard leader that was replaced.
+  // Executes the commands unless they are for a different incarnation of the machine or come from a shard
+  // leader that has been replaced (lower fencing token).
   CommandReply execute(Machine& machine, const shard::ShardManager::Batch& batch);
-  void apply(Machine& machine, const protocol::Command& command);
+  void apply_command(Machine& machine, const protocol::Command& command);
 
  private:
   using TaskKey = std::pair<TaskId, Attempt>;
--- a/tests/sim/workers.cpp
+++ b/tests/sim/workers.cpp
@@ -2,8 +2,9 @@
 
 namespace beaconsill::sim {
 namespace {
+// Times are in seconds.
 constexpr double kHeartbeatTimeout = 4;
-constexpr double kNextControllerDelay = 1;  // a worker waits so long before it tries the next one
+constexpr double kNextControllerDelay = 1;  // how long a worker waits before it tries another one
 constexpr double kCommandTimeout = 2;
 }  // namespace
 
@@ -17,25 +18,26 @@
       on_heartbeat_(std::move(hooks.heartbeat)),
       agents_(queue, ledger, invariants, outcome, std::move(hooks.job_completed)) {}
 
-void Workers::on_added(const MachineName& name) {
-  queue_.after(queue_.uniform(0, 1), [this, name] { heartbeat(name); });
+void Workers::on_machine_added(const MachineName& name) {
+  queue_.after(queue_.uniform(0, 1), [this, name] { send_next_heartbeat(name); });
 }
 
-void Workers::heartbeat(const MachineName& name) {
+void Workers::send_next_heartbeat(const MachineName& name) {
   auto* machine = ledger_.machine(name);
   if (!machine) return;
-  queue_.after(options_.heartbeat_period_s * queue_.uniform(0.75, 1.25), [this, name] { heartbeat(name); });
+  queue_.after(options_.heartbeat_period_s * queue_.uniform(0.75, 1.25),
+               [this, name] { send_next_heartbeat(name); });
   if (queue_.now() < machine->hangs_until || machine->in_flight) return;
   auto heartbeat = agents_.compose_heartbeat(*machine);
   machine->in_flight = true;
   int to = machine->controller;
   int next = (to + 1) % kControllers;
-  if (queue_.now() < machine->outbound_cut_until || !network_.up(to))
-    return heartbeat_finished(name, kNextControllerDelay, next);
+  if (queue_.now() < machine->outbound_cut_until || !network_.is_up(to))
+    return finish_heartbeat(name, kNextControllerDelay, next);
   if (network_.blocked_path_to_worker(to, machine->zone))
-    return heartbeat_finished(name, kHeartbeatTimeout + kNextControllerDelay, next);
-  if (queue_.random_fault(0.04) || duplicates_.hits(queue_)) copy_later(heartbeat);
-  if (held_for_next_leader_.hits(queue_)) held_heartbeats_.push_back(heartbeat);
+    return finish_heartbeat(name, kHeartbeatTimeout + kNextControllerDelay, next);
+  if (queue_.random_fault(0.04) || duplicate_window_.draw_fault(queue_)) deliver_copy_later(heartbeat);
+  if (hold_window_.draw_fault(queue_)) held_heartbeats_.push_back(heartbeat);
   send_heartbeat_to(name, to, heartbeat);
 }
 
@@ -52,7 +54,7 @@
   };
   queue_.after(kHeartbeatTimeout, [this, name, to, answered] {
     if (!std::exchange(*answered, true))
-      heartbeat_finished(name, kNextControllerDelay, (to + 1) % kControllers);
+      finish_heartbeat(name, kNextControllerDelay, (to + 1) % kControllers);
   });
   queue_.after(queue_.uniform(0.0005, 0.007), [this, to, heartbeat, reply] {
     network_.run(to, CallbackKind::kHeartbeat,
@@ -60,10 +62,10 @@
   });
 }
 
-// Copies come late, also to controllers that the worker never sent one to.
-void Workers::copy_later(const protocol::WorkerHeartbeat& heartbeat) {
-  int where = queue_.draw_below(kControllers);
-  queue_.after(queue_.uniform(0.5, 25), [this, heartbeat, where] { deliver_copy(where, heartbeat); });
+// Copies arrive late, also at controllers to which the worker never sent a heartbeat.
+void Workers::deliver_copy_later(const protocol::WorkerHeartbeat& heartbeat) {
+  int receiver = queue_.draw_below(kControllers);
+  queue_.after(queue_.uniform(0.5, 25), [this, heartbeat, receiver] { deliver_copy(receiver, heartbeat); });
 }
 
 void Workers::deliver_copy(int controller, protocol::WorkerHeartbeat heartbeat) {
@@ -87,7 +89,7 @@
                    [this, controller, heartbeat] { deliver_copy(controller, heartbeat); });
 }
 
-void Workers::heartbeat_finished(const MachineName& name, double wait, int next_controller) {
+void Workers::finish_heartbeat(const MachineName& name, double wait, int next_controller) {
   queue_.after(wait, [this, name, next_controller] {
     auto* machine = ledger_.machine(name);
     if (!machine) return;
@@ -104,13 +106,13 @@
   int next = (controller + 1) % kControllers;
   bool lost = now < machine->inbound_cut_until ||
               network_.blocked_path_to_worker(controller, machine->zone) || queue_.random_fault(0.002);
-  if (lost) return heartbeat_finished(name, sent + kHeartbeatTimeout + kNextControllerDelay - now, next);
+  if (lost) return finish_heartbeat(name, sent + kHeartbeatTimeout + kNextControllerDelay - now, next);
   if (!reply.answer) {
     bool redirected = reply.redirect >= 0 && reply.redirect != controller;
-    return heartbeat_finished(name, redirected ? 0.3 : kNextControllerDelay,
-                              redirected ? reply.redirect : next);
+    return finish_heartbeat(name, redirected ? 0.3 : kNextControllerDelay,
+                            redirected ? reply.redirect : next);
   }
-  heartbeat_finished(name, 0.001, -1);
+  finish_heartbeat(name, 0.001, -1);
   if (now < machine->hangs_until || machine->incarnation != incarnation ||
       reply.answer->token.value() < machine->token)
     return;
@@ -118,46 +120,48 @@
   if (machine->incarnation != incarnation) return;
   machine->token = reply.answer->token.value();
   machine->lease_from = std::max(machine->lease_from, sent);
-  for (const auto& command : reply.answer->commands) agents_.apply(*machine, command);
+  for (const auto& command : reply.answer->commands) agents_.apply_command(*machine, command);
 }
 
-void Workers::command(int controller, const shard::ShardManager::Batch& batch, const OnCommandReply& done) {
+void Workers::send_commands(int controller, const shard::ShardManager::Batch& batch,
+                            const OnCommandReply& done) {
   decisions_.on_commands(controller, batch);
-  auto none = [this, done] { queue_.after(kCommandTimeout, [done] { done(std::nullopt); }); };
+  auto no_reply = [this, done] { queue_.after(kCommandTimeout, [done] { done(std::nullopt); }); };
   auto* machine = ledger_.machine(batch.machine);
   if (!machine || queue_.now() < machine->inbound_cut_until || queue_.random_fault(0.01)) {
-    // Held up on the way, it may still arrive, minutes late.
-    if (queue_.random_fault(0.5)) carry_out_later(queue_.uniform(0.5, 60), batch);
-    return none();
+    // The network may only have delayed the command: with noise enabled, half of these commands still arrive,
+    // up to 60 s late.
+    if (queue_.random_fault(0.5)) execute_batch_after(queue_.uniform(0.5, 60), batch);
+    return no_reply();
   }
   if (auto cut = network_.blocked_path_to_worker(controller, machine->zone)) {
-    if (cut->deliver_later) carry_out_later(cut->until - queue_.now() + queue_.uniform(0, 0.5), batch);
-    return none();
+    if (cut->deliver_later) execute_batch_after(cut->until - queue_.now() + queue_.uniform(0, 0.5), batch);
+    return no_reply();
   }
   if (queue_.now() < machine->hangs_until) {
-    carry_out_later(machine->hangs_until - queue_.now(), batch);
-    return none();
+    execute_batch_after(machine->hangs_until - queue_.now(), batch);
+    return no_reply();
   }
-  if (late_commands_.hits(queue_)) {
-    carry_out_later(queue_.uniform(2, 16), batch);
-    return none();
+  if (command_delay_window_.draw_fault(queue_)) {
+    execute_batch_after(queue_.uniform(2, 16), batch);
+    return no_reply();
   }
-  queue_.after(queue_.uniform(0.001, 0.01), [this, batch, done, none] {
-    auto reply = carry_out(batch);
-    if (!reply || queue_.random_fault(0.01)) return none();
+  queue_.after(queue_.uniform(0.001, 0.01), [this, batch, done, no_reply] {
+    auto reply = execute_batch(batch);
+    if (!reply || queue_.random_fault(0.01)) return no_reply();
     queue_.after(0.005, [done, reply] { done(reply); });
   });
 }
 
-void Workers::carry_out_later(double delay, const shard::ShardManager::Batch& batch) {
-  queue_.after(delay, [this, batch] { carry_out(batch); });
+void Workers::execute_batch_after(double delay, const shard::ShardManager::Batch& batch) {
+  queue_.after(delay, [this, batch] { execute_batch(batch); });
 }
 
-std::optional<CommandReply> Workers::carry_out(const shard::ShardManager::Batch& batch) {
+std::optional<CommandReply> Workers::execute_batch(const shard::ShardManager::Batch& batch) {
   auto* machine = ledger_.machine(batch.machine);
   if (!machine || queue_.now() < machine->inbound_cut_until) return std::nullopt;
   if (queue_.now() < machine->hangs_until) {
-    carry_out_later(machine->hangs_until - queue_.now(), batch);
+    execute_batch_after(machine->hangs_until - queue_.now(), batch);
     return std::nullopt;
   }
   return agents_.execute(*machine, batch);
--- a/tests/sim/workers.h
+++ b/tests/sim/workers.h
@@ -1,5 +1,5 @@
-// The way between controllers and workers: heartbeats and commands, and what the network does to them. What
-// happens on the machines is in worker_agents.h.
+// Fake of the communication between workers and controllers: delivers heartbeats and commands, and injects
+// losses, delays and duplicates. worker_agents.h simulates the machines themselves.
 #pragma once
 
 #include <functional>
@@ -12,10 +12,11 @@
 
 namespace beaconsill::sim {
 
-// A controller's answer to a heartbeat: that of the shard leader, or where to go instead.
+// A controller's reply to a worker heartbeat: the shard leader's response, or the controller to contact
+// instead.
 struct HeartbeatReply {
   std::optional<shard::ShardManager::HeartbeatResponse> answer;
-  int redirect = -1;  // -1: unknown
+  int redirect = -1;  // number of the controller to contact instead; -1 if unknown
 };
 
 class Workers {
@@ -23,42 +24,44 @@
   using Reply = std::function<void(const HeartbeatReply&)>;
   using OnCommandReply = std::function<void(const std::optional<CommandReply>&)>;
   struct Hooks {
-    // A heartbeat reached a controller.
+    // Called when a heartbeat reaches a controller.
     std::function<void(int controller, const protocol::WorkerHeartbeat&, Reply)> heartbeat;
-    // The last task of a job has completed.
+    // Called when the last task of a job has completed.
     std::function<void(const JobId&)> job_completed;
   };
-  // `decisions` gets all commands and all answers to heartbeats.
+  // `decisions` records all commands and all replies to heartbeats.
   Workers(EventQueue& queue, Network& network, DecisionDigest& decisions, Ledger& ledger,
           InvariantChecker& invariants, Outcome& outcome, const Options& options, Hooks hooks);
 
-  // A new worker begins to send heartbeats.
-  void on_added(const MachineName& name);
-  // Lets everything happen that is due on the machines.
+  // Makes the worker on a new machine begin to send heartbeats.
+  void on_machine_added(const MachineName& name);
+  // Processes everything that is due by now on the machines.
   void advance_all() { agents_.advance_all(); }
-  // Direct commands of a controller; `done` gets none if there was no answer.
-  void command(int controller, const shard::ShardManager::Batch& batch, const OnCommandReply& done);
+  // Sends commands from a controller directly to a machine. `done` receives std::nullopt if there was no
+  // reply.
+  void send_commands(int controller, const shard::ShardManager::Batch& batch, const OnCommandReply& done);
 
   // ---- Faults
-  // Of that share of heartbeats a copy arrives again, up to well over a lease later.
-  void duplicate_heartbeats(Window window) { duplicates_ = window; }
-  // The same, but the copies are kept until there is a new leader, and then reach every controller.
-  void hold_heartbeats_for_next_leader(Window window) { held_for_next_leader_ = window; }
+  // For the window's share of heartbeats, a copy arrives 0.5 to 25 s later, which can be well over a lease.
+  void duplicate_heartbeats(FaultWindow window) { duplicate_window_ = window; }
+  // For the window's share of heartbeats, a copy is held until there is a new leader, and is then delivered
+  // to every controller.
+  void hold_heartbeats_for_next_leader(FaultWindow window) { hold_window_ = window; }
   void on_new_leader();
   std::size_t held_heartbeats() const { return held_heartbeats_.size(); }
-  // That share of direct commands is held up for 2 to 16 s, unanswered, and then carried out.
-  void delay_commands(Window window) { late_commands_ = window; }
+  // The window's share of direct commands is executed 2 to 16 s late, and its sender gets no reply.
+  void delay_commands(FaultWindow window) { command_delay_window_ = window; }
 
  private:
-  void heartbeat(const MachineName& name);
+  void send_next_heartbeat(const MachineName& name);
   void send_heartbeat_to(const MachineName& name, int to, const protocol::WorkerHeartbeat& heartbeat);
-  void copy_later(const protocol::WorkerHeartbeat& heartbeat);
+  void deliver_copy_later(const protocol::WorkerHeartbeat& heartbeat);
   void deliver_copy(int controller, protocol::WorkerHeartbeat heartbeat);
-  void heartbeat_finished(const MachineName& name, double wait, int next_controller);
+  void finish_heartbeat(const MachineName& name, double wait, int next_controller);
   void on_reply(const MachineName& name, int controller, double sent, std::uint64_t incarnation,
                 const HeartbeatReply& reply);
-  std::optional<CommandReply> carry_out(const shard::ShardManager::Batch& batch);
-  void carry_out_later(double delay, const shard::ShardManager::Batch& batch);
+  std::optional<CommandReply> execute_batch(const shard::ShardManager::Batch& batch);
+  void execute_batch_after(double delay, const shard::ShardManager::Batch& batch);
 
   EventQueue& queue_;
   Network& network_;
@@ -67,7 +70,7 @@
   const Options& options_;
   std::function<void(int, const protocol::WorkerHeartbeat&, Reply)> on_heartbeat_;
   WorkerAgents agents_;
-  Window duplicates_, held_for_next_leader_, late_commands_;
+  FaultWindow duplicate_window_, hold_window_, command_delay_window_;
   std::vector<protocol::WorkerHeartbeat> held_heartbeats_;
 };
 
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -3,7 +3,7 @@
 namespace beaconsill::sim {
 namespace {
 
-// `seeded_bug`: without limits jobs of any size are accepted.
+// With SeededBug::kNoSizeLimit, teams have no CPU limit, so that jobs of any size are accepted.
 config::Settings settings(SeededBug seeded_bug) {
   config::Settings settings;
   settings.controller = controller_name(0);
@@ -24,12 +24,13 @@
   return catalogue;
 }
 
-double lost_responses(SeededBug seeded_bug) {
-  // Old leaders' writes come late more often, so that the seeded_bug shows soon.
+double lost_response_share(SeededBug seeded_bug) {
+  // Writes of former leaders are delayed more often with this bug, so that a short test reveals it.
   return seeded_bug == SeededBug::kNoFencing ? 0.15 : 0.015;
 }
 
-protocol::JobSpec job(const std::string& id, std::uint32_t tasks, const std::string& team, JobKind kind) {
+protocol::JobSpec job_spec(const std::string& id, std::uint32_t tasks, const std::string& team,
+                           JobKind kind) {
   protocol::JobSpec spec;
   spec.id = JobId(id);
   spec.job_class = "c";
@@ -47,11 +48,11 @@
 }  // namespace
 
 protocol::JobSpec array_job(const std::string& id, std::uint32_t tasks, const std::string& team) {
-  return job(id, tasks, team, JobKind::kArray);
+  return job_spec(id, tasks, team, JobKind::kArray);
 }
 
 protocol::JobSpec service_job(const std::string& id, std::uint32_t replicas, const std::string& team) {
-  return job(id, replicas, team, JobKind::kService);
+  return job_spec(id, replicas, team, JobKind::kService);
 }
 
 World::World(Options options)
@@ -60,7 +61,7 @@
       network_(queue_),
       decisions_(queue_),
       invariants_(queue_, ledger_, outcome_, [this] { workers_.advance_all(); }),
-      state_(queue_, network_, decisions_, lost_responses(options.seeded_bug),
+      state_(queue_, network_, decisions_, lost_response_share(options.seeded_bug),
              [this](const auto& write) { invariants_.on_written(write); }),
       settings_(settings(options.seeded_bug)),
       partitioning_(settings_),
@@ -69,7 +70,7 @@
                   controller(number).on_worker_heartbeat(heartbeat, reply);
                 },
                 [this](const auto& id) { random_users_.on_job_completed(id); }}),
-      cloud_(queue_, ledger_, [this](const auto& name) { workers_.on_added(name); }),
+      cloud_(queue_, ledger_, [this](const auto& name) { workers_.on_machine_added(name); }),
       env_{options_,      queue_,      network_,
            state_,        workers_,    cloud_,
            decisions_,    outcome_,    settings_,
@@ -82,25 +83,25 @@
   for (int i = 0; i < options.machines; ++i) cloud_.add_machine();
 }
 
-void World::script(double at_s, std::function<void()> callback) {
-  last_request_ = std::max(last_request_, at_s);
+void World::schedule_scripted_action(double at_s, std::function<void()> callback) {
+  last_scripted_at_s_ = std::max(last_scripted_at_s_, at_s);
   queue_.at(at_s, std::move(callback));
 }
 
 void World::at(double at_s, std::function<void()> callback) {
-  script(at_s, std::move(callback));
+  schedule_scripted_action(at_s, std::move(callback));
 }
 
 void World::submit(double at_s, const protocol::JobSpec& spec, int controller, std::optional<double> run_s) {
-  script(at_s, [this, spec, controller, run_s] { users_.submit(controller, spec, run_s); });
+  schedule_scripted_action(at_s, [this, spec, controller, run_s] { users_.submit(controller, spec, run_s); });
 }
 
 void World::cancel(double at_s, const JobId& id, int controller) {
-  script(at_s, [this, id, controller] { users_.cancel(controller, id); });
+  schedule_scripted_action(at_s, [this, id, controller] { users_.cancel(controller, id); });
 }
 
 void World::poll(double at_s, const JobId& id, int controller) {
-  script(at_s, [this, id, controller] { users_.poll(controller, id); });
+  schedule_scripted_action(at_s, [this, id, controller] { users_.poll(controller, id); });
 }
 
 void World::poll_all(double at_s, const JobId& id) {
@@ -137,34 +138,34 @@
               [this, i] { random_users_.submit_pipeline(i); });
   if (options_.random_faults) faults_.draw_concurrent_faults(options_.faults_s);
   queue_.every(1, [this] {
-    invariants_.check_all(std::max(faults_.over(), last_request_));
-    check_served();
+    invariants_.check_all(std::max(faults_.over(), last_scripted_at_s_));
+    check_all_served();
   });
   while (!queue_.empty() && now() < options_.end_s && outcome_.violations.empty() &&
          outcome_.served_at == 0) {
     queue_.step();
-    check_probes();
+    evaluate_probes();
   }
   if (outcome_.served_at == 0 && outcome_.violations.empty()) {
-    std::string waiting;
+    std::string unserved;
     for (auto& [id, job] : ledger_.jobs)
-      if (!invariants_.satisfied(id, job, state_)) waiting += " " + id.value();
-    invariants_.report_violation("forgotten", "not served by the end:" + waiting);
+      if (!invariants_.satisfied(id, job, state_)) unserved += " " + id.value();
+    invariants_.report_violation("forgotten", "not served by the end:" + unserved);
   }
-  outcome_.deleted_machines = cloud_.deletions();
+  outcome_.deleted_machines = cloud_.requested_deletions();
   outcome_.digest = decisions_.value();
   return outcome_;
 }
 
-void World::check_served() {
-  if (now() <= std::max(faults_.over(), last_request_) + kCalmAfter) return;
+void World::check_all_served() {
+  if (now() <= std::max(faults_.over(), last_scripted_at_s_) + kCalmAfter) return;
   if (ledger_.jobs.size() < static_cast<std::size_t>(options_.jobs)) return;
   for (auto& [id, job] : ledger_.jobs)
     if (!invariants_.satisfied(id, job, state_)) return;
   outcome_.served_at = now();
 }
 
-void World::check_probes() {
+void World::evaluate_probes() {
   for (auto& [name, predicate] : probes_)
     if (auto why = predicate(*this)) invariants_.report_violation(name, *why);
 }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -1,12 +1,12 @@
 // A deterministic simulation of the whole service: the state machines of the shards (`shard`) and of the
 // scheduler (`scheduler`) and the view of the state store (`state_store`), against fakes of workers, state
-// store, cloud, users and network. Everything happens on one event queue, all randomness comes from the seed,
-// and the invariants are checked against a ledger that no controller sees.
+// store, cloud, users and network. All events run on one event queue, all random numbers come from the seed,
+// and the invariants are checked against a ledger that no controller can read.
 //
-// Random schedules (groups of concurrent faults, users of all kinds): `World(options).run()`. Scripted ones:
-// nothing happens but what the test says.
+// Random schedules (groups of concurrent faults, users of all kinds): `World(options).run()`. In scripted
+// schedules only the requests and faults that the test specifies occur:
 //
-//   TEST(Failover, CancellationWhileTheLeaderIsCutOff) {
+//   TEST(Failover, CancellationSucceedsWhileStateStoreRefusesTheLeader) {
 //     World world(Options::scripted());
 //     auto job = array_job("run-1", /*tasks=*/8);
 //     world.submit(/*at_s=*/2, job, /*controller=*/1, /*run_s=*/60);
@@ -16,7 +16,7 @@
 //                   .controllers = ControllerSelector::leader()});
 //     world.cancel(11, job.id, /*controller=*/2);
 //     world.poll_all(11.1, job.id);
-//     world.probe("grown", [](World& probed) -> std::optional<std::string> {  // after each event
+//     world.probe("machine_count", [](World& probed) -> std::optional<std::string> {  // after each event
 //       if (probed.ledger().machines.size() > 40) return "too many machines";
 //       return std::nullopt;
 //     });
@@ -25,15 +25,16 @@
 //     EXPECT_EQ(world.last_response(job.id, UserRequest::kCancel)->status, 200);
 //   }
 //
-// A schedule ends when, `kCalmAfter` seconds after the last fault and request, all jobs are served: arrays
-// and cancelled jobs are over with nothing of them running, services run in full. It violates `forgotten` if
-// that isn't so by `Options::end_s`. The invariants are checked all the time (invariants.h): `ran_twice`,
-// `quota`, `wrong_place`, `ran_cancelled`, `forgotten`, `invented`, `not_done`, `went_back`; `starved`: a job
-// waits for 90 s though it could run; `accepted_bad`: a job was accepted that can't run or lacks a field.
+// A schedule ends when all jobs are served, at the earliest `kCalmAfter` seconds after the last fault and the
+// last scripted action: array jobs and cancelled jobs have ended and none of their tasks runs, and all tasks
+// of service jobs run. It violates `forgotten` if that is not the case by `Options::end_s`. The invariants
+// are checked throughout the schedule (invariants.h): `ran_twice`, `quota`, `wrong_place`, `ran_cancelled`,
+// `forgotten`, `invented`, `not_done`, `went_back`; `starved`: a job waits for 90 s although it could run;
+// `accepted_bad`: a job was accepted that cannot run or lacks a field.
 //
-// Controllers run the real `shard`, `scheduler`, `state_store::StateView` and `api`; what `controller` adds
-// around them is rebuilt here without sockets (controller*.cpp, heartbeats.h, watch_cache.h). A test may call
-// any method of a fake from `at`.
+// Controllers run the production code of `shard`, `scheduler`, `state_store::StateView` and `api`. The parts
+// of `controller` around them are reimplemented here without sockets (controller*.cpp, heartbeats.h,
+// watch_cache.h). A test may call any method of a fake from `at`.
 #pragma once
 
 #include <array>
@@ -53,17 +54,19 @@
  public:
   explicit World(Options options);
 
-  // ---- Script. Times are in seconds since the beginning; the controllers start at 0, 0.05 and 0.1.
+  // ---- Scripted actions. Times are in seconds since the beginning. The controllers start at 0, 0.05 and
+  // 0.1 s.
   void inject(const Fault& fault) { faults_.add(fault); }
-  // Each is one request of a user. Without `run_s` each task's run time is drawn from 0.5 to 6 s.
+  // Each of these schedules one user request. Without `run_s`, each task's run time is drawn from 0.5 to 6 s.
   void submit(double at_s, const protocol::JobSpec& spec, int controller,
               std::optional<double> run_s = std::nullopt);
   void cancel(double at_s, const JobId& id, int controller);
   void poll(double at_s, const JobId& id, int controller);
   void poll_all(double at_s, const JobId& id);
-  // Anything else.
+  // Schedules any other action.
   void at(double at_s, std::function<void()> callback);
-  // Evaluated after each event; text means that the named invariant is violated, and tells why.
+  // Evaluated after each event. A returned text means that the named invariant is violated, and states the
+  // reason.
   using Predicate = std::function<std::optional<std::string>(World&)>;
   void probe(const std::string& name, Predicate predicate) {
     probes_.emplace_back(name, std::move(predicate));
@@ -71,7 +74,7 @@
 
   Outcome run();
 
-  // ---- What there is
+  // ---- Access to the components and their state
   double now() const { return queue_.now(); }
   EventQueue& queue() { return queue_; }
   Ledger& ledger() { return ledger_; }
@@ -81,18 +84,18 @@
   Cloud& cloud() { return cloud_; }
   Users& users() { return users_; }
   Controller& controller(int number) { return *controllers_[static_cast<std::size_t>(number)]; }
-  // The leader as the state store has it.
+  // The scheduler's leader as recorded in the state store.
   std::optional<int> leader() const { return faults_.leader(); }
-  // Machines on which a task of the job runs at present.
+  // Machines on which a task of the job is currently running.
   std::vector<MachineName> running_on(const JobId& id) const;
   const std::vector<UserResponse>& responses() const { return users_.responses(); }
-  // The last answer to such a request.
+  // The last response to a request of this kind about the job, if there is one.
   std::optional<UserResponse> last_response(const JobId& id, UserRequest request) const;
 
  private:
-  void script(double at_s, std::function<void()> callback);
-  void check_served();
-  void check_probes();
+  void schedule_scripted_action(double at_s, std::function<void()> callback);
+  void check_all_served();
+  void evaluate_probes();
 
   Options options_;
   Outcome outcome_;
@@ -112,7 +115,7 @@
   RandomUsers random_users_;
   FaultInjector faults_;
   std::vector<std::pair<std::string, Predicate>> probes_;
-  double last_request_ = 0;
+  double last_scripted_at_s_ = 0;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim_faults_test.cpp
+++ b/tests/sim_faults_test.cpp
@@ -79,16 +79,16 @@
                 .duration_s = 5,
                 .controllers = ControllerSelector::controller(0)});
   note(world, 12, "refused",
-       [&] { return !world.state().answers(1) && world.state().answers(0) && world.state().answers(2); });
+       [&] { return !world.state().serves(1) && world.state().serves(0) && world.state().serves(2); });
   note(world, 12, "not cut", [&] { return !world.network().blocked_path_to_state(1); });
-  note(world, 22, "cut", [&] { return !world.state().answers(2) && world.state().answers(1); });
+  note(world, 22, "cut", [&] { return !world.state().serves(2) && world.state().serves(1); });
   note(world, 22, "reaches the others", [&] { return !world.network().blocked_path_between(2, 0); });
   note(world, 32, "cut off",
-       [&] { return !world.state().answers(0) && world.network().blocked_path_between(0, 1); });
+       [&] { return !world.state().serves(0) && world.network().blocked_path_between(0, 1); });
   note(world, 32, "not from its workers",
        [&] { return !world.network().blocked_path_to_worker(0, Zone("east")); });
   note(world, 36, "over",
-       [&] { return world.state().answers(0) && !world.network().blocked_path_between(0, 1); });
+       [&] { return world.state().serves(0) && !world.network().blocked_path_between(0, 1); });
   expect_clean(world);
 }
 
@@ -100,7 +100,7 @@
   world.inject({.at_s = 20, .kind = FaultKind::kZoneCut, .duration_s = 15, .zone = Zone("west")});
   std::vector<MachineName> before;
   world.at(19.9, [&] { before = world.running_on(job.id); });
-  note(world, 25, "without state service", [&] { return !world.state().answers(1); });
+  note(world, 25, "without state service", [&] { return !world.state().serves(1); });
   note(world, 25, "without users", [&] { return world.network().blocked_path_to_user(1).has_value(); });
   note(world, 25, "with its workers",
        [&] { return !world.network().blocked_path_to_worker(1, Zone("west")); });
@@ -293,7 +293,7 @@
   Network network(queue);
   for (int controller = 0; controller < kControllers; ++controller) network.start(controller);
   std::vector<double> came;
-  auto send = [&] { network.peer(0, 1, [&] { came.push_back(queue.now()); }); };
+  auto send = [&] { network.send_to_peer(0, 1, [&] { came.push_back(queue.now()); }); };
   auto drain = [&] {
     while (!queue.empty()) queue.step();
   };
--- a/tests/sim_script_test.cpp
+++ b/tests/sim_script_test.cpp
@@ -71,10 +71,10 @@
   world.inject({.at_s = 30, .kind = FaultKind::kMachineCrash, .machines = MachineSelector::of_job(job.id)});
   int leader = -1;
   world.at(9.9, [&] { leader = world.leader().value_or(-1); });
-  world.at(10.1, [&] { EXPECT_FALSE(world.network().up(leader)); });
+  world.at(10.1, [&] { EXPECT_FALSE(world.network().is_up(leader)); });
   world.at(22, [&] {
     for (int controller = 0; controller < kControllers; ++controller)
-      EXPECT_FALSE(world.state().answers(controller));
+      EXPECT_FALSE(world.state().serves(controller));
   });
   world.poll_all(22, job.id);
   world.at(29.9, [&] { EXPECT_FALSE(world.running_on(job.id).empty()); });
