--- a/tests/decision_digest_test.cpp
+++ b/tests/decision_digest_test.cpp
@@ -1,4 +1,4 @@
-// The digest of a schedule's decisions: the same for the same schedule, another with any other decision.
+// Tests of the decision digest: it is the same for the same schedule, and differs if any decision differs.
 #include "sim/decision_digest.h"
 
 #include <gtest/gtest.h>
@@ -19,11 +19,11 @@
   return World(options).run().digest;
 }
 
-TEST(DecisionDigest, IsTheSameForTheSameSchedule) {
+TEST(DecisionDigest, IsEqualForEqualSeeds) {
   EXPECT_EQ(digest_of_schedule(1), digest_of_schedule(1));
 }
 
-TEST(DecisionDigest, DiffersBetweenSchedules) {
+TEST(DecisionDigest, DiffersForDifferentSeeds) {
   EXPECT_NE(digest_of_schedule(1), digest_of_schedule(2));
 }
 
@@ -80,15 +80,15 @@
   EXPECT_EQ(values.size(), std::size(cases));
 }
 
-TEST(DecisionDigest, DependsOnTheTime) {
+TEST(DecisionDigest, DependsOnTheTimeOfADecision) {
   EventQueue queue(1, false);
-  DecisionDigest early(queue);
-  early.on_transaction(0, {});
+  DecisionDigest digest_at_start(queue);
+  digest_at_start.on_transaction(0, {});
   queue.at(5, [] {});
   queue.step();
-  DecisionDigest late(queue);
-  late.on_transaction(0, {});
-  EXPECT_NE(early.value(), late.value());
+  DecisionDigest digest_at_5_s(queue);
+  digest_at_5_s.on_transaction(0, {});
+  EXPECT_NE(digest_at_start.value(), digest_at_5_s.value());
 }
 
 }  // namespace
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -10,7 +10,7 @@
   auto& machine = ledger_.machines[name];
   machine.name = name;
   machine.zone = zones()[static_cast<std::size_t>(number) % zones().size()];
-  machine.lease_from = queue_.now();
+  machine.lease_renewed_at = queue_.now();
   machine.controller = number % kControllers;
   on_added_(name);
 }
--- a/tests/sim/concurrent_faults.cpp
+++ b/tests/sim/concurrent_faults.cpp
@@ -1,28 +1,28 @@
-// Random schedules: which faults are concurrent, and how long each lasts.
+// Draws the concurrent faults of random schedules: their kinds, times, durations and targets.
 #include "sim/controller.h"
 #include "sim/fault_injector.h"
 
 namespace beaconsill::sim {
 namespace {
-constexpr double kFirstFaults = 12;
-constexpr double kConcurrencyWindow = 4;  // the faults of one group begin within so many seconds
+constexpr double kFirstFaultsAt = 12;            // in simulated seconds
+constexpr double kConcurrencyWindowSeconds = 4;  // all faults of one group begin within this time
 }  // namespace
 
-void FaultInjector::draw_concurrent_faults(double end) {
+void FaultInjector::schedule_random_faults(double end) {
   auto& queue = env_.queue;
-  over_ = std::max(over_, end);
-  int kinds_drawn = env_.options.operations ? kFaultKinds : kFaultKindsBeforeOperations;
-  for (double begin_s = kFirstFaults; begin_s < end; begin_s += queue.uniform(8, 26)) {
-    int kinds = 2 + queue.draw_below(2);
-    for (int i = 0; i < kinds; ++i) {
-      auto fault = draw(static_cast<FaultKind>(queue.draw_below(kinds_drawn)));
-      fault.at_s = begin_s + queue.uniform(0, kConcurrencyWindow);
-      add(fault);
+  last_fault_end_ = std::max(last_fault_end_, end);
+  int available_kinds = env_.options.operations ? kFaultKinds : kFaultKindsWithoutOperations;
+  for (double begin_s = kFirstFaultsAt; begin_s < end; begin_s += queue.uniform(8, 26)) {
+    int fault_count = 2 + queue.draw_below(2);
+    for (int i = 0; i < fault_count; ++i) {
+      auto fault = draw_random_fault(static_cast<FaultKind>(queue.draw_below(available_kinds)));
+      fault.at_s = begin_s + queue.uniform(0, kConcurrencyWindowSeconds);
+      schedule(fault);
     }
   }
 }
 
-Fault FaultInjector::draw(FaultKind kind) {
+Fault FaultInjector::draw_random_fault(FaultKind kind) {
   auto& queue = env_.queue;
   Fault fault;
   fault.kind = kind;
@@ -39,13 +39,13 @@
   return fault;
 }
 
-// Of what is drawn for all kinds, some kinds need other values.
+// Replaces the values that are unsuitable for the kind of the fault.
 void FaultInjector::adjust_to_kind(Fault& fault) {
   auto& queue = env_.queue;
   switch (fault.kind) {
     case FaultKind::kControllerCrash: {
-      constexpr double kBack[] = {0.1, 0.15, 1, 3, 13};
-      fault.duration_s = kBack[queue.draw_below(5)];
+      constexpr double kRestartDelays[] = {0.1, 0.15, 1, 3, 13};
+      fault.duration_s = kRestartDelays[queue.draw_below(5)];
       if (queue.chance(0.25)) fault.controllers = ControllerSelector::all();
       break;
     }
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -15,7 +15,7 @@
   params.heartbeat_period = from_seconds(env_.options.heartbeat_period_s);
   params.longest_wait = from_seconds(kLongestWait);
   auto limits = env_.settings.teams;
-  if (has_bug(SeededBug::kLimitIgnored)) limits.clear();
+  if (has_bug(SeededBug::kTeamLimitIgnored)) limits.clear();
   process_.scheduler =
       std::make_unique<scheduler::Scheduler>(params, limits, std::vector<config::Objective>{});
   process_.leader_term = term;
--- a/tests/sim/decision_digest.cpp
+++ b/tests/sim/decision_digest.cpp
@@ -23,10 +23,10 @@
 
 void DecisionDigest::on_heartbeat_reply(int controller, const MachineName& machine,
                                         const HeartbeatReply& reply) {
-  const auto answer = reply.answer
-                          ? protocol::render_heartbeat_response(reply.answer->token, reply.answer->commands)
-                          : std::string();
-  fold(Kind::kHeartbeatReply, controller, {machine.value(), answer, std::to_string(reply.redirect)});
+  const auto response = reply.answer
+                            ? protocol::render_heartbeat_response(reply.answer->token, reply.answer->commands)
+                            : std::string();
+  fold(Kind::kHeartbeatReply, controller, {machine.value(), response, std::to_string(reply.redirect)});
 }
 
 void DecisionDigest::on_deletion(int controller, const MachineName& machine) {
--- a/tests/sim/expectations.h
+++ b/tests/sim/expectations.h
@@ -1,4 +1,5 @@
-// What tests expect of simulated schedules: that no invariant is violated, and that a seeded bug is found.
+// Test helpers that run simulated schedules and check that no invariant is violated, or that the invariant
+// checker detects a bug seeded into the controllers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,29 +13,29 @@
 
 namespace beaconsill::sim {
 
-// A scripted schedule in which several faults are concurrent.
+// A scripted schedule with several concurrent faults.
 struct FaultScenario {
   const char* name;
   std::function<void(World&)> script;
 };
 
-// The requests that all scenarios of a test share, added before and after a scenario's own.
+// Requests common to all scenarios of a test, scheduled before and after the scenario's own requests.
 struct Workload {
   std::function<void(World&)> before = [](World&) {};
   std::function<void(World&)> after = [](World&) {};
 };
 
-// A range of seeds.
+// A range of `count` consecutive seeds.
 struct Seeds {
   std::uint64_t first = 1;
   std::uint64_t count = 1;
 };
 
-// A bug, and the violation by which it has to be found.
+// A seeded bug and the violation that must be reported for it.
 struct SeededBugCase {
   SeededBug bug;
   const char* invariant;
-  const char* detail = "";  // part of the description of the first violation
+  const char* detail = "";  // must occur in the description of the first violation
 };
 
 inline Outcome run_scenario(const FaultScenario& scenario, const Options& options, const Workload& workload) {
@@ -46,7 +47,8 @@
   return world.run();
 }
 
-// Runs each scenario with each seed. `noise`: rare losses, delays and repetitions of single messages.
+// Runs each scenario with each seed. With `noise`, single messages are occasionally lost, delayed or
+// repeated.
 inline void expect_no_violations(std::span<const FaultScenario> scenarios, Seeds seeds, bool noise,
                                  const Workload& workload = {}) {
   for (const auto& scenario : scenarios)
@@ -56,11 +58,12 @@
       auto outcome = run_scenario(scenario, options, workload);
       EXPECT_TRUE(outcome.violations.empty())
           << scenario.name << ", seed " << seed << ": " << outcome.first_violation;
-      EXPECT_GT(outcome.started, 0) << scenario.name;
+      EXPECT_GT(outcome.started, 0) << scenario.name << ", seed " << seed << ": no task was started";
     }
 }
 
-// A table of scenarios that can't fail shows nothing: some scenario has to find each bug.
+// Checks that the scenarios are able to detect bugs: each seeded bug must cause the expected violation in at
+// least one scenario with one of the seeds.
 inline void expect_bugs_found(std::span<const SeededBugCase> cases, std::span<const FaultScenario> scenarios,
                               Seeds seeds, bool noise, const Workload& workload = {}) {
   for (const auto& bug_case : cases) {
@@ -72,26 +75,29 @@
         options.seeded_bug = bug_case.bug;
         found += run_scenario(scenario, options, workload).violations[bug_case.invariant];
       }
-    EXPECT_GT(found, 0) << bug_case.invariant;
+    EXPECT_GT(found, 0) << "seeded bug " << static_cast<int>(bug_case.bug) << ": no violation of "
+                        << bug_case.invariant;
   }
 }
 
-// The same for random schedules: one of the first `seeds` has to find each bug.
+// The same for random schedules: each seeded bug must cause the expected violation with one of the seeds from
+// 1 to `seeds`.
 inline void expect_bugs_found(std::span<const SeededBugCase> cases, std::uint64_t seeds,
                               const std::function<Options(std::uint64_t)>& options_of_seed) {
   for (const auto& bug_case : cases) {
     bool found = false;
-    std::string seen;
+    std::string last_violation;
     for (std::uint64_t seed = 1; seed <= seeds && !found; ++seed) {
       auto options = options_of_seed(seed);
       options.seeded_bug = bug_case.bug;
       auto outcome = World(options).run();
       found = outcome.violations.contains(bug_case.invariant) &&
               outcome.first_violation.find(bug_case.detail) != std::string::npos;
-      if (!outcome.first_violation.empty()) seen = outcome.first_violation;
+      if (!outcome.first_violation.empty()) last_violation = outcome.first_violation;
     }
-    EXPECT_TRUE(found) << "bug " << static_cast<int>(bug_case.bug) << ": no " << bug_case.invariant << ' '
-                       << bug_case.detail << ", but " << seen;
+    EXPECT_TRUE(found) << "seeded bug " << static_cast<int>(bug_case.bug) << ": expected violation "
+                       << bug_case.invariant << ' ' << bug_case.detail
+                       << ", last violation seen: " << last_violation;
   }
 }
 
--- a/tests/sim/fault.h
+++ b/tests/sim/fault.h
@@ -1,4 +1,4 @@
-// The kinds of faults, and what one of them affects.
+// Defines the kinds of faults that the simulation injects, and the selectors for the components they affect.
 #pragma once
 
 #include <optional>
@@ -9,56 +9,64 @@
 
 namespace beaconsill::sim {
 
-// Each lasts for `duration_s` unless noted otherwise. "Delivery" marks cuts that honour `deliver_later`: what
-// is sent meanwhile is delivered afterwards instead of being refused.
+// Each fault lasts for `duration_s` unless noted otherwise. "Supports deliver_later" marks network partitions
+// that honour `Fault::deliver_later`: messages sent during the partition are delivered after it instead of
+// being refused.
 enum class FaultKind {
-  // Controllers (`controllers`)
-  kControllerCrash,   // its next process begins after duration_s
-  kControllerPause,   // does nothing; from its next callback of kind `before_callback` on if that is set
-  kRepeatedFailover,  // every period_s the leader crashes, and comes back a second later
-  kControllerCutFromState,          // delivery
-  kControllerCutFromPeers,          // delivery
-  kControllerCutFromStateAndPeers,  // it reaches its workers and users only; delivery
-  kControllerCut,                   // from state store, controllers, workers and users; delivery
-  kStateRefusesController,          // the state store refuses it alone
-  // State store
-  kStateOutage,    // answers nobody
-  kStateSlow,      // `share` of the messages take up to 1.2 s each way
-  kLostResponses,  // `share` of the transactions is carried out at once, only the answer is lost
-  kLateWrites,     // `share` has no answer and is carried out 2 to 12 s later, after newer ones
-  // Zones and messages
-  kZoneCut,           // `zone`: nothing passes between it and everything else; delivery
+  // Faults of controllers, selected by `controllers`.
+  kControllerCrash,   // the controller process restarts after duration_s
+  kControllerPause,   // the process is suspended, at once or, if `before_callback` is set, before its next
+                      // callback of that kind
+  kRepeatedFailover,  // every period_s the leader crashes and restarts one second later
+  kControllerCutFromState,          // partitioned from the state store; supports deliver_later
+  kControllerCutFromPeers,          // partitioned from the other controllers; supports deliver_later
+  kControllerCutFromStateAndPeers,  // reaches only its workers and users; supports deliver_later
+  kControllerCut,                   // partitioned from state store, controllers, workers and users;
+                                    // supports deliver_later
+  kStateRefusesController,          // the state store refuses requests of this controller only
+  // Faults of the state store.
+  kStateOutage,    // the state store answers no requests
+  kStateSlow,      // `share` of the messages takes up to 1.2 s in each direction
+  kLostResponses,  // `share` of the transactions is executed at once, but the response is lost
+  kLateWrites,     // `share` of the transactions gets no response and is executed 2 to 12 s later, after
+                   // newer ones
+  // Faults of zones and messages.
+  kZoneCut,           // no messages pass between `zone` and the rest; supports deliver_later
   kLostPeerMessages,  // `share` of the messages between controllers is lost
-  kLatePeerMessages,  // `share` comes late, up to 40 s, and again
-  kLateHeartbeats,    // of `share` of the heartbeats a copy comes again, up to 25 s later, at any controller
-  kHeartbeatsForNextLeader,  // the same, but the copies wait for the next leader and reach every controller
-  kLateCommands,  // `share` of direct commands is held up for 2 to 16 s, unanswered, then carried out
-  // Machines (`machines`)
-  kMachineHangs,        // do nothing, and go on afterwards
-  kMachineInboundCut,   // heartbeats arrive; answers and commands to them are lost
-  kMachineOutboundCut,  // they reach no controller; commands reach them
-  kMachineCrash,        // silently gone
-  kFastBoot,            // new machines are up within two seconds
-  // Users
-  kCancelRunning,  // `count` jobs that run are cancelled within 0.2 s; up to eight of their machines hang for
+  kLatePeerMessages,  // `share` of the messages between controllers is delayed by up to 40 s and delivered
+                      // twice
+  kLateHeartbeats,    // for `share` of the heartbeats, a copy arrives up to 25 s later at a random controller
+  kHeartbeatsForNextLeader,  // the same, but the copies are delivered to every controller once a new
+                             // leader is elected
+  kLateCommands,             // `share` of direct commands gets no response and is executed 2 to 16 s later
+  // Faults of machines, selected by `machines`.
+  kMachineHangs,        // the machines do nothing, and continue afterwards
+  kMachineInboundCut,   // their heartbeats arrive, but responses and commands to them are lost
+  kMachineOutboundCut,  // they reach no controller, but commands reach them
+  kMachineCrash,        // the machines disappear without notice
+  kFastBoot,            // new machines boot within 2 s
+  // Unusual behaviour of users.
+  kCancelRunning,  // `count` running jobs are cancelled within 0.2 s; up to eight of their machines hang for
                    // duration_s
-  kCancelAtCompletion,  // `share` of the jobs that end is cancelled at that moment
-  kQueryBursts,         // queries at all controllers within milliseconds after accept, end and cancellation
-  kInvalidRequests,     // repeats, cancellations of what is over, jobs that can't run, unknown jobs
-  kSingleTaskJobs,      // four a second, a quarter of them cancelled
-  kQuotasFilled,        // each team submits more than its limit, once
-  // What operators reported, see Options::operations
-  kFailingJobs,          // `count` jobs that fail on every machine, each cancelled within duration_s
-  kPollStorm,            // users ask eight times as often
-  kMachineFaulty,        // fail every task that they start (`machines`)
-  kSlowBoot,             // new machines take up to a minute to come up
-  kLongControllerPause,  // a controller is paused for a minute and more (`controllers`)
+  kCancelAtCompletion,  // `share` of the completing jobs is cancelled at the moment of completion
+  kQueryBursts,      // all controllers are queried within milliseconds after a job is accepted, completed or
+                     // cancelled
+  kInvalidRequests,  // repeated submissions, cancellations of completed jobs, jobs that cannot run, unknown
+                     // jobs
+  kSingleTaskJobs,   // four submissions per second, of which a quarter is cancelled
+  kQuotasFilled,     // each team submits one job larger than its CPU limit
+  // Faults that operators reported; drawn only with Options::operations.
+  kFailingJobs,          // `count` jobs fail on every machine; each is cancelled within duration_s
+  kPollStorm,            // users query their jobs eight times as often
+  kMachineFaulty,        // every task that is started on the `machines` fails
+  kSlowBoot,             // new machines take up to a minute to boot
+  kLongControllerPause,  // the `controllers` are paused for at least a minute
 };
 constexpr int kFaultKinds = static_cast<int>(FaultKind::kLongControllerPause) + 1;
-constexpr int kFaultKindsBeforeOperations = static_cast<int>(FaultKind::kFailingJobs);
+constexpr int kFaultKindsWithoutOperations = static_cast<int>(FaultKind::kFailingJobs);
 const char* to_string(FaultKind kind);
 
-// The controllers that a fault affects, selected when it begins.
+// Selects the controllers that a fault affects. Evaluated when the fault begins.
 struct ControllerSelector {
   enum class Kind { kDrawn, kNumber, kLeader, kFollower, kAll };
   Kind kind = Kind::kDrawn;
@@ -67,17 +75,18 @@
   static ControllerSelector drawn() { return {}; }
   static ControllerSelector controller(int number) { return {Kind::kNumber, number}; }
   static ControllerSelector leader() { return {Kind::kLeader, 0}; }
-  // Any controller but the leader.
+  // Selects a random controller that is not the leader.
   static ControllerSelector follower() { return {Kind::kFollower, 0}; }
   static ControllerSelector all() { return {Kind::kAll, 0}; }
 };
 
-// The machines that a fault affects, selected when it begins: all that match, or `count` random ones of them.
+// Selects the machines that a fault affects: all matching machines, or `count` random ones of them. Evaluated
+// when the fault begins.
 struct MachineSelector {
   std::optional<MachineName> name;
   std::optional<Zone> zone;
-  std::optional<JobId> running;  // a task of this job is there
-  int count = 0;                 // 0: all that match, or one if nothing is set
+  std::optional<JobId> running;  // has a task of this job that has not ended
+  int count = 0;                 // 0: all matching machines, or a single random one if no criterion is set
 
   static MachineSelector machine(MachineName name) { return {std::move(name), {}, {}, 0}; }
   static MachineSelector in_zone(Zone zone, int count = 0) { return {{}, std::move(zone), {}, count}; }
@@ -92,9 +101,9 @@
   ControllerSelector controllers = {};
   MachineSelector machines = {};
   std::optional<Zone> zone = {};
-  double share = 1;  // of the messages or requests of a kind
-  int count = 1;
-  double period_s = 12;
+  double share = 1;      // fraction of the messages, requests or jobs that is affected, from 0 to 1
+  int count = 1;         // number of jobs
+  double period_s = 12;  // of kRepeatedFailover
   bool deliver_later = false;
   std::optional<CallbackKind> before_callback = {};
 };
--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -6,16 +6,17 @@
 
 namespace beaconsill::sim {
 namespace {
-constexpr double kLeaderRestart = 1;
+// Periods and delays are in seconds.
+constexpr double kLeaderRestartDelay = 1;
 constexpr double kSmallJobPeriod = 0.25;
 constexpr double kInvalidRequestPeriod = 0.4;
 constexpr double kPollStormPeriod = 0.1;
-constexpr int kPollStormQueries = 6;  // at a time: some thirty jobs, each asked about every 0.6 s
+constexpr int kPollStormQueries = 6;  // per period: with about thirty jobs, each is queried about every 0.6 s
 constexpr std::size_t kMaxHangingMachines = 8;
 }  // namespace
 
-void FaultInjector::add(const Fault& fault) {
-  over_ = std::max(over_, fault.at_s + fault.duration_s);
+void FaultInjector::schedule(const Fault& fault) {
+  last_fault_end_ = std::max(last_fault_end_, fault.at_s + fault.duration_s);
   env_.queue.at(fault.at_s, [this, fault] { begin(fault); });
 }
 
@@ -50,13 +51,13 @@
     if (machine.terminated || (selector.name && *selector.name != name) ||
         (selector.zone && *selector.zone != machine.zone))
       continue;
-    bool runs = std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
+    bool runs_job = std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
       return selector.running && entry.first.first.job == *selector.running && !entry.second.ended;
     });
-    if (!selector.running || runs) out.push_back(&machine);
+    if (!selector.running || runs_job) out.push_back(&machine);
   }
-  bool any = !selector.name && !selector.zone && !selector.running;
-  auto count = static_cast<std::size_t>(selector.count ? selector.count : any ? 1 : 0);
+  bool no_criterion = !selector.name && !selector.zone && !selector.running;
+  auto count = static_cast<std::size_t>(selector.count ? selector.count : no_criterion ? 1 : 0);
   if (count == 0) return out;
   while (out.size() > count) out.erase(out.begin() + env_.queue.draw_below(static_cast<int>(out.size())));
   return out;
@@ -74,16 +75,16 @@
     case FaultKind::kControllerCut:
     case FaultKind::kStateRefusesController:
     case FaultKind::kLongControllerPause:
-      for (int controller : select(fault.controllers)) begin_at_controller(fault, controller);
+      for (int controller : select(fault.controllers)) begin_controller_fault(fault, controller);
       return;
     case FaultKind::kRepeatedFailover:
-      return change_leaders(fault);
+      return crash_leader_repeatedly(fault);
     case FaultKind::kMachineHangs:
     case FaultKind::kMachineInboundCut:
     case FaultKind::kMachineOutboundCut:
     case FaultKind::kMachineCrash:
     case FaultKind::kMachineFaulty:
-      for (auto* machine : select(fault.machines)) begin_at_machine(fault, *machine);
+      for (auto* machine : select(fault.machines)) begin_machine_fault(fault, *machine);
       return;
     case FaultKind::kFastBoot:
       return env_.cloud.boot_fast(env_.queue.now() + fault.duration_s);
@@ -93,14 +94,14 @@
     case FaultKind::kStateSlow:
     case FaultKind::kLostResponses:
     case FaultKind::kLateWrites:
-      return begin_in_state_store(fault);
+      return begin_state_store_fault(fault);
     case FaultKind::kZoneCut:
     case FaultKind::kLostPeerMessages:
     case FaultKind::kLatePeerMessages:
     case FaultKind::kLateHeartbeats:
     case FaultKind::kHeartbeatsForNextLeader:
     case FaultKind::kLateCommands:
-      return begin_with_messages(fault);
+      return begin_network_fault(fault);
     case FaultKind::kCancelRunning:
     case FaultKind::kCancelAtCompletion:
     case FaultKind::kQueryBursts:
@@ -109,11 +110,11 @@
     case FaultKind::kQuotasFilled:
     case FaultKind::kFailingJobs:
     case FaultKind::kPollStorm:
-      return begin_with_users(fault);
+      return begin_user_fault(fault);
   }
 }
 
-void FaultInjector::begin_at_controller(const Fault& fault, int controller) {
+void FaultInjector::begin_controller_fault(const Fault& fault, int controller) {
   double until = env_.queue.now() + fault.duration_s;
   Cut cut{until, fault.deliver_later};
   auto& network = env_.network;
@@ -143,7 +144,7 @@
   }
 }
 
-void FaultInjector::begin_at_machine(const Fault& fault, Machine& machine) {
+void FaultInjector::begin_machine_fault(const Fault& fault, Machine& machine) {
   double until = env_.queue.now() + fault.duration_s;
   env_.outcome.schedule.back() += " " + machine.name.value();
   switch (fault.kind) {
@@ -164,7 +165,7 @@
   }
 }
 
-void FaultInjector::begin_in_state_store(const Fault& fault) {
+void FaultInjector::begin_state_store_fault(const Fault& fault) {
   double until = env_.queue.now() + fault.duration_s;
   Window window{until, fault.share};
   switch (fault.kind) {
@@ -179,7 +180,7 @@
   }
 }
 
-void FaultInjector::begin_with_messages(const Fault& fault) {
+void FaultInjector::begin_network_fault(const Fault& fault) {
   double until = env_.queue.now() + fault.duration_s;
   Window window{until, fault.share};
   switch (fault.kind) {
@@ -198,13 +199,13 @@
   }
 }
 
-void FaultInjector::begin_with_users(const Fault& fault) {
+void FaultInjector::begin_user_fault(const Fault& fault) {
   double until = env_.queue.now() + fault.duration_s;
   switch (fault.kind) {
     case FaultKind::kCancelRunning: {
-      auto there = users_.cancel_running(fault.count);
-      if (there.size() > kMaxHangingMachines) there.resize(kMaxHangingMachines);
-      for (const auto& name : there)
+      auto affected = users_.cancel_running_jobs(fault.count);
+      if (affected.size() > kMaxHangingMachines) affected.resize(kMaxHangingMachines);
+      for (const auto& name : affected)
         if (auto* machine = ledger_.machine(name))
           machine->hangs_until = std::max(machine->hangs_until, until);
       return;
@@ -212,24 +213,24 @@
     case FaultKind::kCancelAtCompletion:
       return users_.cancel_at_completion({until, fault.share});
     case FaultKind::kQueryBursts:
-      return users_.query_in_bursts(until);
+      return users_.query_in_bursts_until(until);
     case FaultKind::kInvalidRequests:
-      return repeat(until, kInvalidRequestPeriod, [this] { users_.invalid_request(); });
+      return repeat(until, kInvalidRequestPeriod, [this] { users_.send_invalid_request(); });
     case FaultKind::kSingleTaskJobs:
-      return repeat(until, kSmallJobPeriod, [this] { users_.submit_small(); });
+      return repeat(until, kSmallJobPeriod, [this] { users_.submit_single_task_job(); });
     case FaultKind::kFailingJobs:
-      for (int i = 0; i < fault.count; ++i) users_.submit_failing(fault.duration_s);
+      for (int i = 0; i < fault.count; ++i) users_.submit_failing_job(fault.duration_s);
       return;
     case FaultKind::kPollStorm:
-      return repeat(until, kPollStormPeriod, [this] { users_.poll_drawn(kPollStormQueries); });
+      return repeat(until, kPollStormPeriod, [this] { users_.poll_random_jobs(kPollStormQueries); });
     default:
       return users_.fill_quotas();
   }
 }
 
-void FaultInjector::change_leaders(const Fault& fault) {
+void FaultInjector::crash_leader_repeatedly(const Fault& fault) {
   repeat(env_.queue.now() + fault.duration_s, fault.period_s, [this] {
-    if (auto current = leader()) env_.controller(*current).crash(kLeaderRestart);
+    if (auto current = leader()) env_.controller(*current).crash(kLeaderRestartDelay);
   });
 }
 
--- a/tests/sim/fault_injector.h
+++ b/tests/sim/fault_injector.h
@@ -1,4 +1,5 @@
-// Fault injection: groups of two or three concurrent faults drawn at random, and those that a test scripts.
+// Injects faults into the simulation: groups of two or three concurrent random faults, and faults scripted by
+// a test.
 #pragma once
 
 #include <functional>
@@ -16,34 +17,34 @@
   FaultInjector(Environment& env, Ledger& ledger, RandomUsers& users)
       : env_(env), ledger_(ledger), users_(users) {}
 
-  // Schedules it.
-  void add(const Fault& fault);
-  // Schedules concurrent faults of two or three drawn kinds, each within seconds of the others, up to that
-  // time.
-  void draw_concurrent_faults(double end);
-  // When the last of the scheduled ones is over.
-  double over() const { return over_; }
-  // The leader as the state store has it; none while there is none.
+  // Schedules the fault to begin at `fault.at_s`.
+  void schedule(const Fault& fault);
+  // Schedules groups of two or three concurrent faults of random kinds. No group begins at or after `end`, in
+  // simulated seconds.
+  void schedule_random_faults(double end);
+  // Returns the simulated time in seconds at which the last of the scheduled faults ends.
+  double last_fault_end() const { return last_fault_end_; }
+  // Returns the leader recorded in the state store, or std::nullopt if none is recorded.
   std::optional<int> leader() const;
 
  private:
   void begin(const Fault& fault);
-  void begin_at_controller(const Fault& fault, int controller);
-  void begin_at_machine(const Fault& fault, Machine& machine);
-  void begin_in_state_store(const Fault& fault);
-  void begin_with_messages(const Fault& fault);
-  void begin_with_users(const Fault& fault);
-  void change_leaders(const Fault& fault);
+  void begin_controller_fault(const Fault& fault, int controller);
+  void begin_machine_fault(const Fault& fault, Machine& machine);
+  void begin_state_store_fault(const Fault& fault);
+  void begin_network_fault(const Fault& fault);
+  void begin_user_fault(const Fault& fault);
+  void crash_leader_repeatedly(const Fault& fault);
   void repeat(double until, double period, const std::function<void()>& action);
   std::vector<int> select(const ControllerSelector& selector);
   std::vector<Machine*> select(const MachineSelector& selector);
-  Fault draw(FaultKind kind);
+  Fault draw_random_fault(FaultKind kind);
   void adjust_to_kind(Fault& fault);
 
   Environment& env_;
   Ledger& ledger_;
   RandomUsers& users_;
-  double over_ = 0;
+  double last_fault_end_ = 0;
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/invariants.h
+++ b/tests/sim/invariants.h
@@ -1,4 +1,4 @@
-// The invariants of the protocol, checked against the ledger.
+// Checks the invariants of the scheduler against the ledger, which has the true state of the simulated world.
 #pragma once
 
 #include <functional>
@@ -12,57 +12,60 @@
 
 namespace beaconsill::sim {
 
-// Of sums of CPUs and of GB.
-constexpr double kRoundingError = 1e-6;
+// Tolerance for rounding errors in sums of CPUs and of GB.
+constexpr double kRoundingTolerance = 1e-6;
 
 class InvariantChecker {
  public:
-  // `advance`: lets everything happen that is due on the machines.
+  // `advance` updates all simulated machines to the current time.
   InvariantChecker(const EventQueue& queue, const Ledger& ledger, Outcome& outcome,
                    std::function<void()> advance)
       : queue_(queue), ledger_(ledger), outcome_(outcome), advance_(std::move(advance)) {}
 
+  // Counts the violation, and records the description of the first one.
   void report_violation(const std::string& rule, const std::string& what);
-  // A task begins to run on a machine.
-  void on_begin(const Machine& machine, const TaskId& task, const Job& job);
-  // The state store holds a new value.
-  void on_written(const protocol::Write& write);
-  // An answer reached its user. Jobs that aren't in the ledger were never submitted, or not as they should
-  // be.
+  // A task starts to run on a machine.
+  void on_task_start(const Machine& machine, const TaskId& task, const Job& job);
+  // A key in the state store was written or deleted.
+  void on_state_write(const protocol::Write& write);
+  // A user received a response, or the request timed out. Jobs that are not in the ledger were never
+  // submitted, or only with an invalid request.
   void on_response(const UserResponse& response);
-  // Looks at everything. To be called about once a second. `calm_since`: when the last fault was over.
-  void check_all(double calm_since);
-  // What users want of the job is so.
-  bool satisfied(const JobId& id, const Job& job, const StateStore& state) const;
+  // Checks the time limits of all jobs; to be called about once per simulated second. `last_fault_end` is the
+  // time in seconds at which the last fault or scripted request ended.
+  void check_all(double last_fault_end);
+  // Returns whether the job is in the state that its user requested: a service runs all its tasks; any other
+  // or cancelled job has a terminal record and no running task.
+  bool is_served(const JobId& id, const Job& job, const StateStore& state) const;
 
  private:
-  // What users know of a job, and since when.
+  // What users know about a job from responses. Times are in simulated seconds.
   struct KnownToUser {
-    std::optional<double> accepted, over;
-    // When the first and the last of the questions since the last answer were given up.
-    std::optional<double> unanswered_from;
-    double unanswered_to = 0;
-    std::optional<protocol::JobState> end;
+    std::optional<double> accepted_at, final_at;
+    // When the first and the last of the failed requests since the last successful response failed.
+    std::optional<double> first_failure_at;
+    double last_failure_at = 0;
+    std::optional<protocol::JobState> final_state;
   };
-  // Since when a job waits though it could run.
+  // A job that waits although it could run.
   struct Wait {
-    double since = 0;
-    int started = 0;
+    double since = 0;     // in simulated seconds
+    int task_starts = 0;  // of this job, counted when the wait began
   };
   template <class F>
-  void each_running(F visit) const;
-  // Whether the task has completed, though the fake of its machine hasn't noticed yet.
+  void for_each_running_task(F visit) const;
+  // Returns whether the task has completed by now, even if the simulated machine has not been updated yet.
   bool ended_by_now(const Machine& machine, const Job& job, const Task& task) const;
-  void check_remembered(const UserResponse& response, const Job& job, const KnownToUser& known,
-                        const std::string& text);
+  void check_not_forgotten(const UserResponse& response, const Job& job, const KnownToUser& known,
+                           const std::string& text);
   void check_final_state(const UserResponse& response, const Job& job, KnownToUser& known,
                          const std::string& text);
-  void check_place(const Machine& machine, const TaskId& task, const Job& job);
+  void check_placement(const Machine& machine, const TaskId& task, const Job& job);
   void check_late_cancellations();
   void check_orphaned(const UserResponse& response, const std::string& text);
-  bool awaits_accepted(const Job& job, double sent_s) const;
-  void check_answered(const JobId& id, const Job& job, double calm_since);
-  void check_waiting(const JobId& id, const Job& job, double calm_since);
+  bool dependencies_were_accepted(const Job& job, double sent_s) const;
+  void check_queries_answered(const JobId& id, const Job& job, double last_fault_end);
+  void check_starvation(const JobId& id, const Job& job, double last_fault_end);
   bool could_run(const JobId& id, const Job& job) const;
 
   const EventQueue& queue_;
@@ -71,7 +74,7 @@
   std::function<void()> advance_;
   std::map<JobId, KnownToUser> known_to_users_;
   std::map<JobId, Wait> waits_;
-  std::map<JobId, int> started_;
+  std::map<JobId, int> task_starts_;
   std::set<JobId> recorded_done_;
 };
 
--- a/tests/sim/invariants_liveness.cpp
+++ b/tests/sim/invariants_liveness.cpp
@@ -1,72 +1,75 @@
-// What is checked about once a second: that nothing waits for longer than it may once the faults are over.
+// Checks the liveness invariants, about once per simulated second: after the last fault, no query stays
+// unanswered and no job waits for longer than allowed.
 #include "sim/invariants.h"
 #include "state_store/records.h"
 
 namespace beaconsill::sim {
 namespace {
-// Once the faults are over: no question about an accepted job goes unanswered for longer, and no job waits
-// for longer while it could run.
-constexpr double kUnanswered = 75;
-constexpr double kWaiting = 90;
+// After the last fault: the longest time, in seconds, for which all requests about an accepted job may fail,
+// and for which a job may wait although it could run.
+constexpr double kMaxUnansweredTime = 75;
+constexpr double kMaxWaitingTime = 90;
 }  // namespace
 
-void InvariantChecker::check_all(double calm_since) {
+void InvariantChecker::check_all(double last_fault_end) {
   advance_();
   check_late_cancellations();
-  if (queue_.now() < calm_since) return waits_.clear();
+  if (queue_.now() < last_fault_end) return waits_.clear();
   for (const auto& [id, job] : ledger_.jobs) {
     if (!job.accepted) continue;
-    check_answered(id, job, calm_since);
-    check_waiting(id, job, calm_since);
+    check_queries_answered(id, job, last_fault_end);
+    check_starvation(id, job, last_fault_end);
   }
 }
 
 void InvariantChecker::check_late_cancellations() {
   for (const auto& [id, job] : ledger_.jobs) {
     if (!job.cancelled || queue_.now() <= *job.cancelled + kCancelLimit) continue;
-    ledger_.each_task(id, [&](const Machine& machine, const auto& key, const Task& task) {
+    ledger_.for_each_task(id, [&](const Machine& machine, const auto& key, const Task& task) {
       if (task.on_machine())
         report_violation("ran_cancelled", protocol::task_name(key.first) + " on " + machine.name.value());
     });
   }
 }
 
-void InvariantChecker::check_answered(const JobId& id, const Job& job, double calm_since) {
+void InvariantChecker::check_queries_answered(const JobId& id, const Job& job, double last_fault_end) {
   if (job.cancelled) return;
   const auto& known = known_to_users_[id];
-  if (known.over || !known.unanswered_from) return;
-  double since = std::max({calm_since, *known.unanswered_from, job.submitted});
-  if (known.unanswered_to - since > kUnanswered)
-    report_violation("forgotten", "no question about " + id.value() + " is answered");
+  if (known.final_at || !known.first_failure_at) return;
+  double since = std::max({last_fault_end, *known.first_failure_at, job.submitted});
+  if (known.last_failure_at - since > kMaxUnansweredTime)
+    report_violation("forgotten", "no request about " + id.value() + " is answered");
 }
 
-void InvariantChecker::check_waiting(const JobId& id, const Job& job, double calm_since) {
+void InvariantChecker::check_starvation(const JobId& id, const Job& job, double last_fault_end) {
   if (!could_run(id, job)) {
     waits_.erase(id);
     return;
   }
-  auto started = started_.find(id);
-  int starts = started == started_.end() ? 0 : started->second;
-  auto [wait, fresh] = waits_.try_emplace(id, Wait{std::max(calm_since, queue_.now()), starts});
-  if (wait->second.started != starts) wait->second = {queue_.now(), starts};
-  if (!fresh && queue_.now() - wait->second.since > kWaiting)
-    report_violation("starved", id.value() + " waits");
+  auto entry = task_starts_.find(id);
+  int starts = entry == task_starts_.end() ? 0 : entry->second;
+  auto [wait, inserted] = waits_.try_emplace(id, Wait{std::max(last_fault_end, queue_.now()), starts});
+  if (wait->second.task_starts != starts) wait->second = {queue_.now(), starts};
+  if (!inserted && queue_.now() - wait->second.since > kMaxWaitingTime)
+    report_violation("starved", id.value() + " waits although it could run");
 }
 
-// A task of it is nowhere, a machine that fits has room, and the team is under its limit.
+// Returns whether some task of the job is neither completed nor on a machine, a suitable machine has enough
+// free resources, and the team is below its CPU limit.
 bool InvariantChecker::could_run(const JobId& id, const Job& job) const {
   const auto& known = known_to_users_.find(id);
-  if (job.cancel_requested || (known != known_to_users_.end() && known->second.over)) return false;
+  if (job.cancel_requested || (known != known_to_users_.end() && known->second.final_at)) return false;
   if (job.always_fails) return false;
   const auto& spec = *job.spec;
   bool ready = true;
-  // That its tasks completed isn't enough: the machine may have been lost before it reported that, and the
-  // task has to be started once more (seed 50033 with pipelines).
-  ledger_.each_needed(id, [&](const Job& needed) { ready &= recorded_done_.contains(needed.spec->id); });
+  // It is not sufficient that the dependency's tasks have completed on their machines: a machine may be lost
+  // before it reports the completion, and its task has to be started again (seed 50033 with pipelines).
+  ledger_.for_each_dependency(
+      id, [&](const Job& dependency) { ready &= recorded_done_.contains(dependency.spec->id); });
   if (!ready) return false;
-  std::set<std::uint32_t> there = job.done;
+  std::set<std::uint32_t> done_or_placed = job.done;
   double used = 0;
-  bool room = false;
+  bool has_room = false;
   for (const auto& [name, machine] : ledger_.machines) {
     if (machine.terminated) continue;
     double cpus = 0;
@@ -77,22 +80,24 @@
       cpus += other.each.cpus;
       memory += other.each.memory_gb;
       if (other.team == spec.team) used += other.each.cpus;
-      if (key.first.job == id) there.insert(key.first.index);
+      if (key.first.job == id) done_or_placed.insert(key.first.index);
     }
     bool fits = (!spec.zone || *spec.zone == machine.zone) &&
-                cpus + spec.each.cpus <= kMachineCpus + kRoundingError &&
-                memory + spec.each.memory_gb <= kMachineMemory + kRoundingError;
-    room |= fits && queue_.now() >= machine.hangs_until;
+                cpus + spec.each.cpus <= kMachineCpus + kRoundingTolerance &&
+                memory + spec.each.memory_gb <= kMachineMemory + kRoundingTolerance;
+    has_room |= fits && queue_.now() >= machine.hangs_until;
   }
-  // Where a job that sets its zones may still go depends on where its other tasks are: left out.
-  if (spec.one_zone || spec.spread) room &= there == job.done;
-  return there.size() < spec.tasks && room && used + spec.each.cpus <= kTeamCpus + kRoundingError;
+  // The zones in which a job with zone constraints may start tasks depend on where its other tasks are, which
+  // is not computed here. Such a job is only expected to start tasks while none of them is on a machine.
+  if (spec.one_zone || spec.spread) has_room &= done_or_placed == job.done;
+  return done_or_placed.size() < spec.tasks && has_room &&
+         used + spec.each.cpus <= kTeamCpus + kRoundingTolerance;
 }
 
-bool InvariantChecker::satisfied(const JobId& id, const Job& job, const StateStore& state) const {
+bool InvariantChecker::is_served(const JobId& id, const Job& job, const StateStore& state) const {
   if (!job.accepted) return false;
   std::set<std::uint32_t> running;
-  ledger_.each_task(id, [&](const Machine&, const auto& key, const Task& task) {
+  ledger_.for_each_task(id, [&](const Machine&, const auto& key, const Task& task) {
     if (task.on_machine()) running.insert(key.first.index);
   });
   if (state.find(state_store::terminal_key(id))) return running.empty();
--- a/tests/sim/job_generator.h
+++ b/tests/sim/job_generator.h
@@ -1,4 +1,4 @@
-// The jobs that drawn users submit.
+// Generates the jobs that the random users of a simulated schedule submit.
 #pragma once
 
 #include <optional>
@@ -14,17 +14,17 @@
  public:
   JobGenerator(EventQueue& queue, const Ledger& ledger) : queue_(queue), ledger_(ledger) {}
 
-  // An array of small tasks, with a new id.
-  protocol::JobSpec next(std::uint32_t tasks);
-  // By their index: arrays and services of all teams, some of them bound to zones. Equal indices have equal
-  // ids.
-  protocol::JobSpec mixed(int index);
-  // Jobs that depend on each other, each on earlier ones only. The first depends on a submitted job now and
-  // then.
+  // Returns an array job of tasks with 1 CPU each, with a new id.
+  protocol::JobSpec next_array(std::uint32_t tasks);
+  // Returns an array or a service of one of the teams, in some cases with zone constraints, depending on
+  // `index`. Equal indices have equal ids.
+  protocol::JobSpec mixed_job(int index);
+  // Jobs that depend on each other, each only on earlier ones. The first one sometimes depends on a job that
+  // was submitted before.
   using Pipeline = std::vector<protocol::JobSpec>;
-  Pipeline pipeline(int index);
-  // A random one of those that were submitted; none if there are none.
-  std::optional<JobId> submitted_job();
+  Pipeline draw_pipeline(int index);
+  // Returns a random job of those in the ledger, or std::nullopt if the ledger has no jobs.
+  std::optional<JobId> random_submitted_job();
 
  private:
   EventQueue& queue_;
--- a/tests/sim/ledger.h
+++ b/tests/sim/ledger.h
@@ -1,5 +1,6 @@
-// The true state of the simulated world, whatever the controllers believe: the machines with the tasks on
-// them, and the jobs as their users know them. Invariants are checked against this ledger.
+// Records the true state of the simulated world, independently of the controllers' view: the machines with
+// their tasks, and the jobs as their users know them. The invariants are checked against this ledger. Times
+// are in simulated seconds.
 #pragma once
 
 #include <map>
@@ -13,13 +14,13 @@
 namespace beaconsill::sim {
 
 struct Task {
-  double ready = 0;  // has its image
-  double ends = 0;   // completes; services: never
+  double image_ready_at = 0;  // when its image is on the machine and it starts
+  double ends_at = 0;         // when it completes or fails; services never complete
   bool running = false;
-  bool fails = false;  // at `ends`
+  bool fails = false;  // at `ends_at`
   bool ended = false;
   protocol::EndCause cause = protocol::EndCause::kDone;
-  // From the image to the end it's on its machine, also if that hangs.
+  // Returns whether the task has started and not ended. This includes tasks on a machine that hangs.
   bool on_machine() const { return running && !ended; }
 };
 
@@ -27,52 +28,53 @@
   MachineName name;
   Zone zone;
   bool terminated = false;
-  double hangs_until = 0;         // does nothing
+  double hangs_until = 0;         // the machine does nothing until then
   double inbound_cut_until = 0;   // sends heartbeats, but receives neither replies nor commands
-  double outbound_cut_until = 0;  // commands arrive, but it reaches no controller
-  double faulty_until = 0;        // fails every task that it starts
+  double outbound_cut_until = 0;  // receives commands, but reaches no controller
+  double faulty_until = 0;        // every task that it starts fails
   std::uint64_t incarnation = 1;
   std::uint64_t sequence = 0;
   std::uint64_t token = 0;
-  double lease_from = 0;
-  int controller = 0;  // where it sends its heartbeats
-  bool in_flight = false;
+  double lease_renewed_at = 0;
+  int controller = 0;      // the controller to which it sends its heartbeats
+  bool in_flight = false;  // a heartbeat awaits its response
   std::map<std::pair<TaskId, Attempt>, Task> tasks;
 };
 
 struct Job {
   std::shared_ptr<const protocol::JobSpec> spec;
-  std::optional<double> run_s;  // of each task; none: drawn
-  bool always_fails = false;    // fails on every machine
+  std::optional<double> run_s;  // run time of each task; std::nullopt: drawn at random
+  bool always_fails = false;    // its tasks fail on every machine
   double submitted = 0;
   bool accepted = false;
   bool cancel_requested = false;
   std::optional<double> cancelled;  // when its user received the confirmation
-  std::set<std::uint32_t> done;     // tasks that completed, as the workers know
+  std::set<std::uint32_t> done;     // indices of the tasks that completed on a machine
 };
 
 struct Ledger {
   std::map<MachineName, Machine> machines;
   std::map<JobId, Job> jobs;
 
-  // None if there is no such machine any more.
+  // Returns the machine, or nullptr if it does not exist or has been terminated.
   Machine* machine(const MachineName& name) {
     auto it = machines.find(name);
     return it == machines.end() || it->second.terminated ? nullptr : &it->second;
   }
-  // Calls `f(job)` for all jobs that this one needs, directly or through others.
+  // Calls `visit(job)` for each job that this one depends on, directly or transitively.
   template <class F>
-  void each_needed(const JobId& id, F visit) const {
+  void for_each_dependency(const JobId& id, F visit) const {
     auto job = jobs.find(id);
     if (job == jobs.end()) return;
     for (const auto& dependency : job->second.spec->depends_on) {
-      if (auto needed = jobs.find(dependency); needed != jobs.end()) visit(needed->second);
-      each_needed(dependency, visit);
+      if (auto dependency_job = jobs.find(dependency); dependency_job != jobs.end())
+        visit(dependency_job->second);
+      for_each_dependency(dependency, visit);
     }
   }
-  // Calls `f(machine, key, task)` for all tasks of the job on machines that are there.
+  // Calls `visit(machine, key, task)` for each task of the job on machines that have not been terminated.
   template <class F>
-  void each_task(const JobId& id, F visit) const {
+  void for_each_task(const JobId& id, F visit) const {
     for (const auto& [name, machine] : machines) {
       if (machine.terminated) continue;
       for (auto entry = machine.tasks.lower_bound({TaskId{id, 0}, Attempt()});
--- a/tests/sim/options.h
+++ b/tests/sim/options.h
@@ -1,4 +1,4 @@
-// What a simulated schedule consists of, and what came of it.
+// Defines the options of a simulated schedule and its outcome.
 #pragma once
 
 #include <cstdint>
@@ -10,56 +10,60 @@
 
 namespace beaconsill::sim {
 
-// Once faults are over, so long a time is left before everything has to be in order.
-constexpr double kCalmAfter = 30;
+// The time in seconds after the last fault or request before the schedule may end because all jobs are
+// served.
+constexpr double kRecoveryGracePeriod = 30;
 
-// Bugs that a test seeds into the simulated controllers, and that the invariant checker must find.
+// Bugs that a test seeds into the simulated controllers or their requests, and that the invariant checker
+// must detect.
 enum class SeededBug {
   kNone,
-  kRegistryNotRead,                 // a new shard leader doesn't wait for the registered machines
-  kCancellationsIgnored,            // shard leaders don't learn of cancellations
-  kCancellationAcknowledgedAtOnce,  // users get confirmations of cancellations that other controllers haven't
-                                    // acknowledged
-  kNoFencing,                       // leaders write though they have been replaced
-  kReleasesNotReported,             // nobody learns which tasks a shard releases
-  kLimitIgnored,                    // the leader knows no team's limit
-  kCompletedTooEarly,               // a job is taken for done when half of its tasks are
-  kStaleHeartbeatsAccepted,         // late copies of heartbeats pass for the newest
-  kZoneDropped,                     // the zone that a job sets gets lost
-  kZoneConstraintsDropped,          // that a job's tasks must be in one zone, or in several, gets lost
-  kNoReadBarrier,                   // users are answered without a read through the state store
-  kNoReadBarrierForKnownJobs,       // the same, only for jobs that the controller knows of
-  kOutageReadsAsEmpty,              // what can't be read passes for what isn't there
-  kRepeatedSubmissionRejected,      // a repeated submission is judged as if it were new
-  kUnknownJobsReported,             // a job that nobody submitted passes for queued
-  kCompletedRecordedAsCancelled,    // a job that is done is recorded as cancelled
+  kRegistryNotRead,                 // a new shard leader does not read the registered machines first
+  kCancellationsIgnored,            // shard leaders are not notified of cancellations
+  kCancellationAcknowledgedAtOnce,  // cancellations are confirmed to users before the other controllers have
+                                    // acknowledged them
+  kNoFencing,                       // leaders still write after they have been replaced
+  kReleasesNotReported,             // a shard does not report the tasks that it releases
+  kTeamLimitIgnored,                // the leader ignores the teams' CPU limits
+  kCompletedTooEarly,               // a job is recorded as done when half of its tasks are done
+  kStaleHeartbeatsAccepted,         // delayed copies of heartbeats are accepted as the newest
+  kZoneDropped,                     // the zone constraint of a submission is lost
+  kZoneConstraintsDropped,          // the one-zone and spread constraints of a submission are lost
+  kNoReadBarrier,                   // responses to users do not wait for a read from the state store
+  kNoReadBarrierForKnownJobs,       // the same, but only for jobs in the controller's own view
+  kOutageReadsAsEmpty,              // a failed read is treated as if the key did not exist
+  kRepeatedSubmissionRejected,      // a repeated submission is validated as if it were new
+  kUnknownJobsReported,             // a job that was never submitted is reported as queued
+  kCompletedRecordedAsCancelled,    // a completed job is recorded as cancelled
   kNoSizeLimit,                     // jobs larger than their team's limit are accepted
-  kCallbackLost,                    // after a read that failed nobody who asks is answered any more
-  kJobSkipped,                      // the leader overlooks a job
-  kDependenciesDropped,             // the dependencies of a submission get lost
-  kDependenciesIgnored,             // the leader grants jobs whose dependencies aren't done
-  kDependenciesRejected,            // a submission that names accepted jobs is refused for good
-  kFailuresNotReported,             // the leader doesn't learn that a job fails wherever it's started
+  kCallbackLost,                    // after a failed read, later requests for it are never answered
+  kJobSkipped,                      // the leader never schedules one of the jobs
+  kDependenciesDropped,             // the dependencies of a submission are lost
+  kDependenciesIgnored,             // the leader grants jobs whose dependencies are not done
+  kDependenciesRejected,            // a submission with accepted jobs as dependencies is permanently rejected
+  kFailuresNotReported,             // the leader is not notified that a job fails on every machine
 };
 
 struct Options {
   std::uint64_t seed = 1;
   int machines = 14;
-  int jobs = 26;      // drawn ones
-  int pipelines = 0;  // drawn ones: chains, fans and diamonds of jobs that depend on each other
-  // The faults from FaultKind::kFailingJobs on are drawn as well. Without them the schedules of a seed
-  // are the same as before these were added.
+  int jobs = 26;      // number of random jobs
+  int pipelines = 0;  // number of random pipelines: chains, fans and diamonds of dependent jobs
+  // Includes FaultKind::kFailingJobs and the kinds after it in the random faults. By default they are
+  // excluded, so that the schedule of a seed is the same as before these kinds were added.
   bool operations = false;
-  double faults_s = 90;  // drawn faults begin until then
-  // By then everything must be served. The drawn faults and users leave work beyond the teams' limits for
-  // longer than 300 s in some schedules; who waits though it could run breaks `starved` long before.
+  double random_faults_until_s = 90;  // random faults begin before this time
+  // All jobs must be served by this time. In some schedules, the random faults and users leave work beyond
+  // the teams' limits for longer than 300 s. A job that waits although it could run violates `starved` long
+  // before.
   double end_s = 400;
   double heartbeat_period_s = 1;
-  bool random_faults = true;  // groups of two or three concurrent faults at random times
-  bool noise = true;          // the rare losses, delays and repetitions of single messages
+  bool random_faults = true;  // inject groups of two or three concurrent faults at random times
+  bool noise = true;          // occasionally lose, delay or repeat single messages
   SeededBug seeded_bug = SeededBug::kNone;
 
-  // Nothing happens but what a test scripts, and messages are never lost.
+  // Returns options for a schedule without random jobs, faults and message noise: only the test's script
+  // runs.
   static Options scripted(std::uint64_t seed = 1) {
     Options options;
     options.seed = seed;
@@ -70,18 +74,19 @@
 };
 
 struct Outcome {
-  std::map<std::string, int> violations;  // invariant -> how often
-  std::string first_violation;            // the first one, with its details
-  int started = 0;
-  int started_cancelled = 0;  // starts after a confirmed cancellation; counted, not forbidden
-  int failing_starts = 0;     // starts of jobs that fail on every machine
-  int failing_grants = 0;     // writes of such jobs' grants
-  int deleted_machines = 0;   // at the request of controllers
+  std::map<std::string, int> violations;  // number of violations by invariant
+  std::string first_violation;            // invariant, simulated time and description
+  int started = 0;                        // task starts
+  int starts_after_cancellation =
+      0;                   // task starts after a confirmed cancellation; not a violation within kCancelLimit
+  int failing_starts = 0;  // task starts of jobs that fail on every machine
+  int failing_grants = 0;  // writes of grants for such jobs
+  int deleted_machines = 0;  // deleted at the request of controllers
   int shard_acquisitions = 0;
-  int answered = 0;
-  std::uint64_t digest = 0;           // of the controllers' decisions, see decision_digest.h
-  double served_at = 0;               // when everything was in order after the faults; 0: never
-  std::vector<std::string> schedule;  // the faults, as they came
+  int answered = 0;          // responses and time-outs that users received
+  std::uint64_t digest = 0;  // of the controllers' decisions; see decision_digest.h
+  double served_at = 0;      // simulated time at which all jobs were served after the faults; 0: never
+  std::vector<std::string> schedule;  // the faults in the order in which they began
 };
 
 }  // namespace beaconsill::sim
--- a/tests/sim/random_users.h
+++ b/tests/sim/random_users.h
@@ -1,5 +1,5 @@
-// Users who act at random: they repeat what isn't answered, poll their jobs, and cancel some. The faults that
-// come from users (FaultKind) are here too.
+// Simulates users that act at random: they repeat failed requests, poll their jobs, and cancel some of them.
+// Also implements the kinds of faults that users cause (see FaultKind).
 #pragma once
 
 #include <functional>
@@ -17,46 +17,51 @@
   RandomUsers(Environment& env, Ledger& ledger, Users& users)
       : env_(env), ledger_(ledger), users_(users), jobs_(env.queue, ledger) {}
 
-  // A drawn job is submitted until it's accepted, polled until it's over, and perhaps cancelled meanwhile.
-  void submit_drawn(int index);
-  // The jobs of a drawn pipeline, one after the other, each as soon as the one before it is accepted; of some
-  // the last only when the others are over. One of them is perhaps cancelled.
-  void submit_pipeline(int index);
-  // A job of one task.
-  void submit_small();
-  // A job that fails on every machine. Its user cancels it within so many seconds.
-  void submit_failing(double within_s);
-  // So many queries of random jobs.
-  void poll_drawn(int queries);
-  // For each team one array larger than its limit.
+  // Submits a random job repeatedly until it is accepted, polls it from then on, and cancels some of the
+  // jobs.
+  void submit_random_job(int index);
+  // Submits the jobs of a random pipeline in order, each as soon as the previous one is accepted. In some
+  // pipelines, the last job is submitted only after its dependencies have ended. Cancels one job of some
+  // pipelines.
+  void submit_random_pipeline(int index);
+  // Submits a job of one task; a quarter of these jobs is cancelled.
+  void submit_single_task_job();
+  // Submits a job that fails on every machine. Its user cancels it within `within_s` seconds after it is
+  // accepted.
+  void submit_failing_job(double within_s);
+  // Sends `queries` queries about random jobs.
+  void poll_random_jobs(int queries);
+  // Submits one array job per team that is larger than the team's CPU limit.
   void fill_quotas();
-  // Cancels so many jobs that run and have long to go, within a fifth of a second. Returns the machines that
-  // run them.
-  std::vector<MachineName> cancel_running(int count);
-  // Repeated submissions, cancellations of jobs that are over, jobs that can't run or lack a field, queries
-  // of jobs that nobody submitted.
-  void invalid_request();
+  // Cancels up to `count` running jobs that have more than 2 s left, within 0.2 s. Returns the machines on
+  // which they run.
+  std::vector<MachineName> cancel_running_jobs(int count);
+  // Sends one random request: a repeated submission, a cancellation of a completed job, a submission of a job
+  // that cannot run or lacks a field, or a cancellation or query of a job that was never submitted.
+  void send_invalid_request();
 
-  // Users query all controllers within milliseconds after a job was accepted, ended or cancelled.
-  void query_in_bursts(double until) { query_bursts_until_ = until; }
-  // That share of the jobs that end is cancelled at the moment of the end.
+  // Until this time, users query all controllers within milliseconds after a job was accepted, completed or
+  // cancelled.
+  void query_in_bursts_until(double until) { query_bursts_until_ = until; }
+  // Cancels the window's share of the completing jobs at the moment of completion.
   void cancel_at_completion(Window window) { cancel_at_completion_ = window; }
 
-  // Users have learned that the job is accepted, or that it's cancelled.
-  void on_news(const JobId& id) { query_burst(id); }
+  // A user received the first response that the job is accepted, or that it is cancelled.
+  void on_job_status_change(const JobId& id) { send_query_burst(id); }
   // The last task of the job has completed.
   void on_job_completed(const JobId& id);
 
  private:
   void submit_until_accepted(const protocol::JobSpec& spec, std::optional<double> run_s,
                              double cancel_after_s, const std::function<void()>& then = {});
-  void submit_step(const std::shared_ptr<const JobGenerator::Pipeline>& pipeline, std::size_t step,
-                   bool last_waits);
+  void submit_pipeline_step(const std::shared_ptr<const JobGenerator::Pipeline>& pipeline, std::size_t step,
+                            bool last_waits_for_dependencies);
   void cancel_until_confirmed(const JobId& id);
-  void poll_on(const JobId& id);
-  void query_burst(const JobId& id);
-  void invalid_submission();
-  // A controller that a load balancer would choose.
+  void poll_periodically(const JobId& id);
+  void send_query_burst(const JobId& id);
+  void send_invalid_submission();
+  // Returns a random controller that a load balancer would choose: one that is up, ready and reachable for
+  // users.
   int random_controller();
 
   Environment& env_;
--- a/tests/sim/user_response.h
+++ b/tests/sim/user_response.h
@@ -1,4 +1,4 @@
-// A user's request, and the response of a controller.
+// Defines a user's request and the response that the user received.
 #pragma once
 
 #include <optional>
@@ -10,12 +10,12 @@
 enum class UserRequest { kSubmit, kStatus, kCancel };
 
 struct UserResponse {
-  double sent_s = 0;
-  double at_s = 0;
+  double sent_s = 0;  // simulated time of the request
+  double at_s = 0;    // simulated time of the response, or of the time-out
   int controller = 0;
   JobId job;
   UserRequest request = UserRequest::kSubmit;
-  int status = 0;  // of HTTP; 0: no connection or no answer
+  int status = 0;  // HTTP status; 0: no connection or no response
   std::optional<protocol::JobState> state;
   double retry_after_s = 0;
 
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -4,8 +4,9 @@
 
 namespace beaconsill::sim {
 namespace {
+// In simulated seconds.
 constexpr double kStatusTimeout = 2;
-constexpr double kTimeout = 5;
+constexpr double kWriteTimeout = 5;
 const std::string kPath = "/v1/jobs";
 
 std::optional<protocol::JobState> parse_state(const net::Response& response) {
@@ -64,15 +65,15 @@
 void Users::send_request(int controller, const JobId& id, UserRequest request, std::string body,
                          const OnResponse& then) {
   auto& queue = env_.queue;
-  auto over = std::make_shared<bool>(false);
+  auto finished = std::make_shared<bool>(false);
   UserResponse unanswered{queue.now(), queue.now(), controller, id, request, 0, {}, 0};
-  auto finish = [this, over, then](UserResponse response) {
-    if (std::exchange(*over, true)) return;
+  auto finish = [this, finished, then](UserResponse response) {
+    if (std::exchange(*finished, true)) return;
     response.at_s = env_.queue.now();
     on_response(response);
     if (then) then(response);
   };
-  queue.after(request == UserRequest::kStatus ? kStatusTimeout : kTimeout,
+  queue.after(request == UserRequest::kStatus ? kStatusTimeout : kWriteTimeout,
               [finish, unanswered] { finish(unanswered); });
   auto reply = [this, controller, id, finish, unanswered](const net::Response& response) {
     env_.decisions.on_user_response(controller, id, response);
@@ -99,16 +100,16 @@
   auto it = ledger_.jobs.find(response.job);
   if (it == ledger_.jobs.end() || !response.ok()) return;
   auto& job = it->second;
-  bool is_news = !job.accepted;
+  bool status_changed = !job.accepted;
   job.accepted = true;
   if (response.state == protocol::JobState::kCancelled && !job.cancelled) {
     job.cancelled = response.at_s;
-    is_news = true;
+    status_changed = true;
   }
-  if (is_news) on_news_(response.job);
+  if (status_changed) on_job_status_change_(response.job);
 }
 
-bool Users::over(const JobId& id) const {
+bool Users::has_final_response(const JobId& id) const {
   return std::any_of(responses_.begin(), responses_.end(), [&](const UserResponse& response) {
     return response.job == id && response.ok() && response.final();
   });
--- a/tests/sim/users.h
+++ b/tests/sim/users.h
@@ -1,5 +1,5 @@
-// The users' requests: sent through the users' endpoints of `api` in the form that the protocol gives them,
-// their responses recorded.
+// Sends the requests of users to the HTTP handlers of `api`, in the encoding of the protocol, and records the
+// responses.
 #pragma once
 
 #include <functional>
@@ -14,22 +14,26 @@
 class Users {
  public:
   using OnResponse = std::function<void(const UserResponse&)>;
-  // `on_news`: a user has learned that a job is accepted, or that it's cancelled.
+  // `on_job_status_change` is called at the first response that a job is accepted, and at the first that it
+  // is cancelled.
   Users(Environment& env, Ledger& ledger, InvariantChecker& invariants,
-        std::function<void(const JobId&)> on_news)
-      : env_(env), ledger_(ledger), invariants_(invariants), on_news_(std::move(on_news)) {}
+        std::function<void(const JobId&)> on_job_status_change)
+      : env_(env),
+        ledger_(ledger),
+        invariants_(invariants),
+        on_job_status_change_(std::move(on_job_status_change)) {}
 
-  // Each is one request, sent now.
+  // Each of these sends one request now.
   void submit(int controller, const protocol::JobSpec& spec, std::optional<double> run_s = {},
               const OnResponse& then = {});
-  // A submission with any body. Its job isn't in the ledger: it must not be accepted.
+  // Submits an arbitrary body. Its job is not in the ledger and must not be accepted.
   void submit_body(int controller, const JobId& id, const std::string& body);
   void poll(int controller, const JobId& id, const OnResponse& then = {});
   void cancel(int controller, const JobId& id, const OnResponse& then = {});
 
   const std::vector<UserResponse>& responses() const { return responses_; }
-  // Whether a user knows that the job is done or cancelled.
-  bool over(const JobId& id) const;
+  // Returns whether a user has received a response that the job is done or cancelled.
+  bool has_final_response(const JobId& id) const;
 
  private:
   void send_request(int controller, const JobId& id, UserRequest request, std::string body,
@@ -39,7 +43,7 @@
   Environment& env_;
   Ledger& ledger_;
   InvariantChecker& invariants_;
-  std::function<void(const JobId&)> on_news_;
+  std::function<void(const JobId&)> on_job_status_change_;
   std::vector<UserResponse> responses_;
 };
 
--- a/tests/sim/worker_agents.cpp
+++ b/tests/sim/worker_agents.cpp
@@ -32,27 +32,27 @@
 // What happened on the machine up to now.
 void WorkerAgents::advance(Machine& machine) {
   double now = queue_.now();
-  if (now - machine.lease_from > kLease) {
+  if (now - machine.lease_renewed_at > kLease) {
     machine.tasks.clear();
     ++machine.incarnation;
-    machine.lease_from = now;
+    machine.lease_renewed_at = now;
   }
   if (now < machine.hangs_until) return;
   for (auto& [key, task] : machine.tasks) {
     if (task.ended) continue;
     auto& job = ledger_.jobs.at(key.first.job);
-    if (!task.running && now >= task.ready) {
+    if (!task.running && now >= task.image_ready_at) {
       task.running = true;
       // The result of a task that completed is kept: it ends at once.
-      if (job.done.contains(key.first.index)) task.ends = now;
-      invariants_.on_begin(machine, key.first, job);
+      if (job.done.contains(key.first.index)) task.ends_at = now;
+      invariants_.on_task_start(machine, key.first, job);
     }
-    if (task.running && task.fails && now >= task.ends) {
+    if (task.running && task.fails && now >= task.ends_at) {
       task.ended = true;
       task.cause = protocol::EndCause::kError;
       continue;
     }
-    if (task.running && job.spec->kind == JobKind::kArray && now >= task.ends) {
+    if (task.running && job.spec->kind == JobKind::kArray && now >= task.ends_at) {
       task.ended = true;
       task.cause = protocol::EndCause::kDone;
       on_task_done(key.first.job, job, key.first.index);
@@ -81,15 +81,15 @@
 
 void WorkerAgents::start(Machine& machine, const TaskKey& key) {
   auto& task = machine.tasks[key];
-  task.ready = queue_.now() + queue_.uniform(0.1, 1.5);
+  task.image_ready_at = queue_.now() + queue_.uniform(0.1, 1.5);
   const auto& job = ledger_.jobs.at(key.first.job);
-  task.ends = task.ready + job.run_s.value_or(queue_.uniform(0.5, 6));
+  task.ends_at = task.image_ready_at + job.run_s.value_or(queue_.uniform(0.5, 6));
   task.fails = job.always_fails || queue_.now() < machine.faulty_until;
-  if (task.fails) task.ends = task.ready + queue_.uniform(0.1, kFailsWithin);
+  if (task.fails) task.ends_at = task.image_ready_at + queue_.uniform(0.1, kFailsWithin);
   ++outcome_.started;
   outcome_.failing_starts += job.always_fails;
   // Time passes between heartbeats as well.
-  for (double when : {task.ready, task.ends})
+  for (double when : {task.image_ready_at, task.ends_at})
     queue_.at(when + 0.001, [this, name = machine.name] {
       if (auto* current = ledger_.machine(name)) advance(*current);
     });
--- a/tests/sim/workers.cpp
+++ b/tests/sim/workers.cpp
@@ -117,7 +117,7 @@
   agents_.advance(*machine);
   if (machine->incarnation != incarnation) return;
   machine->token = reply.answer->token.value();
-  machine->lease_from = std::max(machine->lease_from, sent);
+  machine->lease_renewed_at = std::max(machine->lease_renewed_at, sent);
   for (const auto& command : reply.answer->commands) agents_.apply(*machine, command);
 }
 
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -61,7 +61,7 @@
       decisions_(queue_),
       invariants_(queue_, ledger_, outcome_, [this] { workers_.advance_all(); }),
       state_(queue_, network_, decisions_, lost_responses(options.seeded_bug),
-             [this](const auto& write) { invariants_.on_written(write); }),
+             [this](const auto& write) { invariants_.on_state_write(write); }),
       settings_(settings(options.seeded_bug)),
       partitioning_(settings_),
       workers_(queue_, network_, decisions_, ledger_, invariants_, outcome_, options_,
@@ -74,7 +74,7 @@
            state_,        workers_,    cloud_,
            decisions_,    outcome_,    settings_,
            partitioning_, catalogue(), [this](int number) -> Controller& { return controller(number); }},
-      users_(env_, ledger_, invariants_, [this](const JobId& id) { random_users_.on_news(id); }),
+      users_(env_, ledger_, invariants_, [this](const JobId& id) { random_users_.on_job_status_change(id); }),
       random_users_(env_, ledger_, users_),
       faults_(env_, ledger_, random_users_) {
   for (int number = 0; number < kControllers; ++number)
@@ -131,13 +131,13 @@
   for (int number = 0; number < kControllers; ++number)
     queue_.at(0.05 * number, [this, number] { controller(number).start(); });
   for (int i = 0; i < options_.jobs; ++i)
-    queue_.at(1 + queue_.uniform(0, options_.faults_s * 0.8), [this, i] { random_users_.submit_drawn(i); });
+    queue_.at(1 + queue_.uniform(0, options_.random_faults_until_s * 0.8), [this, i] { random_users_.submit_random_job(i); });
   for (int i = 0; i < options_.pipelines; ++i)
-    queue_.at(1 + queue_.uniform(0, options_.faults_s * 0.8),
-              [this, i] { random_users_.submit_pipeline(i); });
-  if (options_.random_faults) faults_.draw_concurrent_faults(options_.faults_s);
+    queue_.at(1 + queue_.uniform(0, options_.random_faults_until_s * 0.8),
+              [this, i] { random_users_.submit_random_pipeline(i); });
+  if (options_.random_faults) faults_.schedule_random_faults(options_.random_faults_until_s);
   queue_.every(1, [this] {
-    invariants_.check_all(std::max(faults_.over(), last_request_));
+    invariants_.check_all(std::max(faults_.last_fault_end(), last_request_));
     check_served();
   });
   while (!queue_.empty() && now() < options_.end_s && outcome_.violations.empty() &&
@@ -148,7 +148,7 @@
   if (outcome_.served_at == 0 && outcome_.violations.empty()) {
     std::string waiting;
     for (auto& [id, job] : ledger_.jobs)
-      if (!invariants_.satisfied(id, job, state_)) waiting += " " + id.value();
+      if (!invariants_.is_served(id, job, state_)) waiting += " " + id.value();
     invariants_.report_violation("forgotten", "not served by the end:" + waiting);
   }
   outcome_.deleted_machines = cloud_.deletions();
@@ -157,10 +157,10 @@
 }
 
 void World::check_served() {
-  if (now() <= std::max(faults_.over(), last_request_) + kCalmAfter) return;
+  if (now() <= std::max(faults_.last_fault_end(), last_request_) + kRecoveryGracePeriod) return;
   if (ledger_.jobs.size() < static_cast<std::size_t>(options_.jobs)) return;
   for (auto& [id, job] : ledger_.jobs)
-    if (!invariants_.satisfied(id, job, state_)) return;
+    if (!invariants_.is_served(id, job, state_)) return;
   outcome_.served_at = now();
 }
 
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -25,7 +25,7 @@
 //     EXPECT_EQ(world.last_response(job.id, UserRequest::kCancel)->status, 200);
 //   }
 //
-// A schedule ends when, `kCalmAfter` seconds after the last fault and request, all jobs are served: arrays
+// A schedule ends when, `kRecoveryGracePeriod` seconds after the last fault and request, all jobs are served: arrays
 // and cancelled jobs are over with nothing of them running, services run in full. It violates `forgotten` if
 // that isn't so by `Options::end_s`. The invariants are checked all the time (invariants.h): `ran_twice`,
 // `quota`, `wrong_place`, `ran_cancelled`, `forgotten`, `invented`, `not_done`, `went_back`; `starved`: a job
@@ -54,7 +54,7 @@
   explicit World(Options options);
 
   // ---- Script. Times are in seconds since the beginning; the controllers start at 0, 0.05 and 0.1.
-  void inject(const Fault& fault) { faults_.add(fault); }
+  void inject(const Fault& fault) { faults_.schedule(fault); }
   // Each is one request of a user. Without `run_s` each task's run time is drawn from 0.5 to 6 s.
   void submit(double at_s, const protocol::JobSpec& spec, int controller,
               std::optional<double> run_s = std::nullopt);
--- a/tests/sim_concurrent_faults_test.cpp
+++ b/tests/sim_concurrent_faults_test.cpp
@@ -1,5 +1,5 @@
-// Scenarios of concurrent faults: the invariants are checked all the time, and in the end every job is
-// served. docs/fault-scenarios.md lists them.
+// Runs scenarios of concurrent faults in the simulation, which checks the invariants throughout and that
+// every job is served at the end. docs/fault-scenarios.md lists the scenarios.
 #include <gtest/gtest.h>
 
 #include "sim/expectations.h"
@@ -8,36 +8,38 @@
 namespace {
 
 constexpr std::uint64_t kSeeds = 10;
-constexpr double kLongRunSeconds = 45;  // run time of tasks that run when the faults begin
+constexpr double kLongRunSeconds = 45;  // run time of tasks that are to be running when the faults begin
 
 protocol::JobSpec zone_array(const char* id, std::uint32_t tasks, const char* zone) {
   auto spec = array_job(id, tasks);
   spec.zone = Zone(zone);
   return spec;
 }
-// As users do, who repeat what wasn't answered: a scripted request is sent once.
+// Submits the job four times to successive controllers, like a user that repeats unanswered requests. A
+// scripted request is sent only once.
 void submit(World& world, double at_s, const protocol::JobSpec& job, int controller,
             std::optional<double> run_s = {}) {
   for (double delay : {0.0, 1.0, 2.5, 4.0})
     world.submit(at_s + delay, job, controller++ % kControllers, run_s);
 }
-// Controllers crash and restart; 0.4 s is within the lease of their liveness key.
+// Crashes controllers, which restart after `duration_s`. After 0.4 s, the lease of their liveness key has not
+// yet expired.
 void crash(World& world, double at_s, ControllerSelector controllers, double duration_s) {
   world.inject({.at_s = at_s,
                 .kind = FaultKind::kControllerCrash,
                 .duration_s = duration_s,
                 .controllers = controllers});
 }
-void query_burst(World& world, double at_s, const JobId& id) {
+void send_query_burst(World& world, double at_s, const JobId& id) {
   for (double delay : {0.002, 0.01, 0.05, 0.2, 1.0}) world.poll_all(at_s + delay, id);
 }
 
 const FaultScenario kScenarios[] = {
     {"jobs bound to one zone lose machines",
      [](World& world) {
-       auto bound = array_job("run-1", 6);
-       bound.one_zone = true;
-       submit(world, 2, bound, 0, kLongRunSeconds);
+       auto one_zone_job = array_job("run-1", 6);
+       one_zone_job.one_zone = true;
+       submit(world, 2, one_zone_job, 0, kLongRunSeconds);
        submit(world, 2, zone_array("run-2", 6, "east"), 1, kLongRunSeconds);
        world.inject({.at_s = 12,
                      .kind = FaultKind::kMachineCrash,
@@ -54,14 +56,14 @@
          auto job = array_job("run-" + std::to_string(i + 1), 2);
          double at_s = 3 + i;
          submit(world, at_s, job, i % kControllers, 4);
-         query_burst(world, at_s, job.id);
+         send_query_burst(world, at_s, job.id);
          submit(world, at_s + 0.03, job, (i + 1) % kControllers, 4);
          if (i % 2 == 0) world.cancel(at_s + 0.06, job.id, (i + 2) % kControllers);
-         query_burst(world, at_s + 0.06, job.id);
+         send_query_burst(world, at_s + 0.06, job.id);
          submit(world, at_s + 0.5, job, (i + 1) % kControllers, 4);
        }
      }},
-    {"one-task jobs four a second, a quarter cancelled",
+    {"four one-task jobs per second, a quarter of them cancelled",
      [](World& world) {
        for (int i = 0; i < 120; ++i) {
          auto job = array_job("run-" + std::to_string(i + 1), 1, i % 2 ? "blue" : "green");
@@ -71,7 +73,7 @@
        }
        crash(world, 15, ControllerSelector::leader(), 3);
      }},
-    {"the team at its limit, the leader crashes, messages to machines are lost, jobs are cancelled",
+    {"a team at its limit while the leader crashes, messages to machines are lost, and jobs are cancelled",
      [](World& world) {
        submit(world, 2, array_job("run-1", 30), 0, kLongRunSeconds);
        submit(world, 3, array_job("run-2", 30), 1, 5);
@@ -90,10 +92,10 @@
        submit(world, 2, service_job("run-2", 4), 1);
        world.cancel(11.9, JobId("run-1"), 2);
        crash(world, 12, ControllerSelector::all(), kLease + 4);
-       query_burst(world, 27, JobId("run-1"));
-       query_burst(world, 27, JobId("run-2"));
+       send_query_burst(world, 27, JobId("run-1"));
+       send_query_burst(world, 27, JobId("run-2"));
      }},
-    {"the state store refuses the leader, then everybody for longer than a cancellation has",
+    {"the state store refuses the leader, then all controllers for longer than the cancellation limit",
      [](World& world) {
        submit(world, 2, array_job("run-1", 10), 0, 80);
        submit(world, 2, service_job("run-2", 4), 1);
@@ -104,8 +106,8 @@
        for (int controller = 0; controller < kControllers; ++controller)
          world.cancel(13, JobId("run-1"), controller);
        world.inject({.at_s = 14, .kind = FaultKind::kStateOutage, .duration_s = kCancelLimit + 8});
-       query_burst(world, 14, JobId("run-1"));
-       query_burst(world, 30, JobId("run-2"));
+       send_query_burst(world, 14, JobId("run-1"));
+       send_query_burst(world, 30, JobId("run-2"));
      }},
     {"controllers fail over and back, all crash, one restarts within a second",
      [](World& world) {
@@ -117,9 +119,9 @@
        crash(world, 32.2, ControllerSelector::controller(1), 12);
        crash(world, 32.4, ControllerSelector::controller(2), 14);
        world.cancel(33.5, JobId("run-1"), 0);
-       query_burst(world, 33.5, JobId("run-1"));
+       send_query_burst(world, 33.5, JobId("run-1"));
      }},
-    {"jobs are cancelled in the seconds of a failover",
+    {"jobs are cancelled during a failover",
      [](World& world) {
        for (int i = 0; i < 8; ++i)
          submit(world, 2, array_job("run-" + std::to_string(i + 1), 3), i % 3, kLongRunSeconds);
@@ -134,26 +136,27 @@
      }},
 };
 
-TEST(ConcurrentFaults, ViolateNoInvariant) {
+TEST(ConcurrentFaults, InvariantsHoldInEveryScenario) {
   expect_no_violations(kScenarios, {.first = 1, .count = kSeeds}, /*noise=*/false);
 }
 
-// The same with messages that are lost, late or come twice, late copies of heartbeats and lost responses to
-// transactions.
-TEST(ConcurrentFaults, ViolateNoInvariantAmongLostMessages) {
+// The same with messages that are lost, delayed or delivered twice, delayed copies of heartbeats, and lost
+// responses to transactions.
+TEST(ConcurrentFaults, InvariantsHoldInEveryScenarioWithUnreliableMessages) {
   expect_no_violations(kScenarios, {.first = 101, .count = kSeeds}, /*noise=*/true);
 }
 
-TEST(ConcurrentFaults, FindSeededBugs) {
+TEST(ConcurrentFaults, ScenariosDetectSeededBugs) {
   const SeededBugCase cases[] = {
       {SeededBug::kCancellationsIgnored, "ran_cancelled"},
-      {SeededBug::kLimitIgnored, "quota"},
+      {SeededBug::kTeamLimitIgnored, "quota"},
       {SeededBug::kCompletedTooEarly, "not_done"},
       {SeededBug::kReleasesNotReported, "starved"},
       {SeededBug::kZoneDropped, "wrong_place"},
       {SeededBug::kRegistryNotRead, "ran_twice"},
   };
-  // The responses to users are what counts; the tasks of this job end one after the other.
+  // Premature completion is detected from responses to users. Therefore this job, whose tasks end at
+  // different times, is polled frequently.
   Workload workload;
   workload.after = [](World& world) {
     submit(world, 3, array_job("run-9", 20), 1);
--- a/tests/sim_failover_test.cpp
+++ b/tests/sim_failover_test.cpp
@@ -1,5 +1,5 @@
-// Scenarios of failover with other faults beside it: the invariants are checked all the time, and in the end
-// all jobs are served. docs/fault-scenarios.md lists them.
+// Runs scenarios of failovers combined with other faults in the simulation, which checks the invariants
+// throughout and that all jobs are served at the end. docs/fault-scenarios.md lists the scenarios.
 #include <gtest/gtest.h>
 
 #include "sim/expectations.h"
@@ -10,7 +10,7 @@
 constexpr std::uint64_t kSeeds = 12;
 constexpr double kLongRunSeconds = 60;
 
-// Arrays and services of both teams, some of them as large as their team's limit.
+// Submits arrays and services of both teams, one of them as large as its team's limit.
 void submit_jobs(World& world) {
   world.submit(2, array_job("run-1", 30, "blue"), 0, kLongRunSeconds);
   world.submit(2.1, service_job("run-2", 4, "green"), 1);
@@ -18,8 +18,8 @@
   world.submit(2.3, array_job("run-4", 10, "blue"), 0);
 }
 
-// Users repeat a cancellation that is refused: until the other controllers have acknowledged it, or the state
-// store is there again.
+// Repeats the cancellation, like a user whose request is refused while the other controllers have not
+// acknowledged it or the state store is unavailable, and polls the job meanwhile.
 void cancel_and_poll(World& world, double at_s, const char* id, int controller) {
   for (double delay : {0.0, 1.5, 4.0, 15.0, 30.0, 50.0}) world.cancel(at_s + delay, JobId(id), controller);
   world.poll_all(at_s + 0.01, JobId(id));
@@ -28,7 +28,7 @@
 }
 
 const FaultScenario kScenarios[] = {
-    {"the leader is refused as jobs are cancelled, then the state store is out beyond cancel_s",
+    {"the state store refuses the leader as jobs are cancelled, then is unavailable for longer than cancel_s",
      [](World& world) {
        world.inject({.at_s = 15,
                      .kind = FaultKind::kStateRefusesController,
@@ -38,7 +38,7 @@
        cancel_and_poll(world, 15, "run-1", 2);
        world.inject({.at_s = 16, .kind = FaultKind::kStateOutage, .duration_s = kCancelLimit + 5});
      }},
-    {"tasks end far apart across failovers",
+    {"tasks end at widely different times across failovers",
      [](World& world) {
        world.submit(3, array_job("run-5", 2, "green"), 0, 8);
        world.submit(3, array_job("run-6", 3, "green"), 1, 45);
@@ -63,7 +63,7 @@
                      .duration_s = 6,
                      .controllers = ControllerSelector::leader()});
      }},
-    {"the leader is cut off with its workers and users, jobs are cancelled through the new one",
+    {"the leader reaches only its workers and users, jobs are cancelled through the new leader",
      [](World& world) {
        world.inject({.at_s = 15,
                      .kind = FaultKind::kControllerCutFromStateAndPeers,
@@ -72,7 +72,7 @@
        for (int controller = 0; controller < kControllers; ++controller)
          cancel_and_poll(world, 21, "run-1", controller);
      }},
-    {"leaders change ten times, also inside an outage",
+    {"the leader changes ten times, also during a state store outage",
      [](World& world) {
        for (int i = 0; i < 10; ++i)
          world.inject({.at_s = 12.0 + 11 * i,
@@ -112,14 +112,14 @@
      }},
 };
 
-TEST(FailoverScenarios, ViolateNoInvariant) {
+TEST(FailoverScenarios, InvariantsHoldInEveryScenario) {
   expect_no_violations(kScenarios, {.first = 1, .count = kSeeds}, /*noise=*/false, {.before = submit_jobs});
 }
 
-TEST(FailoverScenarios, FindSeededBugs) {
+TEST(FailoverScenarios, DetectSeededBugs) {
   const SeededBugCase cases[] = {
       {SeededBug::kCancellationsIgnored, "ran_cancelled"},
-      {SeededBug::kLimitIgnored, "quota"},
+      {SeededBug::kTeamLimitIgnored, "quota"},
       {SeededBug::kCompletedTooEarly, "not_done"},
       {SeededBug::kReleasesNotReported, "starved"},
   };
--- a/tests/sim_operations_test.cpp
+++ b/tests/sim_operations_test.cpp
@@ -1,6 +1,6 @@
-// What operators reported (docs/fault-scenarios.md): jobs that fail on every machine, faulty machines,
-// many times as many queries, machines that boot slowly, controllers that are paused for a minute.
-// Scripted, and drawn together with all other faults.
+// Tests of faults that operators reported (docs/fault-scenarios.md): jobs that fail on every machine, faulty
+// machines, bursts of queries, machines that boot slowly, and controllers that are paused for a minute. The
+// faults are scripted, or drawn at random together with all other faults.
 #include <gtest/gtest.h>
 
 #include "sim/world.h"
@@ -8,8 +8,8 @@
 namespace beaconsill::sim {
 namespace {
 
-// Three arrays that fail everywhere beside three sound jobs, for 50 s.
-Outcome run_failing_jobs(SeededBug seeded_bug) {
+// Runs three arrays that fail on every machine, for up to 50 s, together with four jobs that do not fail.
+Outcome run_with_failing_jobs(SeededBug seeded_bug) {
   auto options = Options::scripted();
   options.seeded_bug = seeded_bug;
   World world(options);
@@ -19,19 +19,20 @@
   return world.run();
 }
 
-TEST(FailingJobs, CostNoMachineAndAFewStarts) {
-  auto outcome = run_failing_jobs(SeededBug::kNone);
+TEST(FailingJobs, DeleteNoMachineAndCauseFewStarts) {
+  auto outcome = run_with_failing_jobs(SeededBug::kNone);
   EXPECT_TRUE(outcome.violations.empty()) << outcome.first_violation;
   EXPECT_EQ(outcome.deleted_machines, 0);
   EXPECT_GT(outcome.failing_starts, 0);
-  constexpr int kMostStarts = 120, kMostGrants = 30;
-  EXPECT_LE(outcome.failing_starts, kMostStarts);
-  EXPECT_LE(outcome.failing_grants, kMostGrants);
-  // Without reports of the failures the leader grants such a job as a whole again and again.
-  EXPECT_GT(run_failing_jobs(SeededBug::kFailuresNotReported).failing_grants, 2 * outcome.failing_grants);
+  constexpr int kMaxStarts = 120, kMaxGrants = 30;
+  EXPECT_LE(outcome.failing_starts, kMaxStarts);
+  EXPECT_LE(outcome.failing_grants, kMaxGrants);
+  // If the shards do not report the failures, the leader repeatedly grants all tasks of such a job.
+  EXPECT_GT(run_with_failing_jobs(SeededBug::kFailuresNotReported).failing_grants,
+            2 * outcome.failing_grants);
 }
 
-TEST(FailingJobs, AcrossAFailover) {
+TEST(FailingJobs, DeleteNoMachineAcrossAFailover) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     auto options = Options::scripted(seed);
     World world(options);
@@ -40,12 +41,12 @@
     world.inject({30, FaultKind::kControllerPause, 8, ControllerSelector::leader()});
     world.submit(6, array_job("run-1", 20, "blue"), 0);
     auto outcome = world.run();
-    EXPECT_TRUE(outcome.violations.empty()) << seed << ": " << outcome.first_violation;
-    EXPECT_EQ(outcome.deleted_machines, 0) << seed;
+    EXPECT_TRUE(outcome.violations.empty()) << "seed " << seed << ": " << outcome.first_violation;
+    EXPECT_EQ(outcome.deleted_machines, 0) << "seed " << seed;
   }
 }
 
-TEST(FaultyMachine, IsDeletedBesideFailingJobs) {
+TEST(FaultyMachine, IsDeletedWhileFailingJobsRun) {
   auto options = Options::scripted();
   options.jobs = 20;
   World world(options);
@@ -56,7 +57,7 @@
   EXPECT_EQ(outcome.deleted_machines, 1);
 }
 
-TEST(Operations, InvariantsHoldInRandomSchedules) {
+TEST(Operations, InvariantsHoldInRandomSchedulesWithReportedFaults) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Options options;
     options.seed = seed;
--- a/tests/sim_pipelines_test.cpp
+++ b/tests/sim_pipelines_test.cpp
@@ -1,4 +1,5 @@
-// Pipelines in the simulation: chains, fans and diamonds, together with faults of all kinds.
+// Tests of pipelines in the simulation: chains, fans and diamonds of dependent jobs, together with random
+// faults.
 #include <gtest/gtest.h>
 
 #include "sim/expectations.h"
@@ -27,45 +28,47 @@
   }
 }
 
-// A checker that can't fail shows nothing.
-TEST_F(Pipelines, TheCheckersFindSeededBugs) {
+// Checks that the invariant checker is able to detect violations.
+TEST_F(Pipelines, InvariantCheckerDetectsSeededBugs) {
   const SeededBugCase cases[] = {
       {SeededBug::kDependenciesDropped, "too_early", "before"},
       {SeededBug::kDependenciesIgnored, "too_early", "before"},
-      {SeededBug::kDependenciesRejected, "forgotten", "a job that it awaits"},
+      {SeededBug::kDependenciesRejected, "forgotten", "one of its dependencies"},
   };
   expect_bugs_found(cases, 20, [](std::uint64_t seed) { return random_pipelines(seed); });
 }
 
-// The head of a chain is cancelled while its last job can't start anyway, since another has all of the team's
-// limit. Nobody cancels the last one itself: it has to be called cancelled in time all the same.
-Outcome cancelled_head(SeededBug seeded_bug, std::optional<protocol::JobState>* last = nullptr) {
+// Cancels the first job of a chain while another job uses the team's whole limit, so that the last job of the
+// chain cannot start in any case. The last job is not cancelled itself, but must be reported as cancelled
+// within the cancellation limit. Stores the last reported state of that job in `last_state`.
+Outcome cancel_first_job_of_chain(SeededBug seeded_bug,
+                                  std::optional<protocol::JobState>* last_state = nullptr) {
   auto options = Options::scripted();
   options.seeded_bug = seeded_bug;
   World world(options);
-  auto head = array_job("run-1", 2);
-  auto middle = array_job("run-2", 1);
-  auto end = array_job("run-3", 1);
-  middle.depends_on = {head.id};
-  end.depends_on = {middle.id};
-  world.submit(2, head, 0, 200);
+  auto first_job = array_job("run-1", 2);
+  auto middle_job = array_job("run-2", 1);
+  auto last_job = array_job("run-3", 1);
+  middle_job.depends_on = {first_job.id};
+  last_job.depends_on = {middle_job.id};
+  world.submit(2, first_job, 0, 200);
   world.submit(4, array_job("run-9", static_cast<std::uint32_t>(kTeamCpus)), 0, 100);
-  world.submit(10, middle, 1);
-  world.submit(11, end, 2);
-  for (double delay : {12.0, 13.5}) world.cancel(delay, head.id, 0);
-  for (double at_s = 14; at_s < 60; at_s += 2) world.poll_all(at_s, end.id);
+  world.submit(10, middle_job, 1);
+  world.submit(11, last_job, 2);
+  for (double delay : {12.0, 13.5}) world.cancel(delay, first_job.id, 0);
+  for (double at_s = 14; at_s < 60; at_s += 2) world.poll_all(at_s, last_job.id);
   auto outcome = world.run();
-  if (auto response = world.last_response(end.id, UserRequest::kStatus); response && last)
-    *last = response->state;
+  if (auto response = world.last_response(last_job.id, UserRequest::kStatus); response && last_state)
+    *last_state = response->state;
   return outcome;
 }
 
-TEST_F(Pipelines, ACancellationReachesTheEndOfTheChainInTime) {
-  std::optional<protocol::JobState> last;
-  auto outcome = cancelled_head(SeededBug::kNone, &last);
+TEST_F(Pipelines, CancellingTheFirstJobOfAChainCancelsTheLastInTime) {
+  std::optional<protocol::JobState> last_state;
+  auto outcome = cancel_first_job_of_chain(SeededBug::kNone, &last_state);
   EXPECT_TRUE(outcome.violations.empty()) << outcome.first_violation;
-  EXPECT_EQ(last, protocol::JobState::kCancelled);
-  outcome = cancelled_head(SeededBug::kDependenciesDropped);
+  EXPECT_EQ(last_state, protocol::JobState::kCancelled);
+  outcome = cancel_first_job_of_chain(SeededBug::kDependenciesDropped);
   EXPECT_TRUE(outcome.violations.contains("orphaned")) << outcome.first_violation;
 }
 
--- a/tests/sim_script_test.cpp
+++ b/tests/sim_script_test.cpp
@@ -1,4 +1,5 @@
-// The scripted form of the simulation: what a test sets comes about, at its time, and nothing else does.
+// Tests of scripted simulations: scripted requests and faults take effect at their times, and no other faults
+// occur.
 #include <gtest/gtest.h>
 
 #include "base/log.h"
@@ -12,12 +13,12 @@
   void SetUp() override { spdlog::set_level(spdlog::level::off); }
 };
 
-TEST_F(Script, WithoutFaultsAJobIsAcceptedRunsAndCompletes) {
+TEST_F(Script, JobIsAcceptedAndCompletesWithoutFaults) {
   World world(Options::scripted());
   auto job = array_job("run-1", 8);
   world.submit(2, job, 1);
   world.poll_all(30, job.id);
-  // Every shard is at its home soon, and stays there.
+  // Each controller soon leads its own shard, and the shards' terms do not change afterwards.
   auto terms = [&] {
     std::vector<std::uint64_t> out;
     for (int controller = 0; controller < kControllers; ++controller) {
@@ -40,26 +41,26 @@
   EXPECT_EQ(done_responses, kControllers);
 }
 
-TEST_F(Script, ACancelledJobStopsAndARepeatedSubmissionReportsIt) {
+TEST_F(Script, CancelledJobStopsAndRepeatedSubmissionReportsTheCancellation) {
   World world(Options::scripted());
   auto job = array_job("run-1", 8);
   world.submit(2, job, 1, 60);
-  // Until the other controllers have acknowledged it the user is refused, and repeats the request.
+  // The cancellation is refused until the other controllers have acknowledged it, so the user repeats it.
   world.cancel(11, job.id, 2);
   world.cancel(12.1, job.id, 2);
   world.submit(12.2, job, 0);
-  std::size_t ran = 0;
-  world.at(10.9, [&] { ran = world.running_on(job.id).size(); });
+  std::size_t running_before = 0;
+  world.at(10.9, [&] { running_before = world.running_on(job.id).size(); });
   auto outcome = world.run();
   EXPECT_TRUE(outcome.violations.empty()) << outcome.first_violation;
-  EXPECT_GT(ran, 0u);
+  EXPECT_GT(running_before, 0u);
   EXPECT_EQ(world.last_response(job.id, UserRequest::kCancel)->state, protocol::JobState::kCancelled);
   EXPECT_EQ(world.last_response(job.id, UserRequest::kSubmit)->status, 200);
   EXPECT_EQ(world.last_response(job.id, UserRequest::kSubmit)->state, protocol::JobState::kCancelled);
   EXPECT_TRUE(world.running_on(job.id).empty());
 }
 
-TEST_F(Script, FaultsBeginAtTheirTime) {
+TEST_F(Script, FaultsBeginAtTheirScheduledTimes) {
   World world(Options::scripted());
   auto job = service_job("run-1", 4);
   world.submit(2, job, 1);
@@ -86,12 +87,12 @@
   EXPECT_FALSE(world.running_on(job.id).empty());
 }
 
-TEST_F(Script, AProbeThatReportsAViolationFails) {
+TEST_F(Script, ProbeResultIsReportedAsAViolation) {
   World world(Options::scripted());
   world.submit(2, array_job("run-1", 8), 1, 60);
   world.probe("too_many", [](World& probed) -> std::optional<std::string> {
     if (probed.running_on(JobId("run-1")).empty()) return std::nullopt;
-    return "it runs";
+    return "run-1 is running";
   });
   auto outcome = world.run();
   EXPECT_EQ(outcome.violations["too_many"], 1) << outcome.first_violation;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -1,7 +1,9 @@
-// Seeded schedules of losses, delays, repetitions, crashes, pauses, partitions and late messages. `--seeds N`
-// runs more of them, `--first S` others, `--pipelines N` adds jobs that depend on others, `--operations` the
-// faults that operators reported; a seed that fails runs the same way again. `--digest` prints digests of the
-// controllers' decisions instead: equal lines of two builds show that they decide the same.
+// Runs random schedules of the simulation with lost, delayed and repeated messages, crashes, pauses and
+// partitions.
+// `--seeds N` sets the number of schedules, `--first S` the first seed, `--pipelines N` adds jobs that depend
+// on others, and `--operations` adds the faults that operators reported. Equal seeds give equal schedules, so
+// that a failure can be reproduced. `--digest` prints digests of the controllers' decisions instead of
+// running the tests: two builds that print equal lines make the same decisions.
 #include <gtest/gtest.h>
 
 #include <CLI/CLI.hpp>
@@ -32,12 +34,13 @@
     shard_acquisitions += outcome.shard_acquisitions;
     answered += outcome.answered;
   }
-  EXPECT_GT(shard_acquisitions, 5 * seeds);  // the schedules do what they are for
+  EXPECT_GT(shard_acquisitions, 5 * seeds);  // the schedules cause failovers
   EXPECT_GT(answered, 100 * seeds);
 }
 
-// Seeds that violated an invariant once; the fixes have unit tests of their own, named here.
-TEST(Simulation, SeedsThatViolatedAnInvariantOnce) {
+// Regression test with seeds that violated an invariant before a bug was fixed. The unit test of each fix is
+// named here.
+TEST(Simulation, InvariantsHoldForPreviouslyViolatingSeeds) {
   const std::uint64_t violating_seeds[] = {
       24,   107, 646, 763,  // quota: Quota.AnIndeterminateGrantIsSupersededByTheNext
       1366,                 // quota: Quota.BeyondTheLimitReleasedTasksAreGrantedAnewOnlyInPart
@@ -50,38 +53,39 @@
   }
 }
 
-TEST(Simulation, SeveralHundredMachines) {
+TEST(Simulation, InvariantsHoldWithSeveralHundredMachines) {
   Options options;
   options.seed = first;
   options.machines = 300;
   options.jobs = 90;
-  options.faults_s = 40;
+  options.random_faults_until_s = 40;
   auto outcome = World(options).run();
   EXPECT_TRUE(outcome.violations.empty()) << outcome.first_violation;
 }
 
-// A checker that can't fail shows nothing.
-TEST(Simulation, TheCheckersFindSeededBugs) {
+// Checks that the invariant checker is able to detect violations.
+TEST(Simulation, InvariantCheckerDetectsSeededBugs) {
   const SeededBugCase cases[] = {
       {SeededBug::kRegistryNotRead, "ran_twice", ""},
       {SeededBug::kCancellationsIgnored, "ran_cancelled", ""},
       {SeededBug::kNoFencing, "ran_twice", ""},
       {SeededBug::kReleasesNotReported, "starved", ""},
-      {SeededBug::kLimitIgnored, "quota", ""},
+      {SeededBug::kTeamLimitIgnored, "quota", ""},
       {SeededBug::kCompletedTooEarly, "not_done", ""},
       {SeededBug::kStaleHeartbeatsAccepted, "ran_twice", ""},
       {SeededBug::kZoneDropped, "wrong_place", ""},
-      {SeededBug::kZoneConstraintsDropped, "wrong_place", "in another zone"},
-      {SeededBug::kZoneConstraintsDropped, "wrong_place", "too many"},
-      {SeededBug::kNoReadBarrierForKnownJobs, "went_back", "not over any more"},
+      {SeededBug::kZoneConstraintsDropped, "wrong_place", "other tasks are in another zone"},
+      {SeededBug::kZoneConstraintsDropped, "wrong_place", "too many tasks of the job"},
+      {SeededBug::kNoReadBarrierForKnownJobs, "went_back", "no longer reported as completed or cancelled"},
       {SeededBug::kNoReadBarrier, "forgotten", "status 404"},
       {SeededBug::kOutageReadsAsEmpty, "forgotten", "status 404"},
-      {SeededBug::kRepeatedSubmissionRejected, "forgotten", "to a repeat"},
+      {SeededBug::kRepeatedSubmissionRejected, "forgotten", "to a repeated submission"},
       {SeededBug::kUnknownJobsReported, "invented", ""},
-      {SeededBug::kCompletedRecordedAsCancelled, "went_back", "cancelled by nobody"},
+      {SeededBug::kCompletedRecordedAsCancelled, "went_back",
+       "reported as cancelled without a cancellation request"},
       {SeededBug::kNoSizeLimit, "accepted_bad", ""},
-      {SeededBug::kCallbackLost, "forgotten", "no question about"},
-      {SeededBug::kJobSkipped, "starved", "run-2 waits"},
+      {SeededBug::kCallbackLost, "forgotten", "no request about"},
+      {SeededBug::kJobSkipped, "starved", "run-2 waits although it could run"},
   };
   expect_bugs_found(cases, 40, [](std::uint64_t seed) {
     Options options;
@@ -111,7 +115,8 @@
   return options;
 }
 
-// Runs a schedule and prints its digest. False if an invariant was violated: the schedule ended there.
+// Runs a schedule and prints its digest. Returns false if an invariant was violated, which ends the schedule
+// early.
 bool print_digest(const char* kind, const Options& options) {
   const auto outcome = World(options).run();
   std::printf("seed %" PRIu64 " digest 0x%016" PRIx64 " %s\n", options.seed, outcome.digest, kind);
@@ -120,7 +125,7 @@
   return false;
 }
 
-// For each seed, a line for every kind of schedule.
+// Prints one line for each seed and kind of schedule. Returns false if an invariant was violated.
 bool print_digests() {
   bool invariants_held = true;
   for (int i = 0; i < seeds; ++i) {
@@ -135,7 +140,7 @@
 }  // namespace
 }  // namespace beaconsill::sim
 
-// An exception ends the program with an error, as it should.
+// An uncaught exception is meant to terminate the program with an error.
 int main(int argc, char** argv) {  // NOLINT(bugprone-exception-escape)
   testing::InitGoogleTest(&argc, argv);
   CLI::App app("Seeded schedules of faults");
