--- a/tests/sim/invariants.h
+++ b/tests/sim/invariants.h
@@ -32,10 +32,12 @@
   // submitted, or only with an invalid request.
   void on_response(const UserResponse& response);
   // Checks the time limits of all jobs; to be called about once per simulated second. `last_fault_end` is the
-  // time in seconds at which the last fault or scripted request ended.
+  // simulated time in seconds of the end of the last fault or of the last scripted request, whichever is
+  // later.
   void check_all(double last_fault_end);
-  // Returns whether the job is in the state that its user requested: a service runs all its tasks; any other
-  // or cancelled job has a terminal record and no running task.
+  // Returns whether the job is in the state that its user requested: it was accepted, and either has a
+  // terminal record and no running task, or is a service without a cancellation request that runs all its
+  // tasks.
   bool is_served(const JobId& id, const Job& job, const StateStore& state) const;
 
  private:
--- a/tests/sim/options.h
+++ b/tests/sim/options.h
@@ -18,25 +18,25 @@
 // must detect.
 enum class SeededBug {
   kNone,
-  kRegistryNotRead,                 // a new shard leader does not read the registered machines first
-  kCancellationsIgnored,            // shard leaders are not notified of cancellations
+  kRegistryNotRead,       // a new shard leader ignores registered machines that it does not know yet
+  kCancellationsIgnored,  // shard leaders ignore cancellations
   kCancellationAcknowledgedAtOnce,  // cancellations are confirmed to users before the other controllers have
                                     // acknowledged them
-  kNoFencing,                       // leaders still write after they have been replaced
+  kNoFencing,                       // leaders write without checking that they have not been replaced
   kReleasesNotReported,             // a shard does not report the tasks that it releases
   kTeamLimitIgnored,                // the leader ignores the teams' CPU limits
-  kCompletedTooEarly,               // a job is recorded as done when half of its tasks are done
+  kCompletedTooEarly,               // a job is recorded as done when more than half of its tasks are
   kStaleHeartbeatsAccepted,         // delayed copies of heartbeats are accepted as the newest
   kZoneDropped,                     // the zone constraint of a submission is lost
   kZoneConstraintsDropped,          // the one-zone and spread constraints of a submission are lost
   kNoReadBarrier,                   // responses to users do not wait for a read from the state store
-  kNoReadBarrierForKnownJobs,       // the same, but only for jobs in the controller's own view
-  kOutageReadsAsEmpty,              // a failed read is treated as if the key did not exist
-  kRepeatedSubmissionRejected,      // a repeated submission is validated as if it were new
+  kNoReadBarrierForKnownJobs,       // the same, but only for queries of jobs in the controller's own view
+  kOutageReadsAsEmpty,              // a failed read is treated as a read that found nothing
+  kRepeatedSubmissionRejected,      // a repeated submission is rejected with HTTP status 422
   kUnknownJobsReported,             // a job that was never submitted is reported as queued
   kCompletedRecordedAsCancelled,    // a completed job is recorded as cancelled
   kNoSizeLimit,                     // jobs larger than their team's limit are accepted
-  kCallbackLost,                    // after a failed read, later requests for it are never answered
+  kCallbackLost,                    // after one failed read, users' requests that need a read get no response
   kJobSkipped,                      // the leader never schedules one of the jobs
   kDependenciesDropped,             // the dependencies of a submission are lost
   kDependenciesIgnored,             // the leader grants jobs whose dependencies are not done
@@ -77,13 +77,13 @@
   std::map<std::string, int> violations;  // number of violations by invariant
   std::string first_violation;            // invariant, simulated time and description
   int started = 0;                        // task starts
-  int starts_after_cancellation =
-      0;                   // task starts after a confirmed cancellation; not a violation within kCancelLimit
-  int failing_starts = 0;  // task starts of jobs that fail on every machine
-  int failing_grants = 0;  // writes of grants for such jobs
+  // Task starts after a confirmed cancellation; only a violation later than kCancelLimit after it.
+  int starts_after_cancellation = 0;
+  int failing_starts = 0;    // task starts of jobs that fail on every machine
+  int failing_grants = 0;    // writes of grants for such jobs
   int deleted_machines = 0;  // deleted at the request of controllers
   int shard_acquisitions = 0;
-  int answered = 0;          // responses and time-outs that users received
+  int answered = 0;          // requests of users that got a response or timed out
   std::uint64_t digest = 0;  // of the controllers' decisions; see decision_digest.h
   double served_at = 0;      // simulated time at which all jobs were served after the faults; 0: never
   std::vector<std::string> schedule;  // the faults in the order in which they began
--- a/tests/sim/random_users.h
+++ b/tests/sim/random_users.h
@@ -17,8 +17,8 @@
   RandomUsers(Environment& env, Ledger& ledger, Users& users)
       : env_(env), ledger_(ledger), users_(users), jobs_(env.queue, ledger) {}
 
-  // Submits a random job repeatedly until it is accepted, polls it from then on, and cancels some of the
-  // jobs.
+  // Submits a random job, repeating the request until it is accepted, polls it from then on, and cancels some
+  // of the jobs.
   void submit_random_job(int index);
   // Submits the jobs of a random pipeline in order, each as soon as the previous one is accepted. In some
   // pipelines, the last job is submitted only after its dependencies have ended. Cancels one job of some
--- a/tests/sim_failover_test.cpp
+++ b/tests/sim_failover_test.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t kSeeds = 12;
 constexpr double kLongRunSeconds = 60;
 
-// Submits arrays and services of both teams, one of them as large as its team's limit.
+// Submits arrays of both teams and a service. One of the arrays is as large as its team's limit.
 void submit_jobs(World& world) {
   world.submit(2, array_job("run-1", 30, "blue"), 0, kLongRunSeconds);
   world.submit(2.1, service_job("run-2", 4, "green"), 1);
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -1,9 +1,8 @@
 // Runs random schedules of the simulation with lost, delayed and repeated messages, crashes, pauses and
-// partitions.
-// `--seeds N` sets the number of schedules, `--first S` the first seed, `--pipelines N` adds jobs that depend
-// on others, and `--operations` adds the faults that operators reported. Equal seeds give equal schedules, so
-// that a failure can be reproduced. `--digest` prints digests of the controllers' decisions instead of
-// running the tests: two builds that print equal lines make the same decisions.
+// partitions. `--seeds N` sets the number of schedules, `--first S` the first seed, `--pipelines N` adds jobs
+// that depend on others, and `--operations` adds the faults that operators reported. Equal seeds give equal
+// schedules, so that a failure can be reproduced. `--digest` prints digests of the controllers' decisions
+// instead of running the tests: two builds that print equal lines make the same decisions.
 #include <gtest/gtest.h>
 
 #include <CLI/CLI.hpp>
