--- a/tests/sim/concurrent_faults.cpp
+++ b/tests/sim/concurrent_faults.cpp
@@ -29,10 +29,10 @@
   fault.duration_s = queue.uniform(4, 25);
   fault.share = queue.uniform(0.1, 0.6);
   fault.deliver_later = queue.chance(0.5);
-  fault.controllers = queue.chance(0.5) ? ControllerSelector::leader() : ControllerSelector::drawn();
+  fault.controllers = queue.chance(0.5) ? ControllerSelector::leader() : ControllerSelector::random();
   fault.machines = queue.chance(0.3)
                        ? MachineSelector::in_zone(zones()[static_cast<std::size_t>(queue.draw_below(3))])
-                       : MachineSelector::drawn(1 + queue.draw_below(4));
+                       : MachineSelector::random(1 + queue.draw_below(4));
   fault.zone = zones()[static_cast<std::size_t>(queue.draw_below(3))];
   fault.count = 1 + queue.draw_below(6);
   adjust_to_kind(fault);
--- a/tests/sim/fault.h
+++ b/tests/sim/fault.h
@@ -33,8 +33,8 @@
   // Faults of zones and messages.
   kZoneCut,           // no messages pass between `zone` and the rest; supports deliver_later
   kLostPeerMessages,  // `share` of the messages between controllers is lost
-  kLatePeerMessages,  // `share` of the messages between controllers is delayed by up to 40 s and delivered
-                      // twice
+  kLatePeerMessages,  // `share` of the messages between controllers is delayed by up to 40 s, and `share` of
+                      // them is delivered a second time, up to 40 s later
   kLateHeartbeats,    // for `share` of the heartbeats, a copy arrives up to 25 s later at a random controller
   kHeartbeatsForNextLeader,  // the same, but the copies are delivered to every controller once a new
                              // leader is elected
@@ -68,11 +68,11 @@
 
 // Selects the controllers that a fault affects. Evaluated when the fault begins.
 struct ControllerSelector {
-  enum class Kind { kDrawn, kNumber, kLeader, kFollower, kAll };
-  Kind kind = Kind::kDrawn;
+  enum class Kind { kRandom, kNumber, kLeader, kFollower, kAll };
+  Kind kind = Kind::kRandom;
   int number = 0;
 
-  static ControllerSelector drawn() { return {}; }
+  static ControllerSelector random() { return {}; }
   static ControllerSelector controller(int number) { return {Kind::kNumber, number}; }
   static ControllerSelector leader() { return {Kind::kLeader, 0}; }
   // Selects a random controller that is not the leader.
@@ -91,7 +91,7 @@
   static MachineSelector machine(MachineName name) { return {std::move(name), {}, {}, 0}; }
   static MachineSelector in_zone(Zone zone, int count = 0) { return {{}, std::move(zone), {}, count}; }
   static MachineSelector of_job(JobId job, int count = 0) { return {{}, {}, std::move(job), count}; }
-  static MachineSelector drawn(int count = 1) { return {{}, {}, {}, count}; }
+  static MachineSelector random(int count = 1) { return {{}, {}, {}, count}; }
 };
 
 struct Fault {
--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -27,16 +27,16 @@
 }
 
 std::vector<int> FaultInjector::select(const ControllerSelector& selector) {
-  int drawn = env_.queue.draw_below(kControllers);
+  int random_controller = env_.queue.draw_below(kControllers);
   switch (selector.kind) {
-    case ControllerSelector::Kind::kDrawn:
-      return {drawn};
+    case ControllerSelector::Kind::kRandom:
+      return {random_controller};
     case ControllerSelector::Kind::kNumber:
       return {selector.number};
     case ControllerSelector::Kind::kLeader:
-      return {leader().value_or(drawn)};
+      return {leader().value_or(random_controller)};
     case ControllerSelector::Kind::kFollower:
-      return {leader() == drawn ? (drawn + 1) % kControllers : drawn};
+      return {leader() == random_controller ? (random_controller + 1) % kControllers : random_controller};
     case ControllerSelector::Kind::kAll:
       break;
   }
--- a/tests/sim_faults_test.cpp
+++ b/tests/sim_faults_test.cpp
@@ -32,8 +32,8 @@
 };
 
 TEST_F(FaultInjection, RandomSchedulesIncludeEveryFaultKind) {
-  std::set<std::string> drawn;
-  for (std::uint64_t seed = 1; seed <= 40 && drawn.size() < kFaultKinds; ++seed) {
+  std::set<std::string> seen_kinds;
+  for (std::uint64_t seed = 1; seed <= 40 && seen_kinds.size() < kFaultKinds; ++seed) {
     Options options;
     options.seed = seed;
     options.operations = true;
@@ -41,9 +41,9 @@
       for (int kind = 0; kind < kFaultKinds; ++kind)
         if (line.find(std::string(" ") + to_string(static_cast<FaultKind>(kind)) + " for") !=
             std::string::npos)
-          drawn.insert(to_string(static_cast<FaultKind>(kind)));
+          seen_kinds.insert(to_string(static_cast<FaultKind>(kind)));
   }
-  EXPECT_EQ(drawn.size(), static_cast<std::size_t>(kFaultKinds));
+  EXPECT_EQ(seen_kinds.size(), static_cast<std::size_t>(kFaultKinds));
 }
 
 TEST_F(FaultInjection, LateWritesAreDelayedAndWritesWithLostResponsesAreNot) {
@@ -301,7 +301,7 @@
 TEST_F(FaultInjection, FastBootReplacesMachinesWithinTwoSeconds) {
   World world(Options::scripted());
   world.inject({.at_s = 10, .kind = FaultKind::kFastBoot, .duration_s = 20});
-  world.inject({.at_s = 12, .kind = FaultKind::kMachineCrash, .machines = MachineSelector::drawn(3)});
+  world.inject({.at_s = 12, .kind = FaultKind::kMachineCrash, .machines = MachineSelector::random(3)});
   auto count_machines = [&] {
     return std::count_if(world.ledger().machines.begin(), world.ledger().machines.end(),
                          [](const auto& entry) { return !entry.second.terminated; });
