--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -25,12 +25,12 @@
 //     EXPECT_EQ(world.last_response(job.id, UserRequest::kCancel)->status, 200);
 //   }
 //
-// A schedule ends when all jobs are served, at the earliest `kCalmAfter` seconds after the last fault and the
-// last scripted action: array jobs and cancelled jobs have ended and none of their tasks runs, and all tasks
-// of service jobs run. It violates `forgotten` if that is not the case by `Options::end_s`. The invariants
-// are checked throughout the schedule (invariants.h): `ran_twice`, `quota`, `wrong_place`, `ran_cancelled`,
-// `forgotten`, `invented`, `not_done`, `went_back`; `starved`: a job waits for 90 s although it could run;
-// `accepted_bad`: a job was accepted that cannot run or lacks a field.
+// A schedule ends when all jobs are served, at the earliest `kRecoveryGracePeriod` seconds after the last
+// fault and the last scripted action: array jobs and cancelled jobs have ended and none of their tasks runs,
+// and all tasks of service jobs run. It violates `forgotten` if that is not the case by `Options::end_s`. The
+// invariants are checked throughout the schedule (invariants.h): `ran_twice`, `quota`, `wrong_place`,
+// `ran_cancelled`, `forgotten`, `invented`, `not_done`, `went_back`; `starved`: a job waits for 90 s although
+// it could run; `accepted_bad`: a job was accepted that cannot run or lacks a field.
 //
 // Controllers run the production code of `shard`, `scheduler`, `state_store::StateView` and `api`. The parts
 // of `controller` around them are reimplemented here without sockets (controller*.cpp, heartbeats.h,
@@ -56,7 +56,7 @@
 
   // ---- Scripted actions. Times are in seconds since the beginning. The controllers start at 0, 0.05 and
   // 0.1 s.
-  void inject(const Fault& fault) { faults_.add(fault); }
+  void inject(const Fault& fault) { faults_.schedule(fault); }
   // Each of these schedules one user request. Without `run_s`, each task's run time is drawn from 0.5 to 6 s.
   void submit(double at_s, const protocol::JobSpec& spec, int controller,
               std::optional<double> run_s = std::nullopt);
