--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -36,7 +36,7 @@
 AdmissionResult admit(const protocol::JobSpec& spec, const config::Settings& settings,
                       const protocol::Catalogue* catalogue) {
   using Kind = AdmissionResult::Kind;
-  const auto* team = settings.team(spec.team);
+  const auto* team = settings.find_team(spec.team);
   if (!team) return {Kind::kNever, "unknown team"};
   // Tasks that run at the same time, at least.
   const double tasks = spec.kind == JobKind::kArray ? 1 : spec.tasks;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,5 @@
-// The program: reads settings and policy, and runs a controller until SIGINT or SIGTERM.
+// Entry point of the program: parses the command line, loads the settings and the policy, and runs a
+// controller until SIGINT or SIGTERM.
 #include <CLI/CLI.hpp>
 #include <asio/signal_set.hpp>
 #include <cstdio>
@@ -14,10 +15,10 @@
 
 using namespace beaconsill;
 
-// Exit statuses.
+// Exit statuses of the process.
 constexpr int kSuccess = 0;
 constexpr int kFailure = 1;
-constexpr int kBadUsage = 2;  // command line, settings or policy
+constexpr int kBadUsage = 2;  // invalid command line, settings or policy
 
 int run_controller(const std::string& settings_path, const std::string& policy_path) {
   auto settings = config::load_settings(settings_path);
@@ -37,13 +38,14 @@
 int check_configuration(const std::string& settings_path, const std::string& policy_path) {
   auto settings = config::load_settings(settings_path);
   config::load_policy(policy_path, settings);
-  std::cout << settings_path << ": good\n";
-  if (!policy_path.empty()) std::cout << policy_path << ": good\n";
-  std::cout << "\npolicy settings (type, default, meaning):\n";
+  std::cout << settings_path << ": valid\n";
+  if (!policy_path.empty()) std::cout << policy_path << ": valid\n";
+  std::cout << "\npolicy variables (type, default, meaning):\n";
   for (const auto& variable : config::default_variables())
     std::cout << "  " << variable.name << " (" << variable.type << ") = " << variable.expression << "   # "
               << variable.meaning << '\n';
-  std::cout << "\nnames for expressions, with their values here:\n" << config::describe_names(settings);
+  std::cout << "\nnames that expressions can use, with their values for these settings:\n"
+            << config::describe_names(settings);
   return kSuccess;
 }
 
@@ -51,19 +53,21 @@
   CLI::App app{"beaconsill: a cluster scheduler"};
   app.set_version_flag("--version", std::string("beaconsill ") + BEACONSILL_VERSION);
   std::string settings_path, policy_path;
-  app.add_option("--config", settings_path, "the settings file (TOML)");
-  app.add_option("--policy", policy_path, "the operators' policy file (name = expression)");
-  auto* check_command =
-      app.add_subcommand("check", "check settings and policy, and list what the policy can say");
-  check_command->add_option("--config", settings_path, "the settings file (TOML)")->required();
-  check_command->add_option("--policy", policy_path, "the operators' policy file");
-  app.footer("LOG_LEVEL sets the log on standard error: error, info (default) or debug.");
+  app.add_option("--config", settings_path, "path of the settings file (TOML)");
+  app.add_option("--policy", policy_path, "path of the policy file (lines of the form: name = expression)");
+  auto* check_command = app.add_subcommand(
+      "check", "validate the settings and the policy, and list the policy variables and expression names");
+  check_command->add_option("--config", settings_path, "path of the settings file (TOML)")->required();
+  check_command->add_option("--policy", policy_path, "path of the policy file");
+  app.footer(
+      "The environment variable LOG_LEVEL sets the level of the log on standard error: error, info (default) "
+      "or debug.");
   CLI11_PARSE(app, argc, argv);
   init_logging();
   try {
     if (check_command->parsed()) return check_configuration(settings_path, policy_path);
     if (settings_path.empty()) {
-      std::cerr << "--config is required; see --help\n";
+      std::cerr << "the option --config is required; see --help\n";
       return kBadUsage;
     }
     return run_controller(settings_path, policy_path);
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,4 +1,4 @@
-// Times, durations and the clocks that tell them.
+// Types for points in time and durations, and the interface to the clocks.
 #pragma once
 
 #include <chrono>
@@ -8,10 +8,10 @@
 
 namespace beaconsill {
 
-// Of this process's monotonic clock: means nothing to any other process.
+// A point in time of this process's monotonic clock. It can't be compared with the clock of another process.
 using Instant = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
-// Wall time in milliseconds since 1970.
+// Wall-clock time in milliseconds since the Unix epoch (1970-01-01 UTC).
 using WallMs = Strong<struct WallTag, std::int64_t>;
 
 constexpr Duration from_seconds(double seconds) {
@@ -21,7 +21,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// The two clocks, behind an interface so that tests can move time by hand.
+// Access to the monotonic clock and the wall clock. It is an interface so that tests can control the time.
 class Clock {
  public:
   virtual ~Clock() = default;
@@ -29,13 +29,13 @@
   virtual WallMs wall() const = 0;
 };
 
-// The clocks of the operating system.
+// Reads the clocks of the operating system.
 class SystemClock : public Clock {
  public:
   Instant now() const override { return std::chrono::steady_clock::now(); }
   WallMs wall() const override {
-    auto since_1970 = std::chrono::system_clock::now().time_since_epoch();
-    return WallMs(std::chrono::duration_cast<std::chrono::milliseconds>(since_1970).count());
+    auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+    return WallMs(std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count());
   }
 };
 
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,4 +1,4 @@
-// Names, numbers and versions that identify things.
+// Strongly typed identifiers: names, sequence numbers and versions.
 #pragma once
 
 #include <compare>
@@ -11,7 +11,7 @@
 
 namespace beaconsill {
 
-// ---- Names, given by users, settings or the cloud
+// ---- Names, chosen by users, by the settings or by the cloud provider
 using JobId = Strong<struct JobIdTag, std::string>;
 using ControllerName = Strong<struct ControllerNameTag, std::string>;
 using MachineName = Strong<struct MachineNameTag, std::string>;
@@ -21,24 +21,24 @@
 using MachineType = Strong<struct MachineTypeTag, std::string>;
 
 // ---- Numbers
-// A fixed part of the machines, with one shard leader at a time.
+// Identifies a shard: a fixed part of the machines that has at most one leader at a time.
 using ShardId = Strong<struct ShardTag, std::uint32_t>;
-// Of a task's starts, ascending.
+// Numbers the starts of a task, in ascending order.
 using Attempt = Strong<struct AttemptTag, std::uint64_t>;
-// Of a process: a restarted one has another.
+// Identifies one run of a process: a restarted process has a different incarnation.
 using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
-// Of the messages from one sender.
+// Numbers the messages of one sender.
 using Sequence = Strong<struct SequenceTag, std::uint64_t>;
-// Of a role, raised whenever a process acquires it; see FencingToken.
+// The term of a role, which increases whenever a process acquires the role; see FencingToken.
 using Term = Strong<struct TermTag, std::uint64_t>;
-// Of the state store, raised by each write.
+// The revision of the state store, which increases with each write.
 using Revision = Strong<struct RevisionTag, std::uint64_t>;
-// Of a job's grants: each chunk of tasks is granted under one of its own.
+// Identifies one of a job's grants: each chunk of tasks is granted under a generation of its own.
 using Generation = Strong<struct GenerationTag, std::uint64_t>;
-// Of a lease that the state store holds.
+// Identifies a lease in the state store.
 using LeaseId = Strong<struct LeaseTag, std::uint64_t>;
 
-// One task of a job, by its number in the job.
+// Identifies a task by its job and its index within the job.
 struct TaskId {
   JobId job;
   std::uint32_t index = 0;
--- a/src/base/job_kind.h
+++ b/src/base/job_kind.h
@@ -1,4 +1,4 @@
-// How a job's tasks belong together, and how important the job is.
+// The kinds and priorities of jobs.
 #pragma once
 
 #include <cstddef>
@@ -6,13 +6,13 @@
 namespace beaconsill {
 
 enum class JobKind {
-  kArray,   // its tasks run independently of each other
-  kGang,    // its tasks run all at the same time, or none
-  kService  // its tasks are replicas that run until the job is cancelled
+  kArray,   // the tasks run independently of each other
+  kGang,    // either all tasks run at the same time, or none
+  kService  // the tasks are replicas that run until the job is cancelled
 };
 
-// Ascending: work may preempt what has a lower one.
+// In ascending order: a task may preempt tasks of a lower priority.
 enum class Priority { kLow, kNormal, kHigh, kProduction };
-constexpr std::size_t kPriorities = 4;
+constexpr std::size_t kPriorityCount = 4;
 
 }  // namespace beaconsill
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -19,8 +19,8 @@
 void init_logging() {
   auto logger = spdlog::stderr_logger_st("beaconsill");
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
-  const char* level = std::getenv("LOG_LEVEL");
-  logger->set_level(parse_level(level ? level : "info"));
+  const char* level_name = std::getenv("LOG_LEVEL");
+  logger->set_level(parse_level(level_name ? level_name : "info"));
   spdlog::set_default_logger(logger);
 }
 
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,14 +1,17 @@
-// Logging to standard error; the amount is set by LOG_LEVEL (error, info, debug).
+// Sets up logging to standard error. The environment variable LOG_LEVEL selects the level: error, info or
+// debug.
 //
-// A log line is the name of an event in snake_case, then key=value pairs: shard, term, job, machine,
-// controller, zone, role, count, seconds, reason. Free text is quoted.
+// A log line consists of the name of an event in snake_case, followed by key=value pairs. Common keys are
+// shard, term, job, machine, controller, zone, role, count, seconds and reason. Free text is in double
+// quotes.
 #pragma once
 
 #include <spdlog/spdlog.h>
 
 namespace beaconsill {
 
-// Sets up spdlog's default logger, once and before anything is logged. An unknown LOG_LEVEL counts as info.
+// Sets up spdlog's default logger. Must be called once, before anything is logged. If LOG_LEVEL is not set or
+// has an unknown value, the level is info.
 void init_logging();
 
 }  // namespace beaconsill
--- a/src/base/parse_number.h
+++ b/src/base/parse_number.h
@@ -1,4 +1,4 @@
-// Numbers in names, keys and addresses.
+// Strict parsing of decimal numbers, for example in names, keys and addresses.
 #pragma once
 
 #include <charconv>
@@ -8,7 +8,8 @@
 
 namespace beaconsill {
 
-// The whole text as a decimal number. None: it is anything else, or out of the type's range.
+// Parses the whole text as a decimal number. Returns std::nullopt if the text is not a number or the number
+// is out of the type's range.
 template <class Number>
 std::optional<Number> parse_number(std::string_view text) {
   Number number = 0;
--- a/src/base/ranges.cpp
+++ b/src/base/ranges.cpp
@@ -12,7 +12,7 @@
   std::uint32_t end;
 };
 
-// "5" or "3-5".
+// Parses "5" or "3-5". Returns std::nullopt if the text has another form.
 std::optional<Span> parse_span(std::string_view text) {
   auto dash = text.find('-');
   auto first = parse_number<std::uint32_t>(text.substr(0, dash));
@@ -69,14 +69,14 @@
   auto it = spans_.upper_bound(first);
   if (it != spans_.begin()) --it;
   while (it != spans_.end() && it->first < end) {
-    auto [known_first, known_end] = *it;
-    if (known_end <= first) {
+    auto [span_first, span_end] = *it;
+    if (span_end <= first) {
       ++it;
       continue;
     }
     it = spans_.erase(it);
-    if (known_first < first) spans_[known_first] = first;
-    if (known_end > end) spans_[end] = known_end;
+    if (span_first < first) spans_[span_first] = first;
+    if (span_end > end) spans_[end] = span_end;
   }
 }
 
@@ -103,10 +103,10 @@
   Ranges taken;
   while (count > 0 && !spans_.empty()) {
     auto [first, end] = *spans_.begin();
-    std::uint32_t taken_here = std::min(count, end - first);
-    taken.add_span(first, first + taken_here);
-    remove_span(first, first + taken_here);
-    count -= taken_here;
+    std::uint32_t taken_from_span = std::min(count, end - first);
+    taken.add_span(first, first + taken_from_span);
+    remove_span(first, first + taken_from_span);
+    count -= taken_from_span;
   }
   return taken;
 }
--- a/src/base/ranges.h
+++ b/src/base/ranges.h
@@ -1,4 +1,4 @@
-// A set of task numbers, kept as ranges: "0-47,50" in the state store.
+// A set of task indexes that is stored as ranges. The state store contains its text form, such as "0-47,50".
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,19 @@
 
 namespace beaconsill {
 
-// A span holds the numbers from its first up to, not including, its end.
+// A set of numbers, stored as disjoint spans. A span is half-open: it includes `first` and excludes `end`.
 class Ranges {
  public:
-  // The first number of each span -> its end; ascending, with a gap between any two.
+  // Maps the first number of each span to its end. The spans are in ascending order and neither overlap nor
+  // touch.
   using Spans = std::map<std::uint32_t, std::uint32_t>;
 
   Ranges() = default;
   static Ranges span(std::uint32_t first, std::uint32_t end);
-  // None: not in the form that `str` gives. Items may overlap and come in any order.
+  // Parses the form that `str` returns, except that items may overlap and be in any order. Returns
+  // std::nullopt if the text has another form.
   static std::optional<Ranges> parse(std::string_view text);
+  // Returns the shortest text form, such as "0-47,50".
   std::string str() const;
 
   void add(std::uint32_t number) { add_span(number, number + 1); }
@@ -30,10 +33,11 @@
   void remove(const Ranges& other);
   bool contains(std::uint32_t number) const;
   bool empty() const { return spans_.empty(); }
-  // How many numbers are in the set.
+  // Returns the number of elements.
   std::uint32_t count() const;
-  // Takes up to `count` of the lowest numbers out of the set.
+  // Removes up to `count` of the lowest numbers from the set and returns them.
   Ranges take(std::uint32_t count);
+  // Returns all numbers in ascending order.
   std::vector<std::uint32_t> items() const;
   const Spans& spans() const { return spans_; }
   bool operator==(const Ranges&) const = default;
--- a/src/base/resources.h
+++ b/src/base/resources.h
@@ -1,4 +1,4 @@
-// Resources of a task or a machine.
+// The resources that a task requires or a machine has, with element-wise arithmetic.
 #pragma once
 
 namespace beaconsill {
@@ -27,8 +27,8 @@
 inline Resources operator+(Resources left, const Resources& right) {
   return left += right;
 }
-inline Resources operator*(Resources each, double count) {
-  return {each.cpus * count, each.gpus * count, each.memory_gb * count};
+inline Resources operator*(Resources resources, double factor) {
+  return {resources.cpus * factor, resources.gpus * factor, resources.memory_gb * factor};
 }
 
 }  // namespace beaconsill
--- a/src/base/stable_hash.cpp
+++ b/src/base/stable_hash.cpp
@@ -5,7 +5,7 @@
 
 constexpr std::uint64_t kFnvOffsetBasis = 14695981039346656037ull;
 constexpr std::uint64_t kFnvPrime = 1099511628211ull;
-// A step of MurmurHash3's finaliser.
+// Constants of one step of MurmurHash3's finalizer.
 constexpr unsigned kMixShift = 33;
 constexpr std::uint64_t kMixMultiplier = 0xff51afd7ed558ccdull;
 
@@ -17,7 +17,7 @@
     hash ^= byte;
     hash *= kFnvPrime;
   }
-  // FNV's low bits mix poorly for names that differ in their last digit only.
+  // FNV-1a alone distributes names that differ only in their last digit poorly in its low bits.
   hash ^= hash >> kMixShift;
   hash *= kMixMultiplier;
   hash ^= hash >> kMixShift;
--- a/src/base/stable_hash.h
+++ b/src/base/stable_hash.h
@@ -1,4 +1,4 @@
-// A hash that all controllers agree on.
+// A hash function whose values are the same on all controllers.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +6,8 @@
 
 namespace beaconsill {
 
-// A 64-bit hash (FNV-1a, with its bits mixed once more): the same at every controller and in every build,
-// unlike std::hash.
+// Returns a 64-bit hash: FNV-1a followed by one more mixing step. Unlike std::hash, the result is the same on
+// every controller and in every build.
 std::uint64_t stable_hash(std::string_view text);
 
 }  // namespace beaconsill
--- a/src/base/strong.h
+++ b/src/base/strong.h
@@ -1,4 +1,4 @@
-// A value of a plain type under a type of its own.
+// Strong typedefs, which prevent mixing up values that have the same representation.
 #pragma once
 
 #include <compare>
@@ -8,8 +8,8 @@
 
 namespace beaconsill {
 
-// `Tag` distinguishes the type: values of different tags can't be assigned to or compared with each other,
-// and a plain value becomes one only explicitly.
+// Wraps a value of type `Rep`. Values with different `Tag` types can't be assigned to or compared with each
+// other, and a plain value is converted only explicitly.
 template <class Tag, class Rep>
 class Strong {
  public:
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -1,5 +1,5 @@
-// Identifiers, versions, times and amounts as small types of their own, so that one can't be taken for
-// another. Includes the headers that define them.
+// Umbrella header of the basic value types: identifiers, versions, times and resources. They are distinct
+// types, so that the compiler rejects using one in place of another.
 #pragma once
 
 #include "base/clock.h"          // IWYU pragma: export
--- a/src/config/expr.cpp
+++ b/src/config/expr.cpp
@@ -10,28 +10,29 @@
 namespace beaconsill::config {
 namespace {
 
-// An expression that was parsed and checked for its type.
+// A parsed expression whose types have been checked.
 struct Expression {
   ExprType type = ExprType::kNumber;
-  std::function<double()> evaluate;  // no errors but division by zero are left for it to find
+  std::function<double()> evaluate;  // the only error that it can still report is a division by zero
 };
 
+// Bounds the recursion of the parser.
 constexpr int kMaxDepth = 64;
 
 Expression constant(ExprType type, double value) {
   return {type, [value] { return value; }};
 }
 
-double truth(bool value) {
+double bool_to_number(bool value) {
   return value ? 1.0 : 0.0;
 }
 
 struct Comparison {
   std::string_view symbol;
-  bool (*holds)(double, double);
+  bool (*compare)(double, double);
 };
 
-// Longer symbols before those that they begin with.
+// A symbol that is a prefix of another one ("<" of "<=") must come after it, because the first match is used.
 constexpr Comparison kComparisons[] = {{"==", [](double left, double right) { return left == right; }},
                                        {"!=", [](double left, double right) { return left != right; }},
                                        {"<=", [](double left, double right) { return left <= right; }},
@@ -46,14 +47,15 @@
 
 constexpr Unit kUnits[] = {{"ms", 0.001}, {"s", 1}, {"m", 60}, {"h", 3600}};
 
-// A recursive-descent parser: a function for each level of precedence, the loosest first.
+// A recursive-descent parser with one function for each level of operator precedence, in the order from the
+// lowest to the highest precedence.
 class Parser {
  public:
   Parser(std::string_view text, const ExprNames& names) : scanner_(text), names_(names) {}
 
   Expression parse() {
-    auto expression = choice();
-    if (!scanner_.at_end()) fail("something follows the expression");
+    auto expression = conditional();
+    if (!scanner_.at_end()) fail("unexpected text after the expression");
     return expression;
   }
 
@@ -67,27 +69,29 @@
     fail(std::string(what) + " must be a " + type_name(type) + ", not a " + type_name(expression.type));
   }
 
-  void enter() {
-    if (++depth_ > kMaxDepth) fail("nested too deeply");
+  void enter_level() {
+    if (++depth_ > kMaxDepth) fail("nested more than " + std::to_string(kMaxDepth) + " levels deep");
   }
 
-  void leave() { --depth_; }
+  void leave_level() { --depth_; }
 
-  // condition ? first : second
-  Expression choice() {
-    enter();
+  // Parses `condition ? first : second`, or an expression of a higher precedence.
+  Expression conditional() {
+    enter_level();
     auto condition = disjunction();
     if (accept("?")) {
       expect_type(condition, ExprType::kBool, "the condition before '?'");
-      auto first = choice();
+      auto first = conditional();
       expect(":");
-      auto second = choice();
-      if (first.type != second.type) fail("both sides of ':' must be of one type");
+      auto second = conditional();
+      if (first.type != second.type)
+        fail(std::string("both sides of ':' must have the same type, not ") + type_name(first.type) +
+             " and " + type_name(second.type));
       condition = {first.type, [condition, first, second] {
                      return condition.evaluate() != 0 ? first.evaluate() : second.evaluate();
                    }};
     }
-    leave();
+    leave_level();
     return condition;
   }
 
@@ -95,10 +99,10 @@
     auto left = conjunction();
     while (accept("||")) {
       auto right = conjunction();
-      expect_type(left, ExprType::kBool, "the left of '||'");
-      expect_type(right, ExprType::kBool, "the right of '||'");
+      expect_type(left, ExprType::kBool, "the left operand of '||'");
+      expect_type(right, ExprType::kBool, "the right operand of '||'");
       left = {ExprType::kBool,
-              [left, right] { return truth(left.evaluate() != 0 || right.evaluate() != 0); }};
+              [left, right] { return bool_to_number(left.evaluate() != 0 || right.evaluate() != 0); }};
     }
     return left;
   }
@@ -107,22 +111,23 @@
     auto left = comparison();
     while (accept("&&")) {
       auto right = comparison();
-      expect_type(left, ExprType::kBool, "the left of '&&'");
-      expect_type(right, ExprType::kBool, "the right of '&&'");
+      expect_type(left, ExprType::kBool, "the left operand of '&&'");
+      expect_type(right, ExprType::kBool, "the right operand of '&&'");
       left = {ExprType::kBool,
-              [left, right] { return truth(left.evaluate() != 0 && right.evaluate() != 0); }};
+              [left, right] { return bool_to_number(left.evaluate() != 0 && right.evaluate() != 0); }};
     }
     return left;
   }
 
   Expression comparison() {
     auto left = sum();
-    for (const auto& [symbol, holds] : kComparisons) {
+    for (const auto& [symbol, compare] : kComparisons) {
       if (!accept(symbol)) continue;
       auto right = sum();
-      if (left.type != right.type) fail("'" + std::string(symbol) + "' compares values of one type");
-      return {ExprType::kBool,
-              [left, right, compare = holds] { return truth(compare(left.evaluate(), right.evaluate())); }};
+      if (left.type != right.type) fail("'" + std::string(symbol) + "' requires operands of the same type");
+      return {ExprType::kBool, [left, right, compare = compare] {
+                return bool_to_number(compare(left.evaluate(), right.evaluate()));
+              }};
     }
     return left;
   }
@@ -130,13 +135,13 @@
   Expression sum() {
     auto left = product();
     for (;;) {
-      const bool plus = accept("+");
-      if (!plus && !accept("-")) return left;
+      const bool is_addition = accept("+");
+      if (!is_addition && !accept("-")) return left;
       auto right = product();
       if (left.type != right.type || left.type == ExprType::kBool)
-        fail("'+' and '-' take two numbers or two durations");
-      left = {left.type, [left, right, plus] {
-                return plus ? left.evaluate() + right.evaluate() : left.evaluate() - right.evaluate();
+        fail("'+' and '-' require two numbers or two durations");
+      left = {left.type, [left, right, is_addition] {
+                return is_addition ? left.evaluate() + right.evaluate() : left.evaluate() - right.evaluate();
               }};
     }
   }
@@ -144,16 +149,16 @@
   Expression product() {
     auto left = unary();
     for (;;) {
-      const bool times = accept("*");
-      if (!times && !accept("/")) return left;
+      const bool is_multiplication = accept("*");
+      if (!is_multiplication && !accept("/")) return left;
       auto right = unary();
       if (left.type == ExprType::kBool || right.type == ExprType::kBool)
-        fail("'*' and '/' take no truth values");
-      left = times ? multiplied(left, right) : divided(left, right);
+        fail("'*' and '/' can't be applied to booleans");
+      left = is_multiplication ? multiply(left, right) : divide(left, right);
     }
   }
 
-  Expression multiplied(const Expression& left, const Expression& right) const {
+  Expression multiply(const Expression& left, const Expression& right) const {
     const bool left_is_duration = left.type == ExprType::kDuration;
     const bool right_is_duration = right.type == ExprType::kDuration;
     if (left_is_duration && right_is_duration) fail("two durations can't be multiplied");
@@ -161,7 +166,7 @@
             [left, right] { return left.evaluate() * right.evaluate(); }};
   }
 
-  Expression divided(const Expression& left, const Expression& right) const {
+  Expression divide(const Expression& left, const Expression& right) const {
     const bool left_is_duration = left.type == ExprType::kDuration;
     const bool right_is_duration = right.type == ExprType::kDuration;
     if (right_is_duration && !left_is_duration) fail("a number can't be divided by a duration");
@@ -173,33 +178,33 @@
   }
 
   Expression unary() {
-    enter();
+    enter_level();
     Expression result;
     if (accept("!")) {
       auto operand = unary();
       expect_type(operand, ExprType::kBool, "the operand of '!'");
-      result = {ExprType::kBool, [operand] { return truth(operand.evaluate() == 0); }};
+      result = {ExprType::kBool, [operand] { return bool_to_number(operand.evaluate() == 0); }};
     } else if (accept("-")) {
       auto operand = unary();
-      if (operand.type == ExprType::kBool) fail("'-' takes no truth value");
+      if (operand.type == ExprType::kBool) fail("'-' can't be applied to a boolean");
       result = {operand.type, [operand] { return -operand.evaluate(); }};
     } else {
       result = primary();
     }
-    leave();
+    leave_level();
     return result;
   }
 
   Expression primary() {
     if (accept("(")) {
-      auto expression = choice();
+      auto expression = conditional();
       expect(")");
       return expression;
     }
     const char next = scanner_.peek();
     if (std::isdigit(static_cast<unsigned char>(next)) || next == '.') return literal();
     if (std::isalpha(static_cast<unsigned char>(next)) || next == '_') return name();
-    fail("unexpected '" + std::string(1, next) + "'");
+    fail("unexpected character '" + std::string(1, next) + "'");
   }
 
   Expression literal() {
@@ -208,13 +213,13 @@
     if (unit.empty()) return constant(ExprType::kNumber, value);
     for (const auto& [unit_name, seconds] : kUnits)
       if (unit == unit_name) return constant(ExprType::kDuration, value * seconds);
-    fail("unknown unit '" + unit + "' (ms, s, m, h)");
+    fail("unknown unit '" + unit + "', expected ms, s, m or h");
   }
 
   Expression name() {
     const auto identifier = scanner_.identifier();
     if (identifier == "true" || identifier == "false")
-      return constant(ExprType::kBool, truth(identifier == "true"));
+      return constant(ExprType::kBool, bool_to_number(identifier == "true"));
     if (accept("(")) return call(identifier);
     auto it = names_.find(identifier);
     if (it == names_.end()) fail("unknown name '" + identifier + "'");
@@ -224,7 +229,7 @@
   std::vector<Expression> arguments() {
     std::vector<Expression> list;
     if (accept(")")) return list;
-    do list.push_back(choice());
+    do list.push_back(conditional());
     while (accept(","));
     expect(")");
     return list;
@@ -234,22 +239,22 @@
     const auto list = arguments();
     for (const auto& argument : list)
       if (argument.type != list[0].type || argument.type == ExprType::kBool)
-        fail(function + " takes numbers only, or durations only");
+        fail(function + " requires arguments that are all numbers or all durations");
     if (function == "min" || function == "max") return extremum(function, list);
     if (function != "clamp") fail("unknown function '" + function + "'");
-    if (list.size() != 3) fail("clamp takes three arguments");
+    if (list.size() != 3) fail("clamp requires 3 arguments, not " + std::to_string(list.size()));
     return {list[0].type, [list] {
               return std::max(list[1].evaluate(), std::min(list[0].evaluate(), list[2].evaluate()));
             }};
   }
 
   Expression extremum(const std::string& function, const std::vector<Expression>& list) const {
-    if (list.empty()) fail(function + " needs an argument");
-    const bool least = function == "min";
-    return {list[0].type, [list, least] {
+    if (list.empty()) fail(function + " requires at least one argument");
+    const bool is_min = function == "min";
+    return {list[0].type, [list, is_min] {
               double best = list[0].evaluate();
               for (const auto& argument : list)
-                best = least ? std::min(best, argument.evaluate()) : std::max(best, argument.evaluate());
+                best = is_min ? std::min(best, argument.evaluate()) : std::max(best, argument.evaluate());
               return best;
             }};
   }
@@ -268,7 +273,7 @@
     case ExprType::kDuration:
       return "duration";
     case ExprType::kBool:
-      return "truth value";
+      return "boolean";
   }
   return "number";
 }
@@ -276,7 +281,7 @@
 ExprValue evaluate(std::string_view text, const ExprNames& names) {
   const auto expression = Parser(text, names).parse();
   const double value = expression.evaluate();
-  if (!std::isfinite(value)) throw ExprError("the result is not finite");
+  if (!std::isfinite(value)) throw ExprError("the result is not a finite number");
   return {expression.type, value};
 }
 
--- a/src/config/expr_scanner.h
+++ b/src/config/expr_scanner.h
@@ -1,4 +1,4 @@
-// Reads an expression's text from left to right, one symbol, name or number at a time.
+// Scanner (lexer) for expressions: reads the text from left to right, one symbol, name or number at a time.
 #pragma once
 
 #include <cstddef>
@@ -7,27 +7,29 @@
 
 namespace beaconsill::config {
 
-// The text has to outlive it. Space between symbols is skipped.
+// The text must outlive the scanner. `accept`, `expect`, `at_end` and `peek` skip leading whitespace.
 class ExprScanner {
  public:
   explicit ExprScanner(std::string_view text) : text_(text) {}
 
-  // Throws an ExprError that gives the present column.
+  // Throws an ExprError whose text gives the current column (counted from 1) and the reason.
   [[noreturn]] void fail(const std::string& reason) const;
-  // Skips the symbol if it's next.
+  // Consumes the symbol and returns true if it comes next; otherwise returns false.
   bool accept(std::string_view symbol);
-  // Skips the symbol, which has to be next.
+  // Consumes the symbol. Fails if it does not come next.
   void expect(std::string_view symbol);
   bool at_end();
-  // The next character, which isn't skipped. Fails at the end of the text.
+  // Returns the next character without consuming it. Fails at the end of the text.
   char peek();
-  // The longest run of letters, digits and underscores that begins right here; may be empty.
+  // Consumes and returns the longest sequence of letters, digits and underscores at the current position,
+  // which may be empty. Doesn't skip whitespace.
   std::string identifier();
-  // A decimal number without a sign. Fails if none begins right here.
+  // Consumes and returns a decimal number without a sign or an exponent. Fails if there is none at the
+  // current position. Doesn't skip whitespace.
   double number();
 
  private:
-  void skip_space();
+  void skip_whitespace();
 
   std::string_view text_;
   std::size_t position_ = 0;
--- a/src/config/policy.h
+++ b/src/config/policy.h
@@ -1,4 +1,5 @@
-// The operators' own settings: one `name = expression` a line, '#' begins a comment.
+// Loads the policy file, which contains the parameters that operators can tune. Each line has the form
+// `name = expression`, and '#' begins a comment.
 #pragma once
 
 #include <cstdint>
@@ -12,34 +13,37 @@
 namespace beaconsill::config {
 
 struct Policy {
-  Duration reply_wait;      // how long the leader waits for a shard's estimate before it uses the summary
-  std::uint32_t task_cap;   // most tasks on one machine
-  Duration summary_period;  // how often a shard sends the summary of its capacity
-  double reserve;           // share of each machine that arrays leave free for services
-  Duration grace;           // silence after which a machine is deleted, which proves it terminated
-  Duration idle_return;     // how long a machine is idle before it is returned
-  Duration quiet_return;    // the same when no job is left at all
-  Duration
-      fail_back_delay;    // how long a shard's preferred controller is well before the shard fails back to it
-  Duration longest_wait;  // how long a job may get nothing before it goes to the head of the queue
+  Duration reply_wait;       // time that the leader waits for a shard's estimate before it uses the summary
+  std::uint32_t task_cap;    // maximum number of tasks on one machine
+  Duration summary_period;   // interval at which a shard sends the summary of its capacity
+  double reserve;            // fraction of each machine that array jobs leave free for services
+  Duration grace;            // time without contact after which a machine is deleted, which confirms that
+                             // it is terminated
+  Duration idle_return;      // idle time after which a machine is returned to the cloud
+  Duration quiet_return;     // idle time after which a machine is returned while there are no jobs at all
+  Duration fail_back_delay;  // time that a shard's preferred controller must be healthy before the shard
+                             // fails back to it
+  Duration longest_wait;     // time without any started task after which a job moves to the head of the queue
 };
 
-// A variable of the policy as it's described to operators.
+// Describes a policy variable to operators.
 struct PolicyVariable {
   std::string name;
   std::string type;
-  std::string expression;  // the default
+  std::string expression;  // the default value, as an expression
   std::string meaning;
 };
 
-// The variables with their default expressions.
+// Returns all policy variables with their default expressions.
 std::vector<PolicyVariable> default_variables();
-// The names that expressions may use, with their values for these settings.
+// Returns a listing of the names that expressions can use, with their values for these settings, one per
+// line.
 std::string describe_names(const Settings& settings);
 
-// Throws ConfigError. An empty path gives the defaults.
+// Reads and parses the policy file at `path`. If `path` is empty, returns the default policy. Throws
+// ConfigError.
 Policy load_policy(const std::string& path, const Settings& settings);
-// `path`: named in errors.
+// Parses the text of a policy file. `path` is only used in error messages. Throws ConfigError.
 Policy parse_policy(std::string_view text, const std::string& path, const Settings& settings);
 
 }  // namespace beaconsill::config
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,4 @@
-// The settings file that the platform hands over.
+// Loads and validates the settings file, which the platform that starts the controller provides.
 #pragma once
 
 #include <cstddef>
@@ -11,79 +11,80 @@
 
 namespace beaconsill::config {
 
-// Its text names the file, the field and the reason.
+// The settings or the policy are invalid. The text names the file, the field or line, and the reason.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Another controller.
+// One of the other controllers of the cluster.
 struct PeerSettings {
   ControllerName controller;
   Zone zone;
   std::string address;
 };
 
-// The guarantees and limits of a team.
+// The guaranteed resources and the resource limits of a team.
 struct TeamSettings {
   Team name;
-  double cpus = 0;      // guaranteed
-  double cpus_max = 0;  // 0: no limit
-  double gpus = 0;      // guaranteed
-  double gpus_max = 0;  // 0: no limit
+  double cpus = 0;      // guaranteed CPUs
+  double cpus_max = 0;  // limit; 0 means no limit
+  double gpus = 0;      // guaranteed GPUs
+  double gpus_max = 0;  // limit; 0 means no limit
 };
 
-// A service-level objective.
+// A service-level objective of the cluster.
 struct Objective {
   std::string kind;
-  std::string job_class;  // empty: of all
-  double share = 0;       // of the jobs that have to meet it
-  double within_s = 0;
-  double times = 0;
+  std::string job_class;  // the class of jobs it applies to; empty means all jobs
+  double share = 0;       // the fraction of these jobs that must meet the objective
+  double within_s = 0;    // time limit in seconds, for kinds that have one
+  double times = 0;       // factor of a job's own deadline, for the kind "deadline"
 };
 
 struct Settings {
   ControllerName controller;
   Zone zone;
-  std::string listen;       // for users and agents
-  std::string peer_listen;  // for other controllers
+  std::string listen_address;       // for connections of users and workers
+  std::string peer_listen_address;  // for connections of other controllers
   std::vector<PeerSettings> peers;
-  std::string cloud;  // address
-  std::string state;  // address of the state store
+  std::string cloud_address;  // of the cloud provider's API
+  std::string state_store_address;
   std::vector<Zone> zones;
   double skew_ms = 0;
   std::vector<TeamSettings> teams;
   std::vector<Objective> objectives;
-  double report_s = 0;  // between two heartbeats of an agent
-  double lease_s = 0;   // an agent stops its tasks after so long without a response
+  double worker_heartbeat_period_s = 0;  // time between two heartbeats of a worker
+  double lease_s = 0;                    // a worker stops its tasks after this time without a response
   double gang_wait_s = 0;
   double gang_peer_s = 0;
-  double cancel_s = 0;  // a cancelled job has stopped after so long
-  // Sizes are those that hold now and after `state.next` has come: what is written must stay writable. Rates
-  // come as they are now and as they will be.
-  double value_kb = 64;  // the protocol lets a whole transaction hold no more
-  std::size_t txn_ops = 0;
-  double state_rps = 0;
+  double cancel_s = 0;  // time limit within which the tasks of a cancelled job must have stopped
+  // Limits of the state store. `cluster.state.next` announces limits that come into force later. A size limit
+  // is the smaller of the current and the announced one, because stored values must remain writable. Rate
+  // limits are stored separately: the current ones, and those that are announced.
+  double value_kb = 64;     // KiB; the default is the limit of the protocol for a whole transaction
+  std::size_t txn_ops = 0;  // maximum number of changes in one transaction
+  double state_rps = 0;     // requests per second
   double state_write_rps = 0;
   double next_state_rps = 0;
   double next_state_write_rps = 0;
   double cloud_rps = 0;
-  double list_lag_s = 0;  // the cloud's list of machines may be so old
+  double list_lag_s = 0;  // maximum age of the machine list that the cloud returns
   double cpu_share = 0;
   double memory_mb = 0;
   std::size_t max_connections = 0;
 
-  // Bytes that a value may take up.
+  // Maximum size in bytes of a value in the state store.
   std::size_t value_bytes() const { return static_cast<std::size_t>(value_kb * 1024); }
-  // How many controllers there are, with this one.
-  std::size_t controllers() const { return peers.size() + 1; }
-  // Null: there is no such team.
-  const TeamSettings* team(const Team& name) const;
+  // Returns the number of controllers, including this one.
+  std::size_t controller_count() const { return peers.size() + 1; }
+  // Returns nullptr if there is no team of this name.
+  const TeamSettings* find_team(const Team& name) const;
 };
 
-// Throws ConfigError.
+// Reads and parses the file at `path`. Throws ConfigError.
 Settings load_settings(const std::string& path);
-// `path`: named in errors.
+// Parses `text` as TOML. `path` is only used in error messages and in the log. Throws ConfigError.
 Settings parse_settings(std::string_view text, const std::string& path);
 
 }  // namespace beaconsill::config
--- a/src/config/table_reader.cpp
+++ b/src/config/table_reader.cpp
@@ -11,26 +11,26 @@
   throw ConfigError(file_ + ": " + path_ + std::string(field) + ": " + std::string(reason));
 }
 
-const toml::node* TableReader::need(std::string_view field) const {
+const toml::node* TableReader::require(std::string_view field) const {
   const auto* node = table_.get(field);
   if (!node) fail(field, "is missing");
   return node;
 }
 
 std::string TableReader::str(std::string_view field) const {
-  const auto* node = need(field);
+  const auto* node = require(field);
   if (!node->is_string()) fail(field, "must be a string");
   auto text = **node->as_string();
   if (text.empty()) fail(field, "must not be empty");
   return text;
 }
 
-std::string TableReader::str_or(std::string_view field, const std::string& otherwise) const {
-  return has(field) ? str(field) : otherwise;
+std::string TableReader::str_or(std::string_view field, const std::string& default_value) const {
+  return has(field) ? str(field) : default_value;
 }
 
 double TableReader::number(std::string_view field) const {
-  const auto* node = need(field);
+  const auto* node = require(field);
   double value = 0;
   if (const auto* floating = node->as_floating_point()) {
     value = **floating;
@@ -39,28 +39,28 @@
   } else {
     fail(field, "must be a number");
   }
-  if (!std::isfinite(value) || value < 0) fail(field, "must be a number of at least 0");
+  if (!std::isfinite(value) || value < 0) fail(field, "must be a finite number of at least 0");
   return value;
 }
 
-double TableReader::number_or(std::string_view field, double otherwise) const {
-  return has(field) ? number(field) : otherwise;
+double TableReader::number_or(std::string_view field, double default_value) const {
+  return has(field) ? number(field) : default_value;
 }
 
 double TableReader::positive(std::string_view field) const {
   const double value = number(field);
-  if (value <= 0) fail(field, "must be more than 0");
+  if (value <= 0) fail(field, "must be greater than 0");
   return value;
 }
 
 std::size_t TableReader::count(std::string_view field) const {
-  const auto* integer = need(field)->as_integer();
-  if (!integer || **integer < 1) fail(field, "must be a whole number of at least 1");
+  const auto* integer = require(field)->as_integer();
+  if (!integer || **integer < 1) fail(field, "must be an integer of at least 1");
   return static_cast<std::size_t>(**integer);
 }
 
 TableReader TableReader::table(std::string_view field) const {
-  const auto* node = need(field);
+  const auto* node = require(field);
   if (!node->is_table()) fail(field, "must be a table");
   return {*node->as_table(), file_, path_ + std::string(field) + "."};
 }
@@ -69,7 +69,7 @@
   std::vector<TableReader> readers;
   const auto* node = table_.get(field);
   if (!node) return readers;
-  if (!node->is_array()) fail(field, "must be a list of tables");
+  if (!node->is_array()) fail(field, "must be an array of tables");
   std::size_t index = 0;
   for (const auto& element : *node->as_array()) {
     const auto name = std::string(field) + "[" + std::to_string(index++) + "]";
@@ -81,10 +81,10 @@
 
 std::vector<std::string> TableReader::strings(std::string_view field) const {
   std::vector<std::string> texts;
-  const auto* node = need(field);
-  if (!node->is_array()) fail(field, "must be a list");
+  const auto* node = require(field);
+  if (!node->is_array()) fail(field, "must be an array of strings");
   for (const auto& element : *node->as_array()) {
-    if (!element.is_string()) fail(field, "must be a list of strings");
+    if (!element.is_string()) fail(field, "must contain only strings");
     texts.push_back(**element.as_string());
   }
   return texts;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -42,12 +42,12 @@
 
 void Controller::make_clients() {
   const auto& settings = ctx_.settings;
-  auto state = parse_address(settings.state, "external.state");
-  auto cloud = parse_address(settings.cloud, "external.cloud");
-  parse_address(settings.peer_listen, "internal_addr");
+  auto state = parse_address(settings.state_store_address, "external.state");
+  auto cloud = parse_address(settings.cloud_address, "external.cloud");
+  parse_address(settings.peer_listen_address, "internal_addr");
   for (const auto& peer : settings.peers) parse_address(peer.address, "known.peer_addr");
   // Until the view shows which controllers are alive, each takes an equal share.
-  const auto controllers = static_cast<double>(settings.controllers());
+  const auto controllers = static_cast<double>(settings.controller_count());
   ctx_.store = std::make_shared<state_store::StoreClient>(
       ctx_.io_context, ctx_.clock, state,
       state_store::StoreLimits{settings.state_rps, settings.state_write_rps, settings.txn_ops,
@@ -105,7 +105,7 @@
 
 void Controller::make_server() {
   server_ = std::make_shared<net::HttpServer>(
-      ctx_.io_context, parse_address(ctx_.settings.listen, "bind"), server_limits(ctx_.settings),
+      ctx_.io_context, parse_address(ctx_.settings.listen_address, "bind"), server_limits(ctx_.settings),
       [](const net::Request& request) { return api::Api::is_user_path(request.path); },
       [this](const net::Request& request, net::HttpServer::Reply reply) {
         on_request(request, std::move(reply));
@@ -114,7 +114,7 @@
 
 void Controller::start() {
   spdlog::info("controller_starting controller={} zone={} count={} teams={}",
-               ctx_.settings.controller.value(), ctx_.settings.zone.value(), ctx_.settings.controllers(),
+               ctx_.settings.controller.value(), ctx_.settings.zone.value(), ctx_.settings.controller_count(),
                ctx_.settings.teams.size());
   peers_->start();
   server_->start();
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -18,7 +18,7 @@
   reading_ledger_ = false;
   scheduler::SchedulerParams params;
   params.reply_wait = ctx_.policy.reply_wait;
-  params.heartbeat_period = from_seconds(ctx_.settings.report_s);
+  params.heartbeat_period = from_seconds(ctx_.settings.worker_heartbeat_period_s);
   params.longest_wait = ctx_.policy.longest_wait;
   params.rules = {ctx_.policy.task_cap, ctx_.policy.reserve};
   params.max_writes = max_changes_per_txn();
--- a/src/controller/peer_links.cpp
+++ b/src/controller/peer_links.cpp
@@ -33,7 +33,7 @@
 void PeerLinks::start() {
   auto max_connections = kMaxConnectionsPerPeer * links_.size() + kSpareConnections;
   receiver_ = std::make_shared<net::PeerReceiver>(
-      ctx_.io_context, *net::parse_endpoint(ctx_.settings.peer_listen), max_connections,
+      ctx_.io_context, *net::parse_endpoint(ctx_.settings.peer_listen_address), max_connections,
       [this](std::string_view bytes) { on_bytes(bytes); });
   receiver_->start();
   for (auto& [name, link] : links_) link->start();
--- a/src/controller/shard_service.cpp
+++ b/src/controller/shard_service.cpp
@@ -38,7 +38,7 @@
 
 void ShardService::acquire_shard(ShardId id, Term term) {
   shard::ShardParams params;
-  params.heartbeat_period = from_seconds(ctx_.settings.report_s);
+  params.heartbeat_period = from_seconds(ctx_.settings.worker_heartbeat_period_s);
   params.lease = from_seconds(ctx_.settings.lease_s);
   params.cancel_limit = from_seconds(ctx_.settings.cancel_s);
   params.grace = ctx_.policy.grace;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,4 +1,4 @@
-// What the HTTP/1.1 server and client share.
+// Types and address parsing that the HTTP/1.1 server and the HTTP/1.1 client share.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -15,7 +15,7 @@
 struct Request {
   std::string method;
   std::string path;   // without the query
-  std::string query;  // after '?'
+  std::string query;  // the part after '?'; may be empty
   std::string body;
 };
 
@@ -23,10 +23,11 @@
   int status = 200;
   std::string body;  // JSON
   std::optional<int> retry_after_s;
-  bool close = false;  // close the connection after it
+  bool close = false;  // the server closes the connection after sending the response
 };
 
-// "10.0.0.1:8080"; addresses are IP numbers, there are no name look-ups. None: the text is no such address.
+// Parses an IP address and a port, such as "10.0.0.1:8080". Host names are not resolved. Returns std::nullopt
+// if the text has another form.
 std::optional<Tcp::endpoint> parse_endpoint(std::string_view text);
 
 }  // namespace beaconsill::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-// One request at a time over a connection that is kept.
+// A persistent connection that serves one request at a time.
 class HttpClient::Connection : public MessageParser::Sink, public std::enable_shared_from_this<Connection> {
  public:
   explicit Connection(std::shared_ptr<HttpClient> client)
@@ -51,7 +51,7 @@
     connect();
   }
 
-  // Calls back without a response, and closes the connection.
+  // Closes the connection and calls back with an error if a request is in progress.
   void fail() {
     if (closed_) return;
     auto done = std::move(request_.done);
@@ -87,7 +87,7 @@
 
  private:
   void connect() {
-    socket_.async_connect(client_->to_, [self = shared_from_this()](std::error_code error) {
+    socket_.async_connect(client_->remote_, [self = shared_from_this()](std::error_code error) {
       if (self->closed_) return;
       if (error) return self->fail();
       self->connected_ = true;
@@ -118,14 +118,14 @@
   }
 
   void on_bytes(std::string_view bytes) {
-    if (!busy_) return fail();  // the server sends without a request: it closes, or it is confused
+    if (!busy_) return fail();  // data without a request: the server is closing, or it violates the protocol
     switch (parser_.parse(bytes).status) {
       case MessageParser::Status::kIncomplete:
         return read();
       case MessageParser::Status::kMalformed:
         return fail();
       case MessageParser::Status::kComplete:
-        // The parser takes "000" for a status.
+        // The parser accepts the invalid status "000".
         return parser_.status_code() == 0 ? fail() : finish();
     }
   }
@@ -138,7 +138,7 @@
     busy_ = false;
     deadline_timer_.cancel();
     if (keep_alive) {
-      read();  // notices when the other side closes
+      read();  // detects that the server closes the connection
     } else {
       close();
     }
@@ -171,14 +171,17 @@
 };
 
 HttpClient::HttpClient(asio::io_context& io_context, Tcp::endpoint remote, std::size_t max_connections)
-    : io_(io_context), to_(std::move(remote)), max_connections_(max_connections), expiry_timer_(io_context) {}
+    : io_(io_context),
+      remote_(std::move(remote)),
+      max_connections_(max_connections),
+      expiry_timer_(io_context) {}
 
 HttpClient::~HttpClient() = default;
 
 std::string HttpClient::format(const std::string& method, const std::string& target,
                                const std::string& body) const {
-  std::string text = method + ' ' + target + " HTTP/1.1\r\nHost: " + to_.address().to_string() + ':' +
-                     std::to_string(to_.port()) + "\r\n";
+  std::string text = method + ' ' + target + " HTTP/1.1\r\nHost: " + remote_.address().to_string() + ':' +
+                     std::to_string(remote_.port()) + "\r\n";
   if (!body.empty() || method == "POST")
     text += "Content-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
   text += "\r\n";
@@ -197,7 +200,7 @@
   dispatch();
 }
 
-std::shared_ptr<HttpClient::Connection> HttpClient::free_connection() {
+std::shared_ptr<HttpClient::Connection> HttpClient::find_idle_connection() {
   auto it = std::find_if(connections_.begin(), connections_.end(),
                          [](const auto& connection) { return !connection->busy(); });
   if (it != connections_.end()) return *it;
@@ -207,26 +210,26 @@
 
 void HttpClient::dispatch() {
   while (!queue_.empty()) {
-    auto connection = free_connection();
+    auto connection = find_idle_connection();
     if (!connection) break;
     auto request = std::move(queue_.front());
     queue_.pop_front();
     connection->run(std::move(request));
   }
-  if (!queue_.empty()) arm_expiry();
+  if (!queue_.empty()) arm_expiry_timer();
 }
 
-void HttpClient::arm_expiry() {
+void HttpClient::arm_expiry_timer() {
   const auto soonest = std::min_element(
       queue_.begin(), queue_.end(),
       [](const auto& first, const auto& second) { return first.deadline < second.deadline; });
   expiry_timer_.expires_at(soonest->deadline);
   expiry_timer_.async_wait([weak = weak_from_this()](std::error_code error) {
-    if (auto self = weak.lock(); self && !error) self->expire();
+    if (auto self = weak.lock(); self && !error) self->expire_queued_requests();
   });
 }
 
-void HttpClient::expire() {
+void HttpClient::expire_queued_requests() {
   const auto now = std::chrono::steady_clock::now();
   std::vector<Callback> expired;
   for (auto it = queue_.begin(); it != queue_.end();) {
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 client of one destination: a few kept connections, a queue, a deadline for each request.
+// HTTP/1.1 client for a single destination, with persistent connections, a request queue and a deadline for
+// each request.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -15,15 +16,16 @@
 
 namespace beaconsill::net {
 
-// Why a request has no response.
+// The reason why a request has no response. It indicates whether the request may have been executed.
 enum class RequestError {
-  kNotSent,     // it was never executed, and won't be
-  kNoResponse,  // it was sent: it may have been executed, or may still be
+  kNotSent,     // the request was not sent, so it has not been and will not be executed
+  kNoResponse,  // the request was sent; it may have been executed, or may be executed later
 };
 
 using Result = tl::expected<Response, RequestError>;
 
-// Used on the thread of the io_context.
+// Sends each request over one of at most `max_connections` connections and queues requests while all are
+// busy. Must only be used on the thread of the io_context.
 class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
   using Callback = std::function<void(Result)>;
@@ -31,10 +33,11 @@
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
-  // `target`: path and query. `done` is called once, within `timeout`, and never before this returns.
+  // Sends a request. `target` consists of the path and the query. `done` is called exactly once, within
+  // `timeout`, and never before this function returns.
   void request(const std::string& method, const std::string& target, const std::string& body,
                Duration timeout, Callback done);
-  // Closes everything; requests under way are called back without a response.
+  // Closes all connections. The callbacks of pending requests are called with an error.
   void stop();
 
  private:
@@ -45,18 +48,20 @@
     Callback done;
   };
   std::string format(const std::string& method, const std::string& target, const std::string& body) const;
-  // Gives queued requests to connections, as far as there are free ones.
+  // Assigns queued requests to idle connections, and opens new connections up to the limit.
   void dispatch();
-  // A connection that is free; null: all are in use.
-  std::shared_ptr<Connection> free_connection();
-  // Queued requests expire by themselves, all in one timer.
-  void arm_expiry();
-  void expire();
-  // The connection is free, or closed.
+  // Returns an idle or a new connection. Returns nullptr if all connections are busy and the limit is
+  // reached.
+  std::shared_ptr<Connection> find_idle_connection();
+  // Sets the timer to the earliest deadline of the queued requests. One timer serves all of them.
+  void arm_expiry_timer();
+  // Removes the queued requests whose deadline has passed, and calls back with kNotSent.
+  void expire_queued_requests();
+  // Called by a connection that has become idle or closed. Dispatches queued requests.
   void release(Connection* connection);
 
   asio::io_context& io_;
-  Tcp::endpoint to_;
+  Tcp::endpoint remote_;
   std::size_t max_connections_;
   asio::steady_timer expiry_timer_;
   std::deque<PendingRequest> queue_;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -36,11 +36,11 @@
         phase_timer_(server_->io_),
         parser_(HTTP_REQUEST, *this) {}
 
-  void start(Connections::iterator place) {
-    place_ = place;
+  void start(Connections::iterator list_position) {
+    list_position_ = list_position;
     std::error_code error;
     socket_.set_option(Tcp::no_delay(true), error);
-    arm(server_->limits_.idle);
+    start_phase_timer(server_->limits_.idle_timeout);
     read();
   }
 
@@ -51,20 +51,20 @@
     socket_.close(error);
     phase_timer_.cancel();
     if (is_user_) --server_->user_connections_;
-    server_->connections_.erase(place_);
+    server_->connections_.erase(list_position_);
   }
 
   bool idle() const { return phase_ == Phase::kIdle; }
 
   bool on_target(std::string_view text) override {
     target_.append(text);
-    return count_header(text);
+    return count_header_bytes(text);
   }
-  bool on_header_field(std::string_view text) override { return count_header(text); }
-  bool on_header_value(std::string_view text) override { return count_header(text); }
+  bool on_header_field(std::string_view text) override { return count_header_bytes(text); }
+  bool on_header_value(std::string_view text) override { return count_header_bytes(text); }
   bool on_body(std::string_view text) override {
-    if (request_.body.size() + text.size() > server_->limits_.max_body) {
-      refusal_ = status::kContentTooLarge;
+    if (request_.body.size() + text.size() > server_->limits_.max_body_bytes) {
+      limit_exceeded_status_ = status::kContentTooLarge;
       return false;
     }
     request_.body.append(text);
@@ -74,16 +74,16 @@
  private:
   enum class Phase { kIdle, kReceiving, kHandling, kSending };
 
-  bool count_header(std::string_view text) {
+  bool count_header_bytes(std::string_view text) {
     header_bytes_ += text.size();
-    if (header_bytes_ <= server_->limits_.max_header) return true;
-    refusal_ = status::kHeaderFieldsTooLarge;
+    if (header_bytes_ <= server_->limits_.max_header_bytes) return true;
+    limit_exceeded_status_ = status::kHeaderFieldsTooLarge;
     return false;
   }
 
-  // Closes the connection unless the phase ends within this time.
-  void arm(Duration limit) {
-    phase_timer_.expires_after(limit);
+  // Closes the connection if the current phase lasts longer than `timeout`.
+  void start_phase_timer(Duration timeout) {
+    phase_timer_.expires_after(timeout);
     phase_timer_.async_wait([self = shared_from_this()](std::error_code error) {
       if (!error && self->phase_timer_.expiry() <= std::chrono::steady_clock::now()) self->close();
     });
@@ -101,7 +101,7 @@
   void on_bytes(std::string_view bytes) {
     if (phase_ == Phase::kIdle) {
       phase_ = Phase::kReceiving;
-      arm(server_->limits_.receive);
+      start_phase_timer(server_->limits_.receive_timeout);
     }
     received_.append(bytes);
     parse();
@@ -110,8 +110,8 @@
   void parse() {
     const auto progress = parser_.parse(received_);
     if (progress.status == MessageParser::Status::kMalformed)
-      return send(
-          {refusal_.value_or(status::kBadRequest), R"({"error":"malformed request"})", std::nullopt, true});
+      return send({limit_exceeded_status_.value_or(status::kBadRequest), R"({"error":"malformed request"})",
+                   std::nullopt, true});
     received_.erase(0, progress.consumed);
     if (progress.status == MessageParser::Status::kComplete) return handle();
     read();
@@ -125,17 +125,18 @@
     const auto query = target_.find('?');
     request_.path = target_.substr(0, query);
     if (query != std::string::npos) request_.query = target_.substr(query + 1);
-    if (!count_user())
+    if (!admit_user_connection())
       return send({status::kServiceUnavailable, R"({"error":"too many connections"})", 1, true});
-    server_->handler_(std::move(request_),
-                      [weak = weak_from_this(), serial = ++request_serial_](const Response& response) {
-                        auto self = weak.lock();
-                        if (self && self->awaits_response(serial)) self->send(response);
-                      });
+    server_->handler_(std::move(request_), [weak = weak_from_this(),
+                                            request_number = ++request_number_](const Response& response) {
+      auto self = weak.lock();
+      if (self && self->awaits_response(request_number)) self->send(response);
+    });
   }
 
-  // Counts the connection against the users' limit if its request is a user's. False: there are too many.
-  bool count_user() {
+  // Counts the connection against the limit of user connections if its request is a user's. Returns false if
+  // the limit is reached.
+  bool admit_user_connection() {
     if (is_user_ || !server_->is_user_(request_)) return true;
     if (server_->user_connections_ >= server_->limits_.max_user_connections) return false;
     is_user_ = true;
@@ -143,54 +144,54 @@
     return true;
   }
 
-  bool awaits_response(std::uint64_t serial) const {
-    return !closed_ && request_serial_ == serial && phase_ == Phase::kHandling;
+  bool awaits_response(std::uint64_t request_number) const {
+    return !closed_ && request_number_ == request_number && phase_ == Phase::kHandling;
   }
 
   void send(const Response& response) {
     phase_ = Phase::kSending;
     if (response.close) keep_alive_ = false;
-    out_ = format(response, keep_alive_);
-    arm(server_->limits_.send);
-    asio::async_write(socket_, asio::buffer(out_),
+    send_buffer_ = format(response, keep_alive_);
+    start_phase_timer(server_->limits_.send_timeout);
+    asio::async_write(socket_, asio::buffer(send_buffer_),
                       [self = shared_from_this()](std::error_code error, std::size_t) {
                         if (self->closed_) return;
                         if (error || !self->keep_alive_) return self->close();
-                        self->next();
+                        self->start_next_request();
                       });
   }
 
-  void next() {
+  void start_next_request() {
     request_ = {};
     target_.clear();
-    out_.clear();
-    out_.shrink_to_fit();
+    send_buffer_.clear();
+    send_buffer_.shrink_to_fit();
     header_bytes_ = 0;
-    // The list of connections is kept by the time of their last response.
-    server_->connections_.splice(server_->connections_.end(), server_->connections_, place_);
+    // The list is ordered by the time of the last response, so this connection moves to its end.
+    server_->connections_.splice(server_->connections_.end(), server_->connections_, list_position_);
     if (received_.empty()) {
       phase_ = Phase::kIdle;
-      arm(server_->limits_.idle);
+      start_phase_timer(server_->limits_.idle_timeout);
       return read();
     }
     phase_ = Phase::kReceiving;
-    arm(server_->limits_.receive);
+    start_phase_timer(server_->limits_.receive_timeout);
     parse();
   }
 
   std::shared_ptr<HttpServer> server_;
   Tcp::socket socket_;
   asio::steady_timer phase_timer_;
-  Connections::iterator place_;
+  Connections::iterator list_position_;
   MessageParser parser_;
   std::array<char, kReadBufferBytes> buffer_{};
-  std::string received_;  // and not parsed yet
+  std::string received_;  // bytes that have not been parsed yet
   std::string target_;
-  std::string out_;
+  std::string send_buffer_;
   Request request_;
   std::size_t header_bytes_ = 0;
-  std::uint64_t request_serial_ = 0;
-  std::optional<int> refusal_;  // the status for a request that exceeds a limit
+  std::uint64_t request_number_ = 0;
+  std::optional<int> limit_exceeded_status_;  // set if the request exceeds a size limit
   Phase phase_ = Phase::kIdle;
   bool keep_alive_ = true;
   bool is_user_ = false;
@@ -219,7 +220,7 @@
   }
 }
 
-bool HttpServer::evict_idle() {
+bool HttpServer::make_room_for_connection() {
   if (connections_.size() < limits_.max_connections) return true;
   for (auto& connection : connections_) {
     if (!connection->idle()) continue;
@@ -231,7 +232,7 @@
 }
 
 void HttpServer::on_accept(Tcp::socket socket) {
-  if (!evict_idle()) return;
+  if (!make_room_for_connection()) return;
   auto connection = std::make_shared<Connection>(shared_from_this(), std::move(socket));
   connections_.push_back(connection);
   connection->start(std::prev(connections_.end()));
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 server with keep-alive, limits and deadlines.
+// HTTP/1.1 server with keep-alive, limits on connections and message sizes, and timeouts.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -14,22 +14,29 @@
 namespace beaconsill::net {
 
 struct ServerLimits {
-  std::size_t max_connections = 256;       // in all; beyond it the longest idle is closed for the newcomer
-  std::size_t max_user_connections = 192;  // of them, those that sent a request the handler calls a user's
-  std::size_t max_body = std::size_t{64} * 1024;    // bytes
-  std::size_t max_header = std::size_t{16} * 1024;  // bytes
-  Duration idle = std::chrono::seconds(75);         // between two requests
-  Duration receive = std::chrono::seconds(10);      // from the first byte of a request to its last
-  Duration send = std::chrono::seconds(10);
+  // The limit for all connections. Beyond it, the connection that has been idle for longest is closed to make
+  // room for a new one; if none is idle, the new connection is closed.
+  std::size_t max_connections = 256;
+  // The limit for those connections over which a request has arrived that IsUser classifies as a user's.
+  std::size_t max_user_connections = 192;
+  std::size_t max_body_bytes = std::size_t{64} * 1024;
+  // The limit for the request target and all header fields together.
+  std::size_t max_header_bytes = std::size_t{16} * 1024;
+  Duration idle_timeout = std::chrono::seconds(75);     // between two requests
+  Duration receive_timeout = std::chrono::seconds(10);  // from the first byte of a request to its last
+  Duration send_timeout = std::chrono::seconds(10);     // for sending a response
 };
 
-// Serves the requests of a connection one at a time. Used on the thread of the io_context.
+// Serves the requests of each connection one at a time, in order. Must only be used on the thread of the
+// io_context.
 class HttpServer : public std::enable_shared_from_this<HttpServer> {
  public:
-  // May be called once, at any time, on any stack.
+  // Sends the response to a request. Must be called at most once, at any time, including before the handler
+  // returns.
   using Reply = std::function<void(Response)>;
   using Handler = std::function<void(Request, Reply)>;
-  // Distinguishes requests whose connections count against the users' limit from those of agents and probes.
+  // Returns true for requests of users. Their connections count against `max_user_connections`; those of
+  // workers and health probes don't.
   using IsUser = std::function<bool(const Request&)>;
 
   // Throws std::system_error if the address can't be bound.
@@ -39,24 +46,25 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
   void start();
-  // Closes all connections.
+  // Stops accepting connections and closes all open ones.
   void stop();
   Tcp::endpoint local() const { return listener_.local(); }
-  std::size_t connections() const { return connections_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
 
  private:
   class Connection;
   using Connections = std::list<std::shared_ptr<Connection>>;
   void on_accept(Tcp::socket socket);
-  // Closes an idle connection if there are too many. False: none is idle.
-  bool evict_idle();
+  // Makes room for one connection: if the limit is reached, closes the connection that has been idle for
+  // longest. Returns false if the limit is reached and no connection is idle.
+  bool make_room_for_connection();
 
   asio::io_context& io_;
   Listener listener_;
   ServerLimits limits_;
   IsUser is_user_;
   Handler handler_;
-  Connections connections_;  // the longest idle first
+  Connections connections_;  // in the order of their last response, least recent first
   std::size_t user_connections_ = 0;
 };
 
--- a/src/net/http_status.h
+++ b/src/net/http_status.h
@@ -1,4 +1,4 @@
-// The statuses of HTTP that the service answers with or understands.
+// The HTTP status codes that the controller sends or handles.
 #pragma once
 
 namespace beaconsill::net::status {
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -7,13 +7,14 @@
 namespace beaconsill::net {
 namespace {
 
-// Out of sockets, most likely: accepting again at once would only spin.
-constexpr Duration kPauseAfterFailure = std::chrono::milliseconds(50);
+// The delay after a failed accept. The usual cause is that the process is out of file descriptors, so
+// retrying at once would be a busy loop.
+constexpr Duration kRetryDelay = std::chrono::milliseconds(50);
 
 }  // namespace
 
 Listener::Listener(asio::io_context& io_context, const Tcp::endpoint& local)
-    : acceptor_(io_context), pause_timer_(io_context) {
+    : acceptor_(io_context), retry_timer_(io_context) {
   acceptor_.open(local.protocol());
   acceptor_.set_option(Tcp::acceptor::reuse_address(true));
   acceptor_.bind(local);
@@ -28,7 +29,7 @@
   stopped_ = true;
   std::error_code error;
   acceptor_.close(error);
-  pause_timer_.cancel();
+  retry_timer_.cancel();
 }
 
 void Listener::accept(const std::shared_ptr<const OnAccept>& on_accept) {
@@ -36,16 +37,16 @@
     if (stopped_) return;
     if (error) {
       spdlog::debug("accept_failed reason=\"{}\"", error.message());
-      return pause(on_accept);
+      return accept_after_delay(on_accept);
     }
     (*on_accept)(std::move(socket));
     accept(on_accept);
   });
 }
 
-void Listener::pause(const std::shared_ptr<const OnAccept>& on_accept) {
-  pause_timer_.expires_after(kPauseAfterFailure);
-  pause_timer_.async_wait([this, on_accept](std::error_code error) {
+void Listener::accept_after_delay(const std::shared_ptr<const OnAccept>& on_accept) {
+  retry_timer_.expires_after(kRetryDelay);
+  retry_timer_.async_wait([this, on_accept](std::error_code error) {
     if (!error) accept(on_accept);
   });
 }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-// The accept loop of the servers. Internal to this package.
+// The accept loop that HttpServer and PeerReceiver use. Internal to this directory.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -10,7 +10,7 @@
 
 namespace beaconsill::net {
 
-// Accepts connections until it's stopped. Used on the thread of the io_context.
+// Accepts connections until it is stopped. Must only be used on the thread of the io_context.
 class Listener {
  public:
   using OnAccept = std::function<void(Tcp::socket)>;
@@ -18,18 +18,20 @@
   // Throws std::system_error if the address can't be bound.
   Listener(asio::io_context& io_context, const Tcp::endpoint& local);
 
-  // `on_accept` is called with each connection. It must own the object that holds this listener: it's kept by
-  // the pending operation, which ends when the listener is stopped or the io_context is destroyed.
+  // Calls `on_accept` with each accepted connection. `on_accept` must own the object that contains this
+  // listener: the pending accept operation stores `on_accept` and so keeps that object alive until the
+  // listener is stopped or the io_context is destroyed.
   void start(OnAccept on_accept);
   void stop();
   Tcp::endpoint local() const { return acceptor_.local_endpoint(); }
 
  private:
   void accept(const std::shared_ptr<const OnAccept>& on_accept);
-  void pause(const std::shared_ptr<const OnAccept>& on_accept);
+  // Accepts again after kRetryDelay.
+  void accept_after_delay(const std::shared_ptr<const OnAccept>& on_accept);
 
   Tcp::acceptor acceptor_;
-  asio::steady_timer pause_timer_;
+  asio::steady_timer retry_timer_;
   bool stopped_ = false;
 };
 
--- a/src/net/message_parser.cpp
+++ b/src/net/message_parser.cpp
@@ -19,7 +19,7 @@
 
 int MessageParser::on_complete(http_parser* parser) {
   self(parser).complete_ = true;
-  // Whatever follows waits: messages are served one at a time.
+  // Stops the parser here, because messages are handled one at a time.
   http_parser_pause(parser, 1);
   return 0;
 }
@@ -42,7 +42,7 @@
   complete_ = false;
   const std::size_t consumed = http_parser_execute(&parser_, &settings(), bytes.data(), bytes.size());
   if (complete_) {
-    // A paused parser has not consumed the byte that it stopped at.
+    // Resumes the parser. The count of a paused parser excludes the byte that it stopped at.
     http_parser_pause(&parser_, 0);
     return {Status::kComplete, consumed};
   }
--- a/src/net/message_parser.h
+++ b/src/net/message_parser.h
@@ -1,4 +1,5 @@
-// The HTTP/1.1 parser of server and client: a wrapper of the http_parser library. Internal to this package.
+// HTTP/1.1 parser for the server and the client, which wraps the http_parser library. Internal to this
+// directory.
 #pragma once
 
 #include <http_parser.h>
@@ -8,10 +9,11 @@
 
 namespace beaconsill::net {
 
-// Parses one message after the other. Not thread-safe.
+// Parses the messages of a connection one after the other. Not thread-safe.
 class MessageParser {
  public:
-  // What receives the message while it is parsed, in chunks as they come. Each returns false to refuse it.
+  // Receives the parts of a message while it is parsed. Each part can arrive in several chunks. A function
+  // returns false to reject the message.
   class Sink {
    public:
     virtual ~Sink() = default;
@@ -24,25 +26,26 @@
   enum class Status {
     kIncomplete,  // more bytes are needed
     kComplete,
-    kMalformed,  // or refused by the sink
+    kMalformed,  // the message is malformed, or the sink rejected it
   };
 
   struct Progress {
     Status status = Status::kIncomplete;
-    std::size_t consumed = 0;  // bytes; those after a complete message are left
+    std::size_t consumed = 0;  // number of bytes parsed; excludes bytes after a complete message
   };
 
-  // `type`: HTTP_REQUEST or HTTP_RESPONSE. The sink must outlive the parser.
+  // `type` is HTTP_REQUEST or HTTP_RESPONSE. The sink must outlive the parser.
   MessageParser(http_parser_type type, Sink& sink);
   MessageParser(const MessageParser&) = delete;
   MessageParser& operator=(const MessageParser&) = delete;
   ~MessageParser() = default;
 
-  // Begins anew, for the first message of a connection.
+  // Resets the parser, for the first message of a new connection.
   void reset();
+  // Parses `bytes` up to the end of the current message.
   Progress parse(std::string_view bytes);
 
-  // Of a complete message.
+  // Properties of the last message. Valid after parse() has returned kComplete.
   bool keep_alive() const { return http_should_keep_alive(&parser_) != 0; }
   int status_code() const { return static_cast<int>(parser_.status_code); }
   const char* method() const { return http_method_str(static_cast<http_method>(parser_.method)); }
@@ -50,7 +53,7 @@
  private:
   static const http_parser_settings& settings();
   static MessageParser& self(http_parser* parser) { return *static_cast<MessageParser*>(parser->data); }
-  // The library's callback for one of the sink's functions.
+  // Callback for the library that forwards the data to one of the sink's functions.
   template <bool (Sink::*Function)(std::string_view)>
   static int forward(http_parser* parser, const char* data, std::size_t size);
   static int on_complete(http_parser* parser);
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -10,10 +10,10 @@
 namespace beaconsill::net {
 namespace {
 
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(100);
+constexpr Duration kInitialBackoff = std::chrono::milliseconds(100);
 constexpr Duration kMaxBackoff = std::chrono::milliseconds(800);
 constexpr Duration kConnectTimeout = std::chrono::seconds(1);
-// A connection over which nothing moves for this long is given up; heartbeats flow far more often.
+// A connection is closed if sending one frame takes longer than this. Heartbeats are sent far more often.
 constexpr Duration kStallTimeout = std::chrono::seconds(3);
 
 constexpr std::size_t kFrameHeaderBytes = 4;
@@ -37,13 +37,13 @@
 
 }  // namespace
 
-PeerSender::PeerSender(asio::io_context& io_context, Tcp::endpoint remote, std::size_t max_queued)
+PeerSender::PeerSender(asio::io_context& io_context, Tcp::endpoint remote, std::size_t max_queue_bytes)
     : io_(io_context),
-      to_(std::move(remote)),
+      remote_(std::move(remote)),
       socket_(io_context),
       timer_(io_context),
-      max_queued_(std::max(max_queued, kLeastQueued)),
-      backoff_(kFirstBackoff) {}
+      max_queue_bytes_(std::max(max_queue_bytes, kMinQueueBytes)),
+      backoff_(kInitialBackoff) {}
 
 void PeerSender::start() {
   connect();
@@ -70,7 +70,7 @@
   timer_.async_wait([self = shared_from_this(), epoch](std::error_code error) {
     if (!error && epoch == self->epoch_ && !self->connected_) self->reconnect();
   });
-  socket_.async_connect(to_, [self = shared_from_this(), epoch](std::error_code error) {
+  socket_.async_connect(remote_, [self = shared_from_this(), epoch](std::error_code error) {
     if (epoch != self->epoch_ || self->stopped_) return;
     if (error) return self->reconnect();
     self->on_connected();
@@ -80,11 +80,11 @@
 void PeerSender::on_connected() {
   timer_.cancel();
   connected_ = true;
-  backoff_ = kFirstBackoff;
+  backoff_ = kInitialBackoff;
   std::error_code ignored;
   socket_.set_option(Tcp::no_delay(true), ignored);
-  // Nothing is ever received here; the read notices that the other side has closed the connection.
-  socket_.async_read_some(asio::buffer(sink_),
+  // The peer never sends data over this connection. The read detects that the peer has closed it.
+  socket_.async_read_some(asio::buffer(discarded_),
                           [self = shared_from_this(), epoch = epoch_](std::error_code, std::size_t) {
                             if (epoch == self->epoch_) self->reconnect();
                           });
@@ -107,7 +107,8 @@
 }
 
 void PeerSender::send(const std::string& message) {
-  if (!connected_ || message.size() > kMaxFrame || queued_bytes_ + message.size() > max_queued_) return;
+  if (!connected_ || message.size() > kMaxMessageBytes || queued_bytes_ + message.size() > max_queue_bytes_)
+    return;
   queued_bytes_ += message.size() + kFrameHeaderBytes;
   queue_.push_back(make_frame(message));
   if (queue_.size() == 1) write();
@@ -154,8 +155,8 @@
 
  private:
   void read_message(std::uint32_t size) {
-    if (size > kMaxFrame) {
-      spdlog::info("peer_frame_too_large count={}", size);
+    if (size > kMaxMessageBytes) {
+      spdlog::info("peer_frame_too_large count={} reason=\"the limit is {} bytes\"", size, kMaxMessageBytes);
       return close();
     }
     message_.resize(size);
@@ -191,7 +192,8 @@
 }
 
 void PeerReceiver::on_accept(Tcp::socket socket) {
-  // A peer that connects again leaves its old connection half open: the oldest makes way.
+  // A peer that reconnects can leave its old connection half open, so the oldest connection is closed to make
+  // room.
   while (connections_.size() >= max_connections_) {
     auto oldest = connections_.front();
     oldest->close();
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -1,5 +1,6 @@
-// Framed messages between controllers: four bytes of length (little endian), then the message.
-// Each controller sends over connections that it opened itself and only receives on those that it accepted.
+// Exchanges messages between controllers over TCP. A frame consists of the length of the message (four bytes,
+// little endian) and the message. A controller only sends over connections that it has opened, and only
+// receives over connections that it has accepted.
 #pragma once
 
 #include <array>
@@ -18,47 +19,51 @@
 
 namespace beaconsill::net {
 
-// Bytes of a message, at most.
-constexpr std::size_t kMaxFrame = std::size_t{1024} * 1024;
-// Bytes that may wait for a peer, at least: two frames.
-constexpr std::size_t kLeastQueued = 2 * kMaxFrame;
+// Maximum size of a message.
+constexpr std::size_t kMaxMessageBytes = std::size_t{1024} * 1024;
+// Lower limit for the size of a send queue, which leaves room for two messages of the maximum size.
+constexpr std::size_t kMinQueueBytes = 2 * kMaxMessageBytes;
 
-// The sending side to one peer. Messages to a peer that can't be reached are dropped: they only make things
-// quick. Used on the thread of the io_context.
+// Sends messages to one peer. Messages to an unreachable peer are dropped, which is safe because peer
+// messages only reduce latency. Must only be used on the thread of the io_context.
 class PeerSender : public std::enable_shared_from_this<PeerSender> {
  public:
-  // `max_queued`: bytes that may wait to be sent; what comes beyond is dropped.
-  PeerSender(asio::io_context& io_context, Tcp::endpoint remote, std::size_t max_queued = kLeastQueued);
-  // Connects, and again after each failure.
+  // `max_queue_bytes` limits the bytes that are queued for sending, and is raised to kMinQueueBytes if it is
+  // lower. Messages that would exceed it are dropped.
+  PeerSender(asio::io_context& io_context, Tcp::endpoint remote,
+             std::size_t max_queue_bytes = kMinQueueBytes);
+  // Connects, and reconnects after each failure.
   void start();
+  // Queues the message. Drops it if there is no connection, if it is larger than kMaxMessageBytes or if the
+  // queue is full.
   void send(const std::string& message);
   void stop();
-  // Drops the connection and connects again: for a peer whose echoes no longer come.
+  // Closes the connection, if there is one, and reconnects. For a peer that has stopped sending echoes.
   void reset();
   bool connected() const { return connected_; }
 
  private:
   void connect();
   void on_connected();
-  // Drops the connection with all that is queued; connects again after a pause.
+  // Closes the connection, drops all queued messages and connects again after the backoff time.
   void reconnect();
   void write();
 
   asio::io_context& io_;
-  Tcp::endpoint to_;
+  Tcp::endpoint remote_;
   Tcp::socket socket_;
   asio::steady_timer timer_;
-  std::deque<std::string> queue_;  // of frames
-  std::size_t max_queued_;
+  std::deque<std::string> queue_;  // complete frames
+  std::size_t max_queue_bytes_;
   std::size_t queued_bytes_ = 0;
   Duration backoff_;
-  std::uint64_t epoch_ = 0;  // of the connection: callbacks of an earlier one are ignored
-  std::array<char, 16> sink_{};
+  std::uint64_t epoch_ = 0;  // number of the connection; callbacks of earlier connections are ignored
+  std::array<char, 16> discarded_{};
   bool connected_ = false;
   bool stopped_ = false;
 };
 
-// The receiving side for all peers. Used on the thread of the io_context.
+// Receives the messages of all peers. Must only be used on the thread of the io_context.
 class PeerReceiver : public std::enable_shared_from_this<PeerReceiver> {
  public:
   using Handler = std::function<void(std::string_view)>;
@@ -66,7 +71,7 @@
   PeerReceiver(asio::io_context& io_context, const Tcp::endpoint& local, std::size_t max_connections,
                Handler handler);
   void start();
-  // Closes all connections.
+  // Stops accepting connections and closes all open ones.
   void stop();
   Tcp::endpoint local() const { return listener_.local(); }
 
@@ -77,7 +82,7 @@
   Listener listener_;
   std::size_t max_connections_;
   Handler handler_;
-  std::deque<std::shared_ptr<Connection>> connections_;  // the oldest first
+  std::deque<std::shared_ptr<Connection>> connections_;  // in the order in which they were accepted
 };
 
 }  // namespace beaconsill::net
--- a/src/shard/machine.h
+++ b/src/shard/machine.h
@@ -76,8 +76,8 @@
 
 // What the live tasks on a machine use, in sums.
 struct MachineLoad {
-  std::array<Resources, kPriorities> used_from;  // by tasks of at least this priority
-  std::array<std::size_t, kPriorities> tasks_from{};
+  std::array<Resources, kPriorityCount> used_from;  // by tasks of at least this priority
+  std::array<std::size_t, kPriorityCount> tasks_from{};
   std::set<ImageName> fetching;
 };
 
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -30,7 +30,7 @@
 }
 
 Priority parse_priority(std::uint64_t number) {
-  if (number >= kPriorities) throw ProtocolError("a priority is out of range");
+  if (number >= kPriorityCount) throw ProtocolError("a priority is out of range");
   return static_cast<Priority>(number);
 }
 
--- a/tests/base_test.cpp
+++ b/tests/base_test.cpp
@@ -6,11 +6,11 @@
 namespace beaconsill {
 namespace {
 
-TEST(Ranges, ParsesAndWritesText) {
+TEST(Ranges, ParsesRangesAndFormatsThemInShortestForm) {
   struct Case {
     const char* text;
-    std::optional<std::uint32_t> count;  // none: refused
-    const char* shortest;                // how it is written again
+    std::optional<std::uint32_t> count;  // std::nullopt if the text is rejected
+    const char* shortest;                // the text that str() returns
   };
   const Case cases[] = {
       {"", 0, ""},
@@ -38,14 +38,14 @@
   }
 }
 
-TEST(Ranges, AddsRemovesAndTakesNumbers) {
+TEST(Ranges, AddRemoveAndTakeChangeTheSet) {
   struct Case {
     const char* start;
     const char* add;
     const char* remove;
     std::uint32_t take;
     const char* taken;
-    const char* left;
+    const char* remaining;
   };
   const Case cases[] = {
       {"0-9", "10-19", "", 0, "", "0-19"}, {"0-9", "", "3-5", 4, "0-2,6", "7-9"},
@@ -57,19 +57,20 @@
     ranges.add(*Ranges::parse(test_case.add));
     ranges.remove(*Ranges::parse(test_case.remove));
     EXPECT_EQ(ranges.take(test_case.take).str(), test_case.taken) << test_case.start;
-    EXPECT_EQ(ranges.str(), test_case.left) << test_case.start;
+    EXPECT_EQ(ranges.str(), test_case.remaining) << test_case.start;
   }
 }
 
-TEST(FencingToken, AHigherTermOutranksEveryFence) {
+TEST(FencingToken, TokenOfHigherTermExceedsAnyRaisedTokenOfLowerTerm) {
   auto earlier = FencingToken::first_of(Term(3));
   for (int i = 0; i < 1000; ++i) earlier = earlier.raised();
   EXPECT_LT(earlier, FencingToken::first_of(Term(4)));
   EXPECT_EQ(earlier.term(), Term(3));
 }
 
-TEST(StableHash, IsTheSameEverywhere) {
-  // A change of this number would move machines between shards while two versions run side by side.
+TEST(StableHash, ValuesNeverChange) {
+  // Machines are assigned to shards by this hash. If its values changed, controllers of two versions that run
+  // at the same time would assign machines to different shards.
   EXPECT_EQ(stable_hash("host-000231"), stable_hash(std::string("host-") + "000231"));
   EXPECT_EQ(stable_hash("a"), 17114084158190756429ull);
 }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -11,8 +11,8 @@
 namespace beaconsill::config {
 namespace {
 
-// Complete settings; each case below changes one thing.
-std::string good() {
+// Returns complete and valid settings. The test cases below each change one thing.
+std::string valid_settings() {
   return R"(
 node = "n0"
 area = "east"
@@ -53,29 +53,30 @@
 )";
 }
 
-TEST(Settings, GoodOnesAreReadAndUnknownFieldsIgnored) {
-  auto settings = parse_settings(good(), "s.toml");
+TEST(Settings, ParsesValidSettingsAndIgnoresUnknownFields) {
+  auto settings = parse_settings(valid_settings(), "s.toml");
   EXPECT_EQ(settings.controller, ControllerName("n0"));
-  EXPECT_EQ(settings.controllers(), 2u);
-  EXPECT_EQ(settings.team(Team("blue"))->cpus_max, 20);
-  EXPECT_EQ(settings.team(Team("red")), nullptr);
+  EXPECT_EQ(settings.controller_count(), 2u);
+  EXPECT_EQ(settings.find_team(Team("blue"))->cpus_max, 20);
+  EXPECT_EQ(settings.find_team(Team("red")), nullptr);
 }
 
-TEST(Settings, ObjectivesOfUnknownKindsAreIgnoredWithALineInTheLog) {
+TEST(Settings, LogsObjectivesOfUnknownKinds) {
   std::ostringstream log;
-  auto before = spdlog::default_logger();
+  auto original_logger = spdlog::default_logger();
   spdlog::set_default_logger(
       std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::ostream_sink_st>(log)));
-  auto text = good() + "[[cluster.objectives]]\nkind = \"deadline\"\nclass = \"c\"\nshare = 0.9\n" +
+  auto text = valid_settings() + "[[cluster.objectives]]\nkind = \"deadline\"\nclass = \"c\"\nshare = 0.9\n" +
               "[[cluster.objectives]]\nkind = \"serenity\"\nshare = 0.5\n";
   EXPECT_EQ(parse_settings(text, "s.toml").objectives.size(), 2u);
-  spdlog::set_default_logger(before);
+  spdlog::set_default_logger(original_logger);
   EXPECT_NE(log.str().find("serenity"), std::string::npos);
   EXPECT_EQ(log.str().find("deadline"), std::string::npos);
 }
 
-// Limits that come later: sizes hold from the start, rates are kept beside those of now.
-TEST(Settings, LimitsToComeHoldForSizesFromTheStart) {
+// `cluster.state.next` announces limits that come into force later. Announced size limits apply at once if
+// they are smaller; announced rate limits are stored separately from the current ones.
+TEST(Settings, AnnouncedSizeLimitsApplyAtOnceAndAnnouncedRateLimitsDoNot) {
   struct Case {
     const char* next;
     double value_kb;
@@ -89,7 +90,7 @@
       {"[cluster.state.next]\nserenity = 1\n", 8, 16, 100, 30},
   };
   for (const auto& test_case : cases) {
-    auto text = good();
+    auto text = valid_settings();
     text.insert(text.find("[cluster.cloud]"), test_case.next);
     auto settings = parse_settings(text, "s.toml");
     EXPECT_EQ(settings.value_kb, test_case.value_kb) << test_case.next;
@@ -101,42 +102,44 @@
   }
 }
 
-TEST(Settings, WrongOnesNameFileFieldAndReason) {
+TEST(Settings, ErrorsNameFileFieldAndReason) {
   struct Case {
-    const char* from;
-    const char* to;
-    const char* field;
+    const char* original;
+    const char* replacement;
+    const char* expected_text;
   };
   const Case cases[] = {
       {"node = \"n0\"", "node = 7", "s.toml: node: must be a string"},
       {"node = \"n0\"", "", "s.toml: node: is missing"},
-      {"node = \"n1\"", "node = \"n0\"", "known[0].node: is named twice"},
+      {"node = \"n1\"", "node = \"n0\"", "known[0].node: duplicate controller name 'n0'"},
       {"rps = 100.0", "rps = \"many\"", "cluster.state.rps: must be a number"},
       {"rps = 100.0", "rps = -1.0", "cluster.state.rps"},
       {"rps = 100.0", "rps = nan", "cluster.state.rps"},
-      {"txn_ops = 16", "txn_ops = 0", "cluster.state.txn_ops: must be a whole number"},
+      {"txn_ops = 16", "txn_ops = 0", "cluster.state.txn_ops: must be an integer"},
       {"txn_ops = 16", "txn_ops = 16\nnext = 3", "cluster.state.next: must be a table"},
-      {"txn_ops = 16", "txn_ops = 16\nnext = {txn_ops = 0}", "cluster.state.next.txn_ops: must be a whole"},
+      {"txn_ops = 16", "txn_ops = 16\nnext = {txn_ops = 0}",
+       "cluster.state.next.txn_ops: must be an integer"},
       {"txn_ops = 16", "txn_ops = 16\nnext = {value_kb = -1}", "cluster.state.next.value_kb"},
-      {"lease_s = 10.0", "lease_s = 0.5", "cluster.workers.lease_s: must be more than report_s"},
-      {"cpus = 10", "cpus = 30", "cluster.teams[0].cpus: is more than cpus_max"},
+      {"lease_s = 10.0", "lease_s = 0.5", "cluster.workers.lease_s: must be greater than report_s"},
+      {"cpus = 10", "cpus = 30", "cluster.teams[0].cpus: must not be greater than cpus_max"},
       {R"(zones = ["east", "west"])", "zones = [1]", "cluster.zones"},
       {"[external]", "[external", "s.toml: line"},
   };
   for (const auto& test_case : cases) {
-    auto text = good();
-    text.replace(text.find(test_case.from), std::string(test_case.from).size(), test_case.to);
+    auto text = valid_settings();
+    text.replace(text.find(test_case.original), std::string(test_case.original).size(),
+                 test_case.replacement);
     try {
       parse_settings(text, "s.toml");
-      ADD_FAILURE() << "accepted: " << test_case.to;
+      ADD_FAILURE() << "accepted: " << test_case.replacement;
     } catch (const ConfigError& error) {
-      EXPECT_NE(std::string(error.what()).find(test_case.field), std::string::npos) << error.what();
+      EXPECT_NE(std::string(error.what()).find(test_case.expected_text), std::string::npos) << error.what();
     }
   }
   EXPECT_THROW(load_settings("/nowhere/at/all.toml"), ConfigError);
 }
 
-TEST(Expr, Values) {
+TEST(Expr, EvaluatesToExpectedTypeAndValue) {
   ExprNames names{{"lease", {ExprType::kDuration, 10}}, {"n", {ExprType::kNumber, 3}}};
   struct Case {
     const char* text;
@@ -159,7 +162,7 @@
   }
 }
 
-TEST(Expr, MistakesAreFoundBeforeEvaluation) {
+TEST(Expr, RejectsInvalidExpressions) {
   ExprNames names{{"lease", {ExprType::kDuration, 10}}};
   const char* const cases[] = {
       "",         "1 +",       "1s + 2",        "lease * lease", "2 / lease", "!3",
@@ -172,8 +175,8 @@
   EXPECT_THROW(evaluate(std::string(5000, '!') + "true", names), ExprError);
 }
 
-TEST(Policy, DefaultsAndOverrides) {
-  auto settings = parse_settings(good(), "s.toml");
+TEST(Policy, FileOverridesDefaults) {
+  auto settings = parse_settings(valid_settings(), "s.toml");
   auto defaults = load_policy("", settings);
   EXPECT_EQ(defaults.task_cap, 64u);
   auto policy = parse_policy(
@@ -183,54 +186,55 @@
   EXPECT_EQ(policy.idle_return, defaults.idle_return);
 }
 
-// A job that waits beyond all objectives goes to the head of the queue, though in time for the largest to
-// begin within four minutes, and not so soon that age would rule instead of the due times.
-TEST(Policy, TheLongestWaitFollowsFromTheObjectives) {
+// A job that waits for longer than all objectives allow moves to the head of the queue. The upper bound of
+// that wait lets the largest jobs start within four minutes; the lower bound prevents ordering the queue by
+// age instead of by due time.
+TEST(Policy, DefaultLongestWaitIsDerivedFromObjectives) {
   struct Case {
-    const char* what;
+    const char* description;
     std::vector<Objective> objectives;
     const char* policy;
     double longest_wait_s;
   };
   const Case cases[] = {
       {"no objectives", {}, "", 150},
-      {"the longest counts",
+      {"longest objective determines the wait",
        {{"wait", "web", 0.9, 1}, {"finished", "a", 0.9, 90}, {"wait", "b", 0.9, 70}},
        "",
        90},
-      {"an objective on completion", {{"finished", "a", 0.9, 120}}, "", 120},
-      {"beyond the four minutes", {{"finished", "a", 0.9, 600}}, "", 150},
-      {"services only", {{"wait", "web", 0.9, 1}}, "", 60},
-      {"deadlines are each job's own", {{"deadline", "a", 0.9, 0, 1.5}}, "", 150},
-      {"other objectives have times too", {{"up", "web", 0.9, 80}}, "", 150},
-      {"operators decide", {{"finished", "a", 0.9, 90}}, "longest_wait = 200s", 200},
-      {"operators build on the objectives",
+      {"objective for completion", {{"finished", "a", 0.9, 120}}, "", 120},
+      {"objective longer than four minutes", {{"finished", "a", 0.9, 600}}, "", 150},
+      {"objective shorter than the lower bound", {{"wait", "web", 0.9, 1}}, "", 60},
+      {"deadline objectives are ignored", {{"deadline", "a", 0.9, 0, 1.5}}, "", 150},
+      {"objectives of other kinds are ignored", {{"up", "web", 0.9, 80}}, "", 150},
+      {"policy sets the wait", {{"finished", "a", 0.9, 90}}, "longest_wait = 200s", 200},
+      {"policy computes the wait from the objectives",
        {{"finished", "a", 0.9, 90}},
        "longest_wait = longest_aim * 2",
        180},
   };
   for (const auto& test_case : cases) {
-    auto settings = parse_settings(good(), "s.toml");
+    auto settings = parse_settings(valid_settings(), "s.toml");
     settings.objectives = test_case.objectives;
     EXPECT_EQ(parse_policy(test_case.policy, "p", settings).longest_wait,
               from_seconds(test_case.longest_wait_s))
-        << test_case.what;
+        << test_case.description;
   }
 }
 
-TEST(Policy, MistakesNameLineAndReason) {
-  auto settings = parse_settings(good(), "s.toml");
+TEST(Policy, ErrorsNameLineAndReason) {
+  auto settings = parse_settings(valid_settings(), "s.toml");
   struct Case {
     const char* text;
     const char* reason;
   };
   const Case cases[] = {
-      {"task_cap 7", "p:1: expected name = expression"},
-      {"\nno_such = 1", "p:2: unknown setting 'no_such'"},
+      {"task_cap 7", "p:1: expected 'name = expression'"},
+      {"\nno_such = 1", "p:2: unknown policy variable 'no_such'"},
       {"task_cap = 2s", "p:1: task_cap: must be a number"},
-      {"task_cap = 0", "must lie between"},
+      {"task_cap = 0", "must be between"},
       {"task_cap = 1\ntask_cap = 2", "p:2: task_cap: is set twice"},
-      {"reserve = 2", "must lie between"},
+      {"reserve = 2", "must be between"},
       {"grace = lease +", "p:1: grace: column"},
   };
   for (const auto& test_case : cases) {
--- a/tests/controller_component_fixture.h
+++ b/tests/controller_component_fixture.h
@@ -35,7 +35,7 @@
   settings.zones = {Zone("a"), Zone("b"), Zone("c")};
   settings.peers = {{kPeer, Zone("b"), "127.0.0.1:1"}, {kOtherPeer, Zone("c"), "127.0.0.1:1"}};
   settings.teams = {{Team("blue"), 0, 0, 0, 0}};
-  settings.report_s = 1;
+  settings.worker_heartbeat_period_s = 1;
   settings.lease_s = 10;
   settings.cancel_s = 40;
   settings.txn_ops = 16;
--- a/tests/controller_concurrent_faults_test.cpp
+++ b/tests/controller_concurrent_faults_test.cpp
@@ -24,8 +24,8 @@
     settings.zone = Zone("east");
     settings.zones = {Zone("east")};
     settings.teams = {{Team("blue"), 0, kQuotaCpus, 0, 0}};
-    settings.listen = fakes::text(endpoint);
-    settings.peer_listen = fakes::text(peer_port.endpoint());
+    settings.listen_address = fakes::text(endpoint);
+    settings.peer_listen_address = fakes::text(peer_port.endpoint());
     controller = std::make_unique<controller::Controller>(io, clock, settings,
                                                           config::parse_policy("", "test", settings));
     controller->start();
--- a/tests/controller_end_to_end_test.cpp
+++ b/tests/controller_end_to_end_test.cpp
@@ -38,8 +38,8 @@
   void start(std::size_t i) {
     auto config = controller_settings(state, cloud, i);
     config.zone = Zone(i ? "west" : "east");
-    config.listen = fakes::text(ports[2 * i]);
-    config.peer_listen = fakes::text(ports[2 * i + 1]);
+    config.listen_address = fakes::text(ports[2 * i]);
+    config.peer_listen_address = fakes::text(ports[2 * i + 1]);
     config.peers = {{ControllerName("n" + std::to_string(1 - i)), Zone(i ? "east" : "west"),
                      fakes::text(ports[2 * (1 - i) + 1])}};
     config.zones = {Zone("east"), Zone("west")};
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -28,9 +28,9 @@
                                             std::size_t number) {
   config::Settings settings;
   settings.controller = ControllerName("n" + std::to_string(number));
-  settings.cloud = fakes::text(cloud.server->local());
-  settings.state = fakes::text(state.doors[number]->local());
-  settings.report_s = 0.2;
+  settings.cloud_address = fakes::text(cloud.server->local());
+  settings.state_store_address = fakes::text(state.doors[number]->local());
+  settings.worker_heartbeat_period_s = 0.2;
   settings.lease_s = 5;
   settings.cancel_s = 20;
   settings.state_rps = 1000;
--- a/tests/message_parser_test.cpp
+++ b/tests/message_parser_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP parser of server and client.
+// Tests the HTTP parser that the server and the client share.
 #include "net/message_parser.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 using Status = MessageParser::Status;
 
-// Collects what the parser finds, and refuses bodies that are too large.
+// Collects the parts of the message, and rejects bodies larger than `max_body_bytes`.
 struct CollectingSink : MessageParser::Sink {
   bool on_target(std::string_view text) override {
     target.append(text);
@@ -27,52 +27,55 @@
   }
   bool on_body(std::string_view text) override {
     body.append(text);
-    return body.size() <= max_body;
+    return body.size() <= max_body_bytes;
   }
 
   std::string target, headers, body;
-  std::size_t max_body = 10;
+  std::size_t max_body_bytes = 10;
 };
 
-TEST(MessageParser, FindsRequestsHoweverTheirBytesCome) {
+TEST(MessageParser, ResultDoesNotDependOnHowBytesAreSplit) {
   struct Case {
-    const char* what;
+    const char* description;
     std::string bytes;
     Status status;
     std::string target, body;
     bool keep_alive;
   };
   const Case cases[] = {
-      {"without a body", "GET /a?b HTTP/1.1\r\nHost: x\r\n\r\n", Status::kComplete, "/a?b", "", true},
-      {"with a body", "POST /p HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz", Status::kComplete, "/p", "xyz",
-       true},
-      {"the last one", "GET /z HTTP/1.1\r\nConnection: close\r\n\r\n", Status::kComplete, "/z", "", false},
-      {"cut off", "POST /p HTTP/1.1\r\nContent-Length: 9\r\n\r\nxyz", Status::kIncomplete, "/p", "xyz", true},
-      {"refused by the sink", "POST /p HTTP/1.1\r\nContent-Length: 11\r\n\r\nxyzxyzxyzxy", Status::kMalformed,
-       "/p", "xyzxyzxyzxy", true},
+      {"request without a body", "GET /a?b HTTP/1.1\r\nHost: x\r\n\r\n", Status::kComplete, "/a?b", "", true},
+      {"request with a body", "POST /p HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz", Status::kComplete, "/p",
+       "xyz", true},
+      {"request that closes the connection", "GET /z HTTP/1.1\r\nConnection: close\r\n\r\n",
+       Status::kComplete, "/z", "", false},
+      {"truncated request", "POST /p HTTP/1.1\r\nContent-Length: 9\r\n\r\nxyz", Status::kIncomplete, "/p",
+       "xyz", true},
+      {"rejected by the sink", "POST /p HTTP/1.1\r\nContent-Length: 11\r\n\r\nxyzxyzxyzxy",
+       Status::kMalformed, "/p", "xyzxyzxyzxy", true},
       {"not HTTP", "hello\r\n\r\n", Status::kMalformed, "", "", true},
   };
   for (const auto& test_case : cases) {
-    for (std::size_t step : {std::size_t{1}, std::size_t{7}, test_case.bytes.size()}) {
+    for (std::size_t chunk_size : {std::size_t{1}, std::size_t{7}, test_case.bytes.size()}) {
       CollectingSink sink;
       MessageParser parser(HTTP_REQUEST, sink);
       auto status = Status::kIncomplete;
-      for (std::size_t i = 0; i < test_case.bytes.size() && status == Status::kIncomplete; i += step)
-        status = parser.parse(std::string_view(test_case.bytes).substr(i, step)).status;
-      EXPECT_EQ(status, test_case.status) << test_case.what << ", " << step;
-      EXPECT_EQ(sink.target, test_case.target) << test_case.what << ", " << step;
+      for (std::size_t i = 0; i < test_case.bytes.size() && status == Status::kIncomplete; i += chunk_size)
+        status = parser.parse(std::string_view(test_case.bytes).substr(i, chunk_size)).status;
+      EXPECT_EQ(status, test_case.status) << test_case.description << ", " << chunk_size;
+      EXPECT_EQ(sink.target, test_case.target) << test_case.description << ", " << chunk_size;
       if (test_case.status != Status::kMalformed) {
-        EXPECT_EQ(sink.body, test_case.body) << test_case.what << ", " << step;
+        EXPECT_EQ(sink.body, test_case.body) << test_case.description << ", " << chunk_size;
       }
       if (test_case.status == Status::kComplete) {
-        EXPECT_EQ(parser.keep_alive(), test_case.keep_alive) << test_case.what;
-        EXPECT_EQ(parser.method(), test_case.bytes.substr(0, test_case.bytes.find(' '))) << test_case.what;
+        EXPECT_EQ(parser.keep_alive(), test_case.keep_alive) << test_case.description;
+        EXPECT_EQ(parser.method(), test_case.bytes.substr(0, test_case.bytes.find(' ')))
+            << test_case.description;
       }
     }
   }
 }
 
-TEST(MessageParser, LeavesWhatFollowsACompleteMessage) {
+TEST(MessageParser, DoesNotConsumeBytesAfterCompleteMessage) {
   const std::string first = "POST /1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nab";
   const std::string second = "GET /2 HTTP/1.1\r\n\r\n";
   CollectingSink sink;
@@ -88,7 +91,7 @@
   EXPECT_EQ(sink.body, "ab");
 }
 
-TEST(MessageParser, KnowsTheStatusOfAResponse) {
+TEST(MessageParser, ReturnsStatusCodeOfResponse) {
   CollectingSink sink;
   MessageParser parser(HTTP_RESPONSE, sink);
   for (int status : {200, 409, 503}) {
