--- a/src/shard/machine.h
+++ b/src/shard/machine.h
@@ -79,8 +79,8 @@
 
 // Totals over the live tasks on a machine. The arrays are indexed by priority.
 struct MachineLoad {
-  std::array<Resources, kPriorities> used_at_or_above;            // by tasks of at least this priority
-  std::array<std::size_t, kPriorities> task_count_at_or_above{};  // tasks of at least this priority
+  std::array<Resources, kPriorityCount> used_at_or_above;            // by tasks of at least this priority
+  std::array<std::size_t, kPriorityCount> task_count_at_or_above{};  // tasks of at least this priority
   std::set<ImageName> fetching;
 };
 
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -31,9 +31,9 @@
 }
 
 Priority parse_priority(std::uint64_t number) {
-  if (number >= kPriorities)
+  if (number >= kPriorityCount)
     throw ProtocolError("q has the priority " + std::to_string(number) + ", which is not less than " +
-                        std::to_string(kPriorities));
+                        std::to_string(kPriorityCount));
   return static_cast<Priority>(number);
 }
 
--- a/tests/controller_concurrent_faults_test.cpp
+++ b/tests/controller_concurrent_faults_test.cpp
@@ -24,8 +24,8 @@
     settings.zone = Zone("east");
     settings.zones = {Zone("east")};
     settings.teams = {{Team("blue"), 0, kTeamQuotaCpus, 0, 0}};
-    settings.listen = fakes::to_string(endpoint);
-    settings.peer_listen = fakes::to_string(peer_port.endpoint());
+    settings.listen_address = fakes::to_string(endpoint);
+    settings.peer_listen_address = fakes::to_string(peer_port.endpoint());
     controller = std::make_unique<controller::Controller>(io, clock, settings,
                                                           config::parse_policy("", "test", settings));
     controller->start();
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -29,9 +29,9 @@
                                             std::size_t number) {
   config::Settings settings;
   settings.controller = ControllerName("n" + std::to_string(number));
-  settings.cloud = fakes::to_string(cloud.server->local());
-  settings.state = fakes::to_string(state.servers[number]->local());
-  settings.report_s = 0.2;
+  settings.cloud_address = fakes::to_string(cloud.server->local());
+  settings.state_store_address = fakes::to_string(state.servers[number]->local());
+  settings.worker_heartbeat_period_s = 0.2;
   settings.lease_s = 5;
   settings.cancel_s = 20;
   settings.state_rps = 1000;
