--- a/src/config/policy.cpp
+++ b/src/config/policy.cpp
@@ -125,10 +125,9 @@
     const auto result = evaluate(expression, names_);
     if (result.type != spec.type)
       throw ExprError(std::string("must be a ") + type_name(spec.type) + ", not a " + type_name(result.type));
-    if (result.value < spec.min_value || result.value > spec.max_value_bytes) {
+    if (result.value < spec.min_value || result.value > spec.max_value) {
       std::ostringstream reason;
-      reason << "is " << result.value << ", must be between " << spec.min_value << " and "
-             << spec.max_value_bytes;
+      reason << "is " << result.value << ", must be between " << spec.min_value << " and " << spec.max_value;
       throw ExprError(reason.str());
     }
     return result.value;
