--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -29,7 +29,7 @@
 using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
 // Numbers the messages of one sender.
 using Sequence = Strong<struct SequenceTag, std::uint64_t>;
-// The term of a role, which increases whenever a process acquires the role; see FencingToken.
+// The term of a role, which increases whenever a controller acquires the role; see FencingToken.
 using Term = Strong<struct TermTag, std::uint64_t>;
 // The revision of the state store, which increases with each write.
 using Revision = Strong<struct RevisionTag, std::uint64_t>;
--- a/src/config/policy.cpp
+++ b/src/config/policy.cpp
@@ -52,7 +52,7 @@
        "fraction of a machine that array jobs leave free for services",
        [](Policy& policy, double value) { policy.reserve = value; }},
       {"grace", ExprType::kDuration, "max(4 * report_period, lease / 2)", 0.5, 600,
-       "time without contact after which a machine is deleted, which confirms that it is terminated",
+       "time without contact after which a machine is deleted, to confirm that it is terminated",
        duration_setter(&Policy::grace)},
       {"idle_return", ExprType::kDuration, "120s", 1, 86400,
        "idle time after which a machine is returned to the cloud", duration_setter(&Policy::idle_return)},
@@ -62,11 +62,11 @@
       {"home_delay", ExprType::kDuration, "15s", 0, 86400,
        "time that a shard's preferred controller must be healthy before the shard fails back to it",
        duration_setter(&Policy::fail_back_delay)},
-      // The lower limit is 60 s because ordering the queue by due time gives better results than ordering it
-      // by age for shorter waits. The upper limit is 150 s because the head of the queue doesn't have
-      // capacity at once: other tasks must end first, and jobs of higher priority go first until 1.3 times
-      // this wait. That time and the scheduling rounds that a large job needs must be within four minutes in
-      // total.
+      // The lower limit is 60 s: for jobs that have waited for less, ordering the queue by due time gives
+      // better results than ordering it by age. The upper limit is 150 s because a job at the head of the
+      // queue doesn't get capacity at once: other tasks must end first, and jobs of higher priority go first
+      // until the job has waited 1.3 times as long. That time and the scheduling rounds that a large job
+      // needs must be within four minutes in total.
       {"longest_wait", ExprType::kDuration, "clamp(longest_aim, 60s, 150s)", 1, 86400,
        "time without any started task after which a job moves to the head of the queue",
        duration_setter(&Policy::longest_wait)},
@@ -125,10 +125,9 @@
     const auto result = evaluate(expression, names_);
     if (result.type != spec.type)
       throw ExprError(std::string("must be a ") + type_name(spec.type) + ", not a " + type_name(result.type));
-    if (result.value < spec.min_value || result.value > spec.max_value_bytes) {
+    if (result.value < spec.min_value || result.value > spec.max_value) {
       std::ostringstream reason;
-      reason << "is " << result.value << ", must be between " << spec.min_value << " and "
-             << spec.max_value_bytes;
+      reason << "is " << result.value << ", must be between " << spec.min_value << " and " << spec.max_value;
       throw ExprError(reason.str());
     }
     return result.value;
--- a/src/config/policy.h
+++ b/src/config/policy.h
@@ -17,8 +17,8 @@
   std::uint32_t task_cap;    // maximum number of tasks on one machine
   Duration summary_period;   // interval at which a shard sends the summary of its capacity
   double reserve;            // fraction of each machine that array jobs leave free for services
-  Duration grace;            // time without contact after which a machine is deleted, which confirms that
-                             // it is terminated
+  Duration grace;            // time without contact after which a machine is deleted, to confirm that it
+                             // is terminated
   Duration idle_return;      // idle time after which a machine is returned to the cloud
   Duration quiet_return;     // idle time after which a machine is returned while there are no jobs at all
   Duration fail_back_delay;  // time that a shard's preferred controller must be healthy before the shard
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -62,10 +62,10 @@
   // Limits of the state store. `cluster.state.next` announces limits that come into force later. A size limit
   // is the smaller of the current and the announced one, because stored values must remain writable. Rate
   // limits are stored separately: the current ones, and those that are announced.
-  double value_kb = 64;     // KiB; the default is the limit of the protocol for a whole transaction
-  std::size_t txn_ops = 0;  // maximum number of changes in one transaction
-  double state_rps = 0;     // requests per second
-  double state_write_rps = 0;
+  double value_kb = 64;        // KiB; the default is the limit of the protocol for a whole transaction
+  std::size_t txn_ops = 0;     // maximum number of puts and deletes in one transaction
+  double state_rps = 0;        // requests per second
+  double state_write_rps = 0;  // puts and deletes per second
   double next_state_rps = 0;
   double next_state_write_rps = 0;
   double cloud_rps = 0;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -17,7 +17,7 @@
   // The limit for all connections. Beyond it, the connection that has been idle for longest is closed to make
   // room for a new one; if none is idle, the new connection is closed.
   std::size_t max_connections = 256;
-  // The limit for those connections over which a request has arrived that IsUser classifies as a user's.
+  // The limit for user connections: those over which at least one request of a user (see IsUser) has arrived.
   std::size_t max_user_connections = 192;
   std::size_t max_body_bytes = std::size_t{64} * 1024;
   // The limit for the request target and all header fields together.
--- a/src/net/message_parser.cpp
+++ b/src/net/message_parser.cpp
@@ -42,7 +42,7 @@
   complete_ = false;
   const std::size_t consumed = http_parser_execute(&parser_, &settings(), bytes.data(), bytes.size());
   if (complete_) {
-    // Resumes the parser. The count of a paused parser excludes the byte that it stopped at.
+    // Resumes the parser for the next message. `consumed` includes the last byte of this one.
     http_parser_pause(&parser_, 0);
     return {Status::kComplete, consumed};
   }
--- a/src/net/message_parser.h
+++ b/src/net/message_parser.h
@@ -40,7 +40,7 @@
   MessageParser& operator=(const MessageParser&) = delete;
   ~MessageParser() = default;
 
-  // Resets the parser, for the first message of a new connection.
+  // Resets the parser, which then expects the start of a message.
   void reset();
   // Parses `bytes` up to the end of the current message.
   Progress parse(std::string_view bytes);
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -13,7 +13,8 @@
 constexpr Duration kInitialBackoff = std::chrono::milliseconds(100);
 constexpr Duration kMaxBackoff = std::chrono::milliseconds(800);
 constexpr Duration kConnectTimeout = std::chrono::seconds(1);
-// A connection is closed if sending one frame takes longer than this. Heartbeats are sent far more often.
+// A connection is closed if sending one frame takes longer than this. The interval between heartbeats is far
+// shorter.
 constexpr Duration kStallTimeout = std::chrono::seconds(3);
 
 constexpr std::size_t kFrameHeaderBytes = 4;
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -38,7 +38,7 @@
   // queue is full.
   void send(const std::string& message);
   void stop();
-  // Closes the connection, if there is one, and reconnects. For a peer that has stopped sending echoes.
+  // Closes the connection, if there is one, and reconnects. For a peer that no longer answers heartbeats.
   void reset();
   bool connected() const { return connected_; }
 
--- a/src/state_store/access.h
+++ b/src/state_store/access.h
@@ -45,16 +45,16 @@
  public:
   virtual ~StateReader() = default;
   virtual const StateView& view() const = 0;
-  // The view contains all changes that were made before the returned time. Returns std::nullopt until the
-  // whole content has been read once.
+  // Returns a time such that the view contains all changes that were made before it, or std::nullopt until
+  // the whole content has been read once.
   virtual std::optional<Instant> up_to_date_at() const = 0;
   // Returns whether the whole content has been read.
   virtual bool ready() const = 0;
   // Brings the view up to date. Calls `done` with true once the view contains everything that was written
   // before this call, and with false if the read failed.
   virtual void sync(std::function<void(bool)> done) = 0;
-  // Returns false while a read is not expected to be answered soon: the state store refuses this controller's
-  // requests, or has not answered the current read for some time.
+  // Returns false while a read is not expected to be answered soon: the whole content has not been read yet,
+  // the state store is unavailable to this controller, or it has not answered the current read for some time.
   virtual bool is_responsive() const = 0;
   // Sends a transaction, or fails it with TxnError::kNotExecuted if it can't be sent within `queue_wait`. If
   // the response is late, the changes read from the state store may show that the transaction was applied;
@@ -62,7 +62,7 @@
   // be applied later (TxnError::kUnknown).
   virtual void commit(protocol::Txn txn, Urgency urgency, std::function<void(TxnResult)> done,
                       Duration queue_wait) = 0;
-  // Applies to the view a transaction of this controller that the state store applied under `revision`.
+  // Applies this controller's own transaction, which the state store executed under `revision`, to the view.
   virtual void apply_own_txn(const protocol::Txn& txn, Revision revision) = 0;
 };
 
--- a/src/state_store/client.h
+++ b/src/state_store/client.h
@@ -65,8 +65,8 @@
 
   // Sets this controller's share of the service's rate limits, each from 0 to 1.
   void set_shares(double requests, double writes);
-  // The shortest interval between periodic requests of one kind that together use at most half of this
-  // controller's share of the request rate limit.
+  // The shortest interval at which a request can be repeated so that all its repetitions use at most half of
+  // this controller's share of the request rate limit.
   Duration min_request_interval() const { return from_seconds(2 / std::max(1.0, queue_.request_rate())); }
   // How many puts and deletes could be sent now if half a second's worth of the write rate is reserved for
   // more urgent transactions.
@@ -74,9 +74,9 @@
   // The size limits of transactions and values that currently apply.
   const EffectiveSizeLimits& size_limits() const { return size_limits_; }
   Duration write_wait(Urgency urgency) const override { return queue_.write_wait(urgency); }
-  // Returns false from the moment that the state store refuses this controller's requests or leaves a read
-  // unanswered until the next response. Transactions without a response don't count: the state store may be
-  // available and only their responses lost.
+  // Returns false after a response with status 503 or a read without a response, until the next response with
+  // another status. Transactions without a response don't count: the state store may be available and only
+  // their responses lost.
   bool available() const { return available_; }
   // A transaction that has had no response for this long is more likely to have lost its response than to be
   // slow.
--- a/src/state_store/controller_liveness.h
+++ b/src/state_store/controller_liveness.h
@@ -28,8 +28,8 @@
   std::optional<std::uint32_t> advertised_version(const ControllerName& controller) const;
   // Returns the recorded highest format version that each controller has ever advertised.
   const Versioned<Versions>& versions() const { return versions_; }
-  // Returns whether each of these controllers has advertised at least `version` at some time and none that is
-  // alive advertises a lower version now.
+  // Returns whether each of these controllers has advertised `version` or a higher one at some time, and
+  // those that are alive don't advertise a lower one now.
   bool all_support(std::uint32_t version, const std::vector<ControllerName>& controllers) const;
 
  private:
--- a/src/state_store/dependencies.h
+++ b/src/state_store/dependencies.h
@@ -27,14 +27,15 @@
                      const TerminalRecordLookup& terminal_record_of);
   // Removes a job after its record was deleted, which happens only once the job has a terminal record.
   void on_job_record_deleted(const JobId& job);
-  // Updates the dependents of `job` after its terminal record was read. `job` may be any job.
+  // Updates the dependents of `job` after its terminal record was read. `job` need not have been added.
   void on_terminal_record(const JobId& job, const TerminalRecord& record);
   void clear();
 
   // Returns whether at least one job that this one depends on isn't done yet.
   bool waiting(const JobId& job) const;
-  // Returns when the last dependency of the job was done, or `fallback` if no terminal record has a
-  // completion time. Returns std::nullopt if the job still waits for a dependency, or has no dependencies.
+  // Returns when the last of the job's dependencies was done, or `fallback` if none of their terminal
+  // records has a completion time. Returns std::nullopt if the job still waits for a dependency, or has no
+  // dependencies.
   std::optional<WallMs> ready_since(const JobId& job, WallMs fallback) const;
   // Returns the direct or transitive dependency whose recorded cancellation cancels this job, or null if
   // there is none.
@@ -50,7 +51,7 @@
  private:
   struct Dependent {
     std::vector<JobId> depends_on;
-    std::size_t unfinished_count = 0;  // of `depends_on`, how many aren't done
+    std::size_t unfinished_count = 0;  // number of jobs in `depends_on` that aren't done
     std::optional<WallMs> ready_since;
     std::optional<JobId> cancelled_by;
     bool has_terminal_record = false;
--- a/src/state_store/effective_limits.cpp
+++ b/src/state_store/effective_limits.cpp
@@ -58,7 +58,7 @@
   const auto bytes = protocol::dump(*txn.writes[0].value).size();
   if (bytes <= kMinValueBytes || bytes > value_bytes_) return;
   lower(value_bytes_, std::max(kMinValueBytes, bytes / 2), now);
-  // The larger transactions were refused for the size of this value, not for their number of writes.
+  // Earlier, larger transactions were refused for the size of this value and not for their number of writes.
   txn_ops_ = configured_txn_ops_;
 }
 
--- a/src/state_store/machine_registry.h
+++ b/src/state_store/machine_registry.h
@@ -17,7 +17,7 @@
 using MachinesByBucket = std::map<std::uint32_t, std::vector<MachineRecord>>;
 
 struct RegistryLimits {
-  std::size_t txn_ops = 0;      // maximum number of changes per transaction
+  std::size_t txn_ops = 0;      // maximum number of puts and deletes per transaction
   std::size_t value_bytes = 0;  // maximum size of a key's value
 };
 
@@ -25,7 +25,7 @@
 std::vector<MachineRecord> registered_machines(const StateView& view, ShardId shard);
 
 // Returns the next transaction that brings the given buckets of the shard's registry closer to `wanted`, or
-// std::nullopt if there is nothing to write or no further machine fits. Changes that exceed the limits of one
+// std::nullopt if there is nothing to write or no further machine fits. Writes that exceed the limits of one
 // transaction are left to later calls.
 //
 // Keys that an earlier format version can't read are written only if all `controllers` support them. A
--- a/src/state_store/pending_txns.h
+++ b/src/state_store/pending_txns.h
@@ -32,9 +32,9 @@
   Done take(std::uint64_t id);
   // Returns when the oldest of the sent transactions was sent, or std::nullopt if there is none.
   std::optional<Instant> oldest_sent() const;
-  // Removes and returns the transactions that `changes` show to be applied: all their writes are among the
-  // changes with the same values, under one revision that is later than the known revision when they were
-  // sent. A transaction that is not found may still be applied later, so its absence proves nothing.
+  // Removes and returns the transactions that were applied according to `changes`: those whose writes are all
+  // among the changes, with the same values and under one revision later than the transaction's
+  // `known_revision`. A transaction that is not found may still be applied later.
   std::vector<Applied> take_applied(const std::vector<protocol::Change>& changes);
 
  private:
--- a/src/state_store/record_keys.h
+++ b/src/state_store/record_keys.h
@@ -45,7 +45,7 @@
   RecordKind kind = RecordKind::kJob;
   std::string name;          // the job's ID, or for liveness records the controller's name
   ShardId shard;             // for progress, machines and a shard's role
-  std::uint32_t number = 0;  // for dependencies the segment, for machines the number of the registry key
+  std::uint32_t number = 0;  // the segment of the dependencies, or the number of the registry key
 };
 
 // Returns std::nullopt if the key doesn't belong to one of the service's records.
--- a/src/state_store/records.cpp
+++ b/src/state_store/records.cpp
@@ -165,8 +165,8 @@
   Versions versions;
   for (const auto& [controller, version] : advertised.items()) {
     if (!version.is_number_unsigned())
-      throw ProtocolError("shown has a version for controller " + controller +
-                          " that is not a non-negative integer");
+      throw ProtocolError("the version of controller " + controller +
+                          " in shown is not an integer of at least 0");
     versions[ControllerName(controller)] = version.get<std::uint32_t>();
   }
   return versions;
--- a/src/state_store/records.h
+++ b/src/state_store/records.h
@@ -101,9 +101,9 @@
   WallMs written;
 };
 
-// The highest format version of the records that this program can read and write. Version 0 has no
-// dependencies. Incremented with every new record or field that an earlier version would misread; see
-// docs/upgrade.md.
+// The highest format version of the records that this program can read and write. Version 0 doesn't support
+// dependencies between jobs. Must be incremented with every new record or field that an earlier version would
+// misread; see docs/upgrade.md.
 constexpr std::uint32_t kFormatVersion = 2;
 // The lowest format version that supports dependencies between jobs.
 constexpr std::uint32_t kDependenciesMinVersion = 1;
--- a/src/state_store/request_queue.h
+++ b/src/state_store/request_queue.h
@@ -33,7 +33,7 @@
 // all requests and one for writes (puts and deletes).
 //
 // Reads don't wait behind transactions that wait for the write rate limit. Submissions that are refused
-// during an outage use up that limit, and in a common queue every read was delayed by them (by 2 s in
+// during an outage use up that limit; in a common queue they would delay every read (by 2 s in
 // state_store_test).
 class RequestQueue {
  public:
--- a/src/state_store/state_view.cpp
+++ b/src/state_store/state_view.cpp
@@ -41,7 +41,7 @@
 }
 
 // Everything must be erased: a leader that retained jobs which were deleted while it couldn't read would
-// grant their tasks repeatedly, and each such transaction fails together with all the other grants in it.
+// grant their tasks repeatedly, and each such transaction would fail with all the other grants in it.
 void StateView::clear() {
   for (const auto& [id, job] : jobs_.jobs()) changes_.jobs.insert(id);
   for (const auto& [id, record] : terminal_records_.all()) changes_.jobs.insert(id);
--- a/src/state_store/state_view.h
+++ b/src/state_store/state_view.h
@@ -35,7 +35,7 @@
   void apply(const protocol::Change& change);
   // Applies changes that were read together, in the order of their revisions and not as listed.
   void apply_all(std::vector<protocol::Change> changes);
-  // Records that all changes up to this revision were applied. Later calls of `apply` ignore such changes.
+  // Records that all changes up to this revision were applied. Later calls of `apply` ignore these revisions.
   void mark_complete_up_to(Revision revision) { complete_to_ = std::max(complete_to_, revision); }
   // Erases all records before a full reload. Reports all of them as changed, because the reload may not
   // restore them.
--- a/src/state_store/txn_draft.h
+++ b/src/state_store/txn_draft.h
@@ -20,8 +20,8 @@
 // Not thread-safe.
 class TxnDraft {
  public:
-  // `max_grants_per_txn`: how many puts and deletes the transaction may contain.
-  explicit TxnDraft(std::size_t max_grants_per_txn) : max_writes_(max_grants_per_txn) {}
+  // `max_writes`: how many puts and deletes the transaction may contain.
+  explicit TxnDraft(std::size_t max_writes) : max_writes_(max_writes) {}
 
   // Adds writes and their conditions. Returns false, and adds nothing, if they would exceed a limit.
   bool add(const std::vector<protocol::Condition>& conditions, const std::vector<protocol::Write>& writes);
--- a/src/state_store/value_sizes.h
+++ b/src/state_store/value_sizes.h
@@ -16,8 +16,8 @@
 
 // Returns as much of `wanted` as `max_bytes` allows. The result always contains what `recorded` and `wanted`
 // have in common, even if that exceeds `max_bytes`. Tasks that are left out count as neither done nor
-// released until a later record contains them, which is safe: the encoding of the set of finished tasks gets
-// shorter as its gaps close.
+// released until a later record contains them. That is safe, and room for them appears over time, because the
+// encoding of the set of finished tasks gets shorter as its gaps close.
 Progress truncate_progress(const Progress& recorded, const Progress& wanted, std::size_t max_bytes);
 
 // Removes tasks from the chunks of generations later than `recorded` until the value is at most `max_bytes`
--- a/src/state_store/watch_cache.cpp
+++ b/src/state_store/watch_cache.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::uint32_t kMaxPageKeys = 400;
-// While a read has been in progress for longer than this, a new user request can't expect to be answered in
-// time.
+// While a read has been in progress for longer than this, a new user request that needs a read is not
+// expected to be answered in time.
 constexpr Duration kSlowReadThreshold = std::chrono::milliseconds(400);
 // After this many consecutive failed reads, the state store is only probed once per period.
 constexpr int kProbeAfterFailures = 2;
@@ -241,17 +241,17 @@
 }
 
 // A read that started before this controller deleted a key may return an older value of it. The view could
-// not discard that value by its version, since it stores no version for a key that doesn't exist.
+// not discard that value by its revision, since it stores no revision for a key that doesn't exist.
 bool WatchCache::predates_own_deletion(const protocol::Change& change) const {
   auto deletion = own_deletions_.find(change.key);
   return deletion != own_deletions_.end() && change.revision <= deletion->second;
 }
 
-// Ignores a transaction if the reads have already reached its revision, since its response may arrive after
-// such a read: the keys that it wrote may have been deleted since then, and would stay in the view for good
-// because no later read mentions them again. Ignores it also while the content is being loaded: the pages or
-// the read after them include its writes, and components must not be notified of jobs whose grants are in the
-// view already while their released tasks are not.
+// Ignores a transaction whose revision the reads have already reached, which happens if its response arrives
+// late. Keys that it wrote may have been deleted since then; if they were applied, they would stay in the
+// view for good, because no later read mentions them again. Also ignores transactions while the content is
+// being loaded: the pages or the read after them include the writes, and components must not be notified of
+// jobs whose grants are already in the view while their released tasks are not.
 void WatchCache::apply_own_txn(const protocol::Txn& txn, Revision revision) {
   if (!ready_ || revision <= revision_) return;
   for (const auto& write : txn.writes) {
--- a/tests/dependency_records_test.cpp
+++ b/tests/dependency_records_test.cpp
@@ -27,7 +27,7 @@
   return list;
 }
 
-TEST(DependencyRecords, ParseJobAcceptsListsOfDistinctJobIdsAndRejectsAllElse) {
+TEST(DependencyRecords, ParseJobAcceptsOnlyListsOfDistinctJobIds) {
   struct Case {
     const char* what;
     Json depends_on;
@@ -129,8 +129,8 @@
   EXPECT_EQ(parse_versions(to_json(versions)), versions);
 }
 
-// Version 0 reads only the field `node`, version 1 also `holder`. A role that names its controller in a field
-// of a later version is missing for them, so that their attempts to acquire it conflict.
+// Version 0 reads only the field `node`, version 1 also `holder`. A role that names its controller in the
+// field of a later version is missing for an earlier one, whose attempts to acquire it therefore conflict.
 TEST(FormatVersions, RoleIsReadableOnlyFromItsMinReaderVersionOn) {
   const std::vector<std::string> controller_fields{"node", "holder", "owner"};
   for (std::uint32_t version = 0; version < controller_fields.size(); ++version) {
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -114,8 +114,8 @@
   }
 }
 
-// Controllers of format versions 0 and 1 read 1 and 4 keys of a bucket. Machines that need further keys are
-// not registered until all controllers read those.
+// Controllers of format version 0 read one key per bucket, and those of version 1 read four. Machines that
+// need further keys are not registered until all controllers read these keys.
 TEST(MachineRegistry, KeysThatAnEarlierVersionDoesNotReadAreNotWrittenWhileItMayLeadTheShard) {
   for (std::uint32_t version : {0u, 1u, 2u}) {
     FakeStateStore store(version);
@@ -137,8 +137,9 @@
   }
 }
 
-// The shard's role is made unreadable for the versions that don't read a key before the key is first written.
-// The same happens if the key exists already because a version without this fencing has written it.
+// Before a registry key is first written, the shard's role is made unreadable for the format versions that
+// don't read that key. The same happens if the key already exists because a version that doesn't take this
+// precaution has written it.
 TEST(MachineRegistry, RaisesTheMinimumReaderVersionOfTheRoleBeforeWritingFurtherKeys) {
   FakeStateStore store(2);
   store.limits.value_bytes = 1024;
--- a/tests/record_keys_test.cpp
+++ b/tests/record_keys_test.cpp
@@ -36,7 +36,7 @@
   }
 }
 
-TEST(RecordKeys, ParseKeyReturnsNulloptForKeysOfNoKnownForm) {
+TEST(RecordKeys, ParseKeyReturnsNulloptForKeysOfUnknownForm) {
   for (const char* key : {"", "beaconsill", "beaconsill/", "elsewhere/jobs/run-7", "beaconsill/novel/thing",
                           "beaconsill/progress/x/run-7", "beaconsill/awaits/run-7",
                           "beaconsill/awaits/run-7/x", "beaconsill/machines/x/1", "beaconsill/machines/1",
--- a/tests/request_queue_test.cpp
+++ b/tests/request_queue_test.cpp
@@ -13,7 +13,7 @@
   return Instant{} + from_seconds(1000 + seconds);
 }
 
-TEST(RateLimiter, GrantsOneBurstAndThenTheConfiguredRate) {
+TEST(RateLimiter, AllowsOneBurstAndThenTheConfiguredRate) {
   RateLimiter limiter(10, 1.0, at_seconds(0));
   int tokens_taken = 0;
   for (int ms = 0; ms < 10000; ms += 5)
--- a/tests/state_view_ordering_test.cpp
+++ b/tests/state_view_ordering_test.cpp
@@ -97,8 +97,9 @@
   }
 }
 
-// A reload is needed after more changes than the state store retains. Keys that were deleted in the meantime
-// must be reported as changed, so that leader and shard leaders handle them like every other change.
+// If more changes were made than the state store retains, all keys must be reloaded. Keys that were deleted
+// in the meantime must be reported as changed, so that the leader and the shard leaders handle them like
+// every other change.
 TEST(Reload, KeysThatAreNotReloadedAreReportedAsChanged) {
   StateView view;
   for (const auto& kind : key_kinds()) view.apply(put_change(kind.key, kind.value, 10));
@@ -114,8 +115,8 @@
   EXPECT_NE(view.job(kJob), nullptr);
 }
 
-// Users may query all controllers within milliseconds and must get the same answer. A terminal state must not
-// change with later changes in any order, also after the job's other keys were deleted.
+// Users may query all controllers within milliseconds and must get the same answer. Later changes, in any
+// order, must not alter a terminal state, even after the job's other keys were deleted.
 TEST(TerminalState, IsUnaffectedByLaterChangesInAnyOrder) {
   const std::vector<Change> changes{
       put_change(job_key(kJob), job(), 10), put_change(grants_key(kJob), grants(), 11),
