--- a/src/scheduler/autoscaler.cpp
+++ b/src/scheduler/autoscaler.cpp
@@ -15,16 +15,17 @@
 constexpr Duration kRefusedKindBackoff = std::chrono::seconds(12);
 constexpr Duration kRetryDelay = std::chrono::seconds(1);
 constexpr Duration kDeleteRetryDelay = std::chrono::seconds(10);
-// Demand that has waited for less than this may still find capacity on the existing machines.
+// No instance is rented for demand that has waited for less than this: the existing machines may still have
+// capacity for it.
 constexpr Duration kMinDemandAge = std::chrono::milliseconds(1500);
-// In multiples of the type's typical boot time: a pending instance that takes longer counts as late.
+// A pending instance counts as late after this many typical boot times of its type.
 constexpr double kLateBootFactor = 2.0;
 constexpr double kDefaultBootSeconds = 60;  // for machine types without a catalogue entry
-// A task counts for at least this many CPUs, as numbers of tasks are computed by a division by its CPUs.
+// A task counts for at least this many CPUs when CPUs are divided by it to get a number of tasks.
 constexpr double kMinTaskCpus = 0.01;
-// In multiples of the usual list lag: how old a list may be at most after a failover.
+// After a failover, the data in a list is assumed to be at most this many list lags old.
 constexpr int kMaxListLagsAfterTakeover = 2;
-// A pending instance that isn't listed after this many list lags, plus a margin, doesn't exist any more.
+// A pending instance that isn't listed after this many list lags, plus a margin, is assumed to be gone.
 constexpr int kMaxUnlistedLags = 3;
 constexpr Duration kUnlistedMargin = std::chrono::seconds(5);
 
@@ -59,7 +60,7 @@
 
 void Autoscaler::on_boot_timeout(const protocol::ListedMachine& machine, Instant now) {
   boot_timeouts_.on_timeout(machine.type);
-  // The kind is avoided for a while, like a refused one, so that another type or zone is tried first.
+  // This kind of instance isn't rented for a while, as after a refusal, so that another kind is tried first.
   refused_at_[{machine.type, machine.zone, machine.spot}] = now;
 }
 
@@ -102,8 +103,8 @@
   return capacity;
 }
 
-// Rents a replacement for late capacity only once: while no instance boots, at most twice the needed capacity
-// is pending.
+// Late capacity counts only as far as it exceeds the needed capacity. It's therefore replaced once, but not
+// again and again: while no instance finishes its boot, at most twice the needed capacity is pending.
 double Autoscaler::missing_tasks(const protocol::ResourceRequest& request, double reserved_cpus,
                                  Instant now) const {
   double reserved_tasks = reserved_cpus / counted_cpus(request);
@@ -164,8 +165,9 @@
   return std::nullopt;
 }
 
-// The request also covers the later entries that may run on the same kind: one request for each waiting job
-// would take as many seconds as there are such jobs. (Earlier entries have enough pending capacity.)
+// The request also covers the later entries that may run on the same kind of instance: with a request for
+// each waiting job, renting would take as many seconds as there are such jobs. No instance is rented now for
+// any earlier entry, usually because the pending capacity is enough for it.
 protocol::RentRequest Autoscaler::open_request(const std::vector<Demand>& demand, std::size_t index,
                                                const RentalOption& option, double tasks) {
   const auto& kind = option.kind;
--- a/src/scheduler/autoscaler.h
+++ b/src/scheduler/autoscaler.h
@@ -53,8 +53,8 @@
   // The request got no answer: the cloud may have carried it out, or may still do so.
   void on_rent_unanswered(Instant now);
 
-  // Returns instances to delete that no shard leader manages: they have failed, or haven't booted within the
-  // boot timeout. Each instance is returned once, and again if it's still listed after a retry delay.
+  // Returns the instances to delete that have failed or haven't booted within the boot timeout. No shard
+  // leader manages these. Each instance is returned once, and again if it's still listed after a retry delay.
   std::vector<MachineName> failed_instances(Instant now);
   // Returns idle instances that their shard leaders may return to the cloud. There are none while there is
   // demand. While jobs are open, instances are returned later, because the next tasks may need them.
@@ -85,8 +85,8 @@
     std::uint32_t tasks_per_instance = 0;
   };
   PendingCapacity pending_capacity(const protocol::ResourceRequest& request, Instant now) const;
-  // Returns for how many of the requested tasks the pending capacity doesn't suffice if other requests need
-  // `reserved_cpus` CPUs of it.
+  // Returns how many of the requested tasks don't fit into the pending capacity if `reserved_cpus` CPUs of it
+  // are needed for other requests. The result isn't positive if all tasks fit.
   double missing_tasks(const protocol::ResourceRequest& request, double reserved_cpus, Instant now) const;
   // Returns the kind with the lowest price per task, and among equal prices the one with the fewest owned
   // instances. Returns std::nullopt if no kind can be rented for the request.
@@ -101,7 +101,7 @@
   bool is_boot_late(const PendingInstance& instance, Instant now) const;
   bool boot_timed_out(const protocol::ListedMachine& machine) const;
   void on_boot_timeout(const protocol::ListedMachine& machine, Instant now);
-  // Drops pending instances that were rented long ago and still aren't listed: they don't exist any more.
+  // Drops pending instances that were rented long ago and aren't listed: they are assumed to be gone.
   void drop_unlisted_pending(Instant now);
 
   AutoscalerParams params_;
@@ -114,7 +114,7 @@
   // the first list that is received from then on.
   Instant list_complete_at_{};
   bool list_complete_ = true;
-  std::map<InstanceKind, Instant> refused_at_;  // also the times of boot timeouts, per kind of instance
+  std::map<InstanceKind, Instant> refused_at_;  // latest refusal, incomplete rental or boot timeout
   std::map<MachineName, Instant> deletion_requested_at_;
   std::optional<protocol::RentRequest> open_request_;
   bool request_sent_ = false;  // `open_request_` is under way to the cloud
--- a/src/scheduler/boot_timeouts.h
+++ b/src/scheduler/boot_timeouts.h
@@ -7,9 +7,9 @@
 
 namespace beaconsill::scheduler {
 
-// All times are in multiples of the type's typical boot time. Each timeout makes the next one of the type
-// longer: otherwise no instance would ever finish its boot while all of them are slow. Each instance that
-// boots quickly makes it shorter.
+// All times are in multiples of the type's typical boot time. Each instance that times out makes the timeout
+// of its type longer: otherwise no instance would ever finish its boot while all of them are slow. Each
+// instance that boots quickly makes it shorter.
 class BootTimeouts {
  public:
   // Returns the current timeout of the type.
--- a/src/scheduler/counts.h
+++ b/src/scheduler/counts.h
@@ -6,11 +6,11 @@
 
 namespace beaconsill::scheduler {
 
-// Amounts are sums of floating-point numbers, so that a quotient may exceed an integer by a rounding error. A
-// quotient that exceeds an integer by at most this much counts as that integer.
+// Amounts are sums of floating-point numbers, so that a quotient may differ from an integer by a rounding
+// error. A quotient that differs from an integer by at most this much counts as that integer.
 constexpr double kRoundingSlack = 1e-6;
 
-// Returns the smallest count that isn't less than `quotient`, up to kRoundingSlack; 0 if `quotient` is
+// Returns `quotient` rounded up to an integer, after kRoundingSlack has been subtracted; 0 if `quotient` is
 // negative.
 inline std::uint32_t ceil_count(double quotient) {
   return quotient <= 0 ? 0 : static_cast<std::uint32_t>(std::ceil(quotient - kRoundingSlack));
--- a/src/scheduler/deadline_planner.cpp
+++ b/src/scheduler/deadline_planner.cpp
@@ -39,7 +39,7 @@
       add(record.submitted, *spec.deadline_s * objective.times);
     if (!eligible_since || objective.within_s <= 0) continue;
     if (objective.kind == "finished") add(*eligible_since, objective.within_s);
-    // The objective is about the start of all tasks; the last of them completes one run time later.
+    // The objective limits the time until all tasks have started; the last one completes a run time later.
     if (objective.kind == "wait") add(*eligible_since, objective.within_s + spec.estimate_s);
   }
   if (times.empty() && spec.deadline_s) add(record.submitted, *spec.deadline_s);
@@ -65,7 +65,7 @@
       job.due_s.push_back(static_cast<double>(due_ms - wall.value()) / kMsPerSecond);
     jobs_with_due_times.push_back(std::move(job));
   }
-  // While jobs are waiting, the outstanding tasks are assumed to use the full capacity of the machines.
+  // `cpus`: while jobs are waiting, outstanding tasks are assumed to use the full capacity of the machines.
   auto starts = plan_starts(jobs_with_due_times, cpus, running_cpu_s);
   log_plan(jobs_with_due_times, starts, cpus, running_cpu_s);
   return starts;
--- a/src/scheduler/deadline_planner.h
+++ b/src/scheduler/deadline_planner.h
@@ -21,12 +21,12 @@
   DeadlinePlanner(std::vector<config::Objective> objectives, Duration longest_wait);
 
   // Returns the job's due times according to the objectives and its own deadline: wall times in milliseconds,
-  // in ascending order. Deadlines are relative to the submission, all other due times to `eligible_since`;
-  // without that, the others aren't known yet and are left out.
+  // in ascending order. Deadlines are relative to the submission, all other due times to `eligible_since`; if
+  // it is std::nullopt, these others aren't known yet and are left out.
   std::vector<std::int64_t> due_times(const state_store::JobRecord& record,
                                       std::optional<WallMs> eligible_since) const;
-  // Returns in how many seconds arrays and gangs with pending tasks have to start at the latest. Jobs that
-  // are in crash-loop back-off or can't meet any due time are left out.
+  // Returns the latest starts of arrays and gangs with pending tasks, in seconds from now. Jobs that are in
+  // crash-loop back-off or can't meet any due time are left out.
   StartTimes plan_start_times(const JobTable& jobs, const CrashLoopBackoff& crash_loops, WallMs wall) const;
   // Returns how long a job without any outstanding or done task has been waiting, as a multiple of the
   // longest acceptable wait; 0 for other jobs.
--- a/src/scheduler/estimation_round.h
+++ b/src/scheduler/estimation_round.h
@@ -1,4 +1,4 @@
-// One estimation round: asks the shards for how many tasks they have capacity, and collects their responses.
+// One estimation round: asks the shards how many tasks they have capacity for, and collects their responses.
 #pragma once
 
 #include <cstdint>
@@ -19,10 +19,10 @@
                   RoundSelection selection);
 
   protocol::EstimateRequest request() const { return {id_, selection_.resource_requests}; }
-  // Records the response. Returns false and ignores it if it belongs to another round or comes from a shard
-  // that the round doesn't wait for.
+  // Records the response. Returns false and ignores it if it belongs to another round, has the wrong number
+  // of capacities, or comes from a shard that the round doesn't wait for.
   bool on_response(const protocol::EstimateResponse& response);
-  // Returns whether all shards have responded or `reply_wait` has passed since the start of the round.
+  // Returns whether all awaited shards have responded or `reply_wait` has passed since the round started.
   bool responses_complete(Instant now, Duration reply_wait) const;
   void log_missing_responses() const;
 
--- a/src/scheduler/grant_builder.cpp
+++ b/src/scheduler/grant_builder.cpp
@@ -9,7 +9,7 @@
 
 // An array that has been granted nothing for this long doesn't yield to gangs any more.
 constexpr Duration kMaxYieldTime = std::chrono::seconds(60);
-// In heartbeat periods: how long some tasks of a gang have to be pending before its other tasks are revoked.
+// A gang is revoked if some, but not all, of its tasks have been pending for this many heartbeat periods.
 constexpr int kRevokeDelayPeriods = 2;
 
 TasksByZone placed_tasks(const JobEntry& entry) {
@@ -92,8 +92,8 @@
 JobGrant GrantBuilder::build_grant(const JobId& id, const JobEntry& entry, const Placement& placement) {
   const auto& spec = entry.spec();
   auto grant = rewrite_current_grants(id, entry, inputs_.quota);
-  // Tasks that only messages report as released are still charged. This write grants them again, so their old
-  // charge is removed first.
+  // Tasks whose release is only reported by message are still charged. This write removes them from their old
+  // chunks, so that charge ends before the new chunks are charged.
   usage_.release(spec.team, spec.each * static_cast<double>(entry.released_by_message_tasks));
   Ranges pending = entry.pending;
   Attempt gang_attempt(entry.is_gang() ? entry.grants.last.value() + 1 : 0);
--- a/src/scheduler/grant_builder.h
+++ b/src/scheduler/grant_builder.h
@@ -19,8 +19,8 @@
 
 namespace beaconsill::scheduler {
 
-// Returns a write of the job's current grants without new chunks. Tasks that are done or released are left
-// out.
+// Returns a write of the job's current grants that contains only its retained chunks, without new ones. The
+// write doesn't revoke a gang.
 JobGrant rewrite_current_grants(const JobId& id, const JobEntry& entry, const QuotaLedger& quota);
 
 // The inputs of a GrantBuilder. The objects that they refer to must outlive the builder.
@@ -36,8 +36,8 @@
   Instant now;
 };
 
-// Builds the grants of one round. What it grants to a job, it reserves on the shards and charges to the team,
-// so that later jobs of the round can't be granted the same capacity or quota.
+// Builds the grants of one round. Each grant is reserved on its shards and charged to its team, so that later
+// jobs of the round can't be granted the same capacity or quota.
 class GrantBuilder {
  public:
   // `reserved_cpus`: CPUs that are reserved on each shard for grants that its response may not account for.
--- a/src/scheduler/indeterminate_grants.cpp
+++ b/src/scheduler/indeterminate_grants.cpp
@@ -12,7 +12,7 @@
 }
 
 // A transaction is atomic. It's conditional on the version of each of its keys and on none of its jobs being
-// over.
+// in a terminal state.
 bool IndeterminateGrants::may_still_commit(const Transaction& transaction, const JobTable& jobs) {
   return std::all_of(transaction.begin(), transaction.end(), [&](const auto& write) {
     const auto* entry = jobs.find(write.first);
--- a/src/scheduler/indeterminate_grants.h
+++ b/src/scheduler/indeterminate_grants.h
@@ -16,11 +16,11 @@
 // of a team, and the team would exceed its quota (found by the simulation, seed 24).
 class IndeterminateGrants {
  public:
-  // The transaction with these grants ended without an answer, or with a refusal that can't be distinguished
-  // from a missing answer.
+  // The transaction with these grants ended without an answer, or with a rejection after which it may
+  // nevertheless have been committed.
   void add(const std::vector<JobGrant>& grants);
-  // Drops the transactions that can't be committed any more, because a grant in them has a different version
-  // by now, or one of their jobs is over or was removed.
+  // Drops the transactions that can't be committed any more, because the grants of one of their jobs have a
+  // different version by now, or one of their jobs is in a terminal state or was removed.
   void drop_resolved(const JobTable& jobs);
   // Returns the jobs whose grants have to be written again to supersede all remaining transactions: at least
   // one job of each transaction.
--- a/src/scheduler/job_entry.cpp
+++ b/src/scheduler/job_entry.cpp
@@ -5,10 +5,11 @@
 namespace beaconsill::scheduler {
 namespace {
 
-// Returns the tasks with which a chunk is written back to the state store: either only those that it must
-// contain (`needed`), or additionally those that its shard has recorded as done, whichever takes fewer
-// ranges. Including recorded tasks is safe because they are never started again. Without this, the grants of
-// an array whose tasks end in arbitrary order would become too large for one value.
+// Returns the tasks that a chunk contains when it is written back to the state store: either only those that
+// it must contain (`needed`), or also those of its `not_released` tasks that its shard has recorded as done,
+// whichever takes fewer ranges. Including recorded tasks is safe because they are never started again. With
+// the needed tasks only, the grants of an array whose tasks end in arbitrary order would become too large for
+// one value.
 Ranges select_shorter_ranges(const Ranges& needed, const Ranges& not_released, const state_store::Job& job,
                              ShardId shard) {
   auto progress = job.progress.find(shard);
@@ -43,8 +44,8 @@
   for (const auto& chunk : grants.chunks) outstanding.add(update_chunk(chunk, job, recorded, reported));
   // Tasks whose release was reported but not recorded stay charged, because the shard's next leader doesn't
   // know of the release and may start them. Jobs in a terminal state are an exception, see
-  // QuotaLedger::required_terms. Done tasks aren't charged, whether recorded or only reported: if such a task
-  // is started again, it ends as soon as its image has been fetched.
+  // QuotaLedger::required_terms. Done tasks aren't charged, whether recorded or only reported: if a later
+  // shard leader starts such a task again, the task ends as soon as its image has been fetched.
   charged_tasks = outstanding_tasks + (terminal_state ? 0 : released_by_message_tasks);
   pending = Ranges();
   if (terminal_state) return;
--- a/src/scheduler/job_entry.h
+++ b/src/scheduler/job_entry.h
@@ -38,7 +38,7 @@
   WallMs eligible_since;                  // submission, or completion of the last dependency
   Requirement requirement;                // the job's own, combined with that of dependent jobs
   bool granted_before = false;
-  // The size of the grants (see grants_size) when they last exceeded the limit of one value in the state
+  // The size of the grants (see grants_size) when they last exceeded the size limit of a value in the state
   // store; std::nullopt if they are within the limit.
   std::optional<std::size_t> oversized_grants_size;
   Instant waiting_since{};
@@ -53,8 +53,8 @@
   // and the requirement are not changed.
   void update(const state_store::Job& job, std::optional<state_store::TerminalState> terminal,
               const ProgressByShard* reported);
-  // Returns the number of chunks and ranges in the retained chunks, as a measure of the size of the grants'
-  // value in the state store.
+  // Returns the number of retained chunks plus the number of their ranges, as a measure of the size of the
+  // grants' value in the state store.
   std::size_t grants_size() const;
   // Returns when the job began to wait or was last granted tasks, whichever is later.
   Instant waiting_or_granted_since() const {
--- a/src/scheduler/job_grant.h
+++ b/src/scheduler/job_grant.h
@@ -13,8 +13,8 @@
   state_store::Grants grants;
   Revision expected;  // version of the grants that this write replaces: the condition of its compare-and-swap
   // The write relies on releases that the leaders of these shards reported under their current terms. It must
-  // be conditional on those terms: a later shard leader has no record of tasks that were released by message
-  // only.
+  // be conditional on those terms: a later shard leader doesn't know of releases that were only reported by
+  // message.
   std::set<ShardId> depends_on_shards;
 };
 
--- a/src/scheduler/offered_capacity.cpp
+++ b/src/scheduler/offered_capacity.cpp
@@ -29,8 +29,8 @@
   return sum;
 }
 
-// Returns the zone with the most capacity, the first one in order among equals. Returns std::nullopt if there
-// is no capacity.
+// Returns the zone with the most capacity; among equals, the alphabetically first. Returns std::nullopt if
+// there is no capacity.
 std::optional<Zone> largest_zone(const std::vector<ShardCapacity>& capacities) {
   std::map<Zone, std::uint64_t> by_zone;
   for (const auto& capacity : capacities) by_zone[*capacity.zone] += capacity.tasks;
@@ -57,8 +57,8 @@
 
 void OfferedCapacity::add_zones(ShardId shard, const protocol::CapacityByZone& zones,
                                 std::uint32_t reserved_tasks) {
-  // The zones in which the reserved tasks will be placed aren't known, so they are subtracted from the first
-  // zones.
+  // It isn't known in which zones the reserved tasks will be placed. They are subtracted from the first zones
+  // with free capacity.
   for (const auto& zone : zones) {
     auto reserved_in_zone = std::min(zone.free, reserved_tasks);
     reserved_tasks -= reserved_in_zone;
@@ -122,8 +122,9 @@
   return without_image;
 }
 
-// Fetching an image takes longer than any other step of starting a task. For a service it also takes longer
-// than preempting tasks where the image is cached.
+// Fetching an image takes longer than any other step of starting a task, and longer than preempting tasks
+// where the image is cached. Only a service preempts tasks to avoid the fetch, and only if all of its tasks
+// can then use a cached image.
 Placement OfferedCapacity::place(std::uint32_t tasks, JobKind kind) const {
   bool preempt_where_image_cached =
       kind == JobKind::kService && total_tasks(image_cached_) < tasks &&
--- a/src/scheduler/offered_capacity.h
+++ b/src/scheduler/offered_capacity.h
@@ -26,8 +26,8 @@
   // the image is cached isn't distinguished then.
   explicit OfferedCapacity(bool by_zone) : by_zone_(by_zone) {}
 
-  // `reserved_tasks`: the capacity, in tasks of this job, that was granted on the shard already, but isn't
-  // included in the shard's estimate yet.
+  // `reserved_tasks`: the capacity, in tasks of this job, that is already granted on the shard although the
+  // shard's estimate may still count it as free.
   void add_shard(ShardId shard, const protocol::CapacityByZone& zones, std::uint32_t reserved_tasks);
 
   // Restricts the capacity to one zone: the zone of the tasks that are placed already, or else the zone with
@@ -54,8 +54,8 @@
   std::vector<ShardCapacity> image_cached_;  // free, with the image cached; counted in `free_` as well
   std::vector<ShardCapacity> free_;
   std::vector<ShardCapacity> preemptible_;
-  std::vector<ShardCapacity>
-      image_cached_preemptible_;  // with the image cached; counted in `preemptible_` as well
+  // Preemptible, with the image cached; counted in `preemptible_` as well.
+  std::vector<ShardCapacity> image_cached_preemptible_;
 };
 
 }  // namespace beaconsill::scheduler
--- a/src/scheduler/quota_ledger.cpp
+++ b/src/scheduler/quota_ledger.cpp
@@ -9,8 +9,8 @@
 namespace beaconsill::scheduler {
 namespace {
 
-// Returns how many tasks that need `each` fit between `used` and `limit`, all in CPUs or GPUs. The result is
-// negative if `used` exceeds `limit`.
+// Returns how many tasks of size `each` fit into what `used` leaves of `limit`, with all amounts in CPUs or
+// all in GPUs. The result is negative if `used` exceeds `limit`.
 double tasks_within(double limit, double used, double each) {
   return std::floor((limit - used) / each + kRoundingSlack);
 }
--- a/src/scheduler/reported_progress.h
+++ b/src/scheduler/reported_progress.h
@@ -27,7 +27,7 @@
   // Reports may arrive repeatedly and in any order. Releases are ignored unless the report's term is current.
   void on_report(const protocol::ProgressReport& report);
   // Replaces the current terms and discards releases that were reported under other terms. Returns the jobs
-  // concerned; a job is listed once for each shard of which releases were discarded.
+  // concerned; a job is listed once for each shard whose releases were discarded.
   std::vector<JobId> on_terms(const ShardTerms& terms);
   // Returns nullptr if nothing was reported about the job. The pointer is valid until the next call of a
   // non-const function.
--- a/src/scheduler/round_selection.cpp
+++ b/src/scheduler/round_selection.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxJobsPerRound = 24;
 constexpr std::size_t kMaxRequestsPerRound = 16;
-// The number of these places that are available to the head of the queue. The rest is for other jobs.
+// How many of these the head of the queue may use. The rest is for other jobs.
 constexpr std::size_t kMaxJobsFromHead = 18;
 constexpr std::size_t kMaxRequestsFromHead = 12;
 // Arrays yield to a starving gang that finds no capacity while the gang's wait ratio is below this limit.
@@ -56,7 +56,7 @@
   }
 
  private:
-  // Selects the job unless its resource request would exceed `max_requests`.
+  // Selects the job unless the round would then have more than `max_requests` different resource requests.
   void select(std::size_t index, std::size_t max_requests) {
     auto request = shard::request_of(jobs_.at(queue_[index].id).spec(), 0);
     request.priority = queue_[index].priority;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -1,4 +1,4 @@
-// Implements the scheduler's events on jobs and shards, and its queries.
+// Implements the scheduler's handling of events on jobs and shards, and its queries.
 #include "scheduler/scheduler.h"
 
 #include <algorithm>
@@ -7,12 +7,12 @@
 namespace beaconsill::scheduler {
 namespace {
 
-// In heartbeat periods: time from the completion of the last dependency of a job in a pipeline to the job's
-// first start of a task.
+// How many heartbeat periods pass between the completion of a job's last dependency and the start of the
+// job's first tasks.
 constexpr int kDependencyDelayPeriods = 3;
-// A job whose grants didn't fit into a value is tried again when they are smaller than this share of their
-// size at that time.
-constexpr double kOversizedRetryShare = 0.9;
+// A job whose grants didn't fit into one value of the state store takes part in rounds again when they are
+// smaller than this fraction of their size at that time.
+constexpr double kOversizedRetryFraction = 0.9;
 
 }  // namespace
 
@@ -69,7 +69,7 @@
   entry.requirement = requirement_of(id, entry);
   if (entry.oversized_grants_size &&
       static_cast<double>(entry.grants_size()) <
-          static_cast<double>(*entry.oversized_grants_size) * kOversizedRetryShare)
+          static_cast<double>(*entry.oversized_grants_size) * kOversizedRetryFraction)
     entry.oversized_grants_size.reset();
   if (is_new || (pending_before == 0 && !entry.pending.empty())) entry.waiting_since = now;
   // A new job, or a service replica that lost its machine, shouldn't wait for the next regular round.
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -31,13 +31,13 @@
 
 struct SchedulerParams {
   Duration reply_wait{};        // how long a round waits for the shards' responses
-  Duration heartbeat_period{};  // also the period of rounds for jobs that found no capacity
-  Duration longest_wait{};      // a job of which no task has started for longer is starving
+  Duration heartbeat_period{};  // regular rounds are at least half of it apart
+  Duration longest_wait{};      // a job that waits for longer with no outstanding or done task is starving
   shard::PackingRules rules;
   std::size_t max_grants_per_txn = 8;
 };
 
-// Coordinates the other classes of this package, each of which has its own state. Not thread-safe.
+// Coordinates the other classes of this namespace, each of which has its own state. Not thread-safe.
 class Scheduler {
  public:
   Scheduler(SchedulerParams params, std::vector<config::TeamSettings> teams,
@@ -45,8 +45,8 @@
 
   // ---- Events
   // A job changed in the state store. `job`: its current state, or null if it was removed. `terminal_state`:
-  // set if the job is over. `ready_since`: when the last of its dependencies was done; std::nullopt while it
-  // still waits for dependencies. During that time the job is in no queue, round, quota or demand.
+  // the job's terminal state, if it is in one. `ready_since`: when the last of its dependencies was done;
+  // std::nullopt before. Until then the job is in no queue or round, and has no charge or demand.
   void on_job(const JobId& id, const state_store::Job* job,
               std::optional<state_store::TerminalState> terminal_state, Instant now,
               std::optional<WallMs> ready_since = std::nullopt);
@@ -73,11 +73,11 @@
                                                   std::optional<std::size_t> max_jobs = std::nullopt);
   // Returns whether any job of the open round is a service.
   bool has_services() const;
-  // The transaction with the round's grants ended. `revision`: the revision at which it was committed, or
-  // std::nullopt if its result is indeterminate.
+  // The write of the round's grants ended. `revision`: the revision at which the transaction was committed,
+  // or std::nullopt if it was rejected, its result is unknown or there was nothing to write.
   void on_granted(const std::vector<Grant>& grants, std::optional<Revision> revision, Instant now);
   // The job's grants don't fit into one value of the state store. The job is excluded from rounds until its
-  // grants have become smaller; otherwise it would use a place in every round that other jobs could have.
+  // grants have become smaller; otherwise it would take the place of another job in every round.
   void on_oversized(const JobId& id);
   bool round_open() const { return round_.has_value(); }
 
@@ -87,17 +87,17 @@
   // Returns by how much the job has missed the first of its due times, or std::nullopt if it hasn't missed it
   // or has none.
   std::optional<Duration> lateness(const JobId& id, WallMs wall) const;
-  // Returns the jobs that are over and have no task left on any machine. Their keys can be deleted.
+  // Returns the jobs in a terminal state that have no outstanding tasks. Their keys can be deleted.
   std::vector<JobId> collectable() const { return {jobs_.collectable().begin(), jobs_.collectable().end()}; }
-  // Returns the shards whose releases of some of the job's tasks were only reported by messages, not
-  // recorded. Each write that relies on these releases must be conditional on the current terms of the
+  // Returns the shards whose leaders have reported releases of the job's tasks by message and not recorded
+  // them yet. Each write that relies on these releases must be conditional on the current terms of the
   // shards, as with JobGrant::depends_on_shards.
   std::set<ShardId> released_by_message(const JobId& id) const;
 
   // ---- Queries
   std::vector<Demand> demand(Instant now) const { return waiting_jobs().demand(now); }
   const ShardSummaries& summaries() const { return summaries_; }
-  // Returns whether any job isn't over.
+  // Returns whether any job isn't in a terminal state.
   bool has_open_jobs() const { return !inherited_.empty() || !jobs_.open().empty(); }
 
  private:
@@ -132,7 +132,7 @@
   std::optional<EstimationRound> round_;
   std::uint64_t next_round_ = 1;
   Instant last_round_at_{};
-  Instant last_full_round_at_{};  // when the last round began that wasn't for services only
+  Instant last_full_round_at_{};  // start of the last round that wasn't for services only
   bool urgent_ = false;           // some job shouldn't wait for the next regular round
 };
 
--- a/src/scheduler/scheduler_rounds.cpp
+++ b/src/scheduler/scheduler_rounds.cpp
@@ -21,9 +21,9 @@
   // Without an urgent job, rounds only retry jobs that found no capacity, so they are further apart.
   if (now - last_round_at_ < (urgent_ ? kMinRoundInterval : params_.heartbeat_period / 2))
     return std::nullopt;
-  // Urgent services get a round of their own, because a write for many arrays would delay them. But while new
-  // services keep coming, those that find no capacity would delay the arrays forever. Therefore a round for
-  // all jobs takes place at least once in a heartbeat period.
+  // Urgent services get a round of their own, because a write for many arrays would delay them. But if new
+  // services kept arriving while others find no capacity, all rounds would be for services, and the arrays
+  // would wait forever. Therefore a round for all jobs takes place at least once in a heartbeat period.
   auto waiting = waiting_jobs();
   bool services_only =
       urgent_ && now - last_full_round_at_ < params_.heartbeat_period && waiting.has_grantable_service(now);
@@ -96,8 +96,8 @@
 }
 
 void Scheduler::on_granted(const std::vector<Grant>& grants, std::optional<Revision> revision, Instant now) {
-  // Other jobs may have arrived during the write, or may have been left out because the transaction was full
-  // or the round was for services only. The next round is therefore urgent.
+  // The next round is urgent if other jobs may have been left out, because the transaction was full or the
+  // round may have been for services only. Jobs that arrive during the write make it urgent by themselves.
   bool more_may_wait = round_ && (grants.size() >= params_.max_grants_per_txn || has_services());
   round_.reset();
   if (more_may_wait) urgent_ = true;
--- a/src/scheduler/scheduling_queue.cpp
+++ b/src/scheduler/scheduling_queue.cpp
@@ -25,10 +25,10 @@
 // declaration, and the team with the lowest rank goes first.
 struct TeamRank {
   int negated_priority;
-  // Since when a starving job has been eligible. Starving jobs are ordered by age regardless of their teams'
-  // usage.
+  // When the job became eligible if it's starving, else the maximum. Starving jobs are ordered by age
+  // regardless of their teams' usage.
   std::int64_t starving_since_ms;
-  bool borrows;       // The team already uses its guarantee, so that further grants exceed it.
+  bool borrows;       // The team uses its whole guarantee, so that further grants exceed it.
   double share_used;  // fraction of the guarantee, in GPUs for teams whose guarantee is for GPUs only
   auto operator<=>(const TeamRank&) const = default;
 };
--- a/src/scheduler/scheduling_queue.h
+++ b/src/scheduler/scheduling_queue.h
@@ -23,10 +23,10 @@
   JobId id;
   Team team;
   Priority priority = Priority::kNormal;
-  std::int64_t start_by_ms = 0;  // wall time by which the job has to start, see plan_starts
-  // Wall time of the submission or, for a job with dependencies, of the completion of the last one.
-  std::int64_t eligible_since_ms = 0;
-  Resources grantable_resources;  // total of all its tasks that may be granted now
+  // Wall time by which to start, see plan_starts; for services and without due times: eligible_since_ms.
+  std::int64_t start_by_ms = 0;
+  std::int64_t eligible_since_ms = 0;  // wall time of submission or of completion of the last dependency
+  Resources grantable_resources;       // total of all its tasks that may be granted now
   StarvationBoost starvation_boost = StarvationBoost::kNone;
 };
 
--- a/src/scheduler/start_plan.cpp
+++ b/src/scheduler/start_plan.cpp
@@ -9,11 +9,10 @@
 namespace beaconsill::scheduler {
 namespace {
 
-// Returns the latest start, in seconds from now, that meets the first due time which the job can still meet
-// by starting later than `after_s`; std::nullopt if there is no such due time. The plan counts the job's work
-// in full, while running tasks are half done on average at any time. The last tasks therefore end half a run
-// time after the job's share of the work is done, which is why half a run time is subtracted from the due
-// time.
+// Returns the latest start, in seconds from now, for the first due time that the job can still meet by
+// starting later than `after_s`. Returns std::nullopt if there is no such due time. The latest start is half
+// a run time before the due time: the plan counts the job's work in full, while running tasks are half done
+// on average at any time, so the last tasks end half a run time after the job's share of the work is done.
 std::optional<double> next_start(const DeadlineJob& job, double after_s) {
   for (double due_s : job.due_s)
     if (due_s >= job.task_run_time_s && due_s - job.task_run_time_s / 2 > after_s)
@@ -52,23 +51,23 @@
   };
   using PlannedStarts = std::set<PlannedStart>;
 
-  // Postpones the largest of the jobs planned so far that have a later due time. If there is none, or if the
-  // jobs without a later due time exceed the capacity by themselves, drops the largest of the latter from the
-  // plan.
+  // Postpones the largest planned job that has a later due time to that due time. If there is no such job, or
+  // if the jobs without a later due time exceed the capacity by themselves, drops the largest job without a
+  // later due time from the plan instead.
   void postpone_or_drop_one(double start_s) {
-    auto largest = on_time_.end(), largest_at_last_due = on_time_.end();
+    auto largest_postponable = on_time_.end(), largest_at_last_due = on_time_.end();
     double not_postponable_cpu_s = running_cpu_s_;
     for (auto it = on_time_.begin(); it != on_time_.end(); ++it) {
       bool at_last_due = !next_start(*it->job, start_s);
       if (at_last_due) not_postponable_cpu_s += it->job->remaining_cpu_s;
-      auto& largest_of_kind = at_last_due ? largest_at_last_due : largest;
+      auto& largest_of_kind = at_last_due ? largest_at_last_due : largest_postponable;
       if (largest_of_kind == on_time_.end() ||
           it->job->remaining_cpu_s > largest_of_kind->job->remaining_cpu_s)
         largest_of_kind = it;
     }
-    bool drop_job = largest == on_time_.end() ||
+    bool drop_job = largest_postponable == on_time_.end() ||
                     (largest_at_last_due != on_time_.end() && not_postponable_cpu_s / cpus_ > start_s);
-    auto selected = drop_job ? largest_at_last_due : largest;
+    auto selected = drop_job ? largest_at_last_due : largest_postponable;
     const auto& job = *selected->job;
     planned_cpu_s_ -= job.remaining_cpu_s;
     if (!drop_job) unplanned_.insert({*next_start(job, start_s), &job});
--- a/src/scheduler/waiting_jobs.cpp
+++ b/src/scheduler/waiting_jobs.cpp
@@ -8,7 +8,7 @@
 namespace beaconsill::scheduler {
 namespace {
 
-// The wait ratio from which on a starving job also precedes jobs of higher priority.
+// A starving job with at least this wait ratio also precedes jobs of higher priority.
 constexpr double kAheadOfAllPrioritiesWaitRatio = 1.3;
 // Added to the last due time of a job that can't meet any of its due times, so that it is sorted behind all
 // jobs that can.
@@ -42,8 +42,8 @@
     const auto& entry = jobs_.at(id);
     if (entry.oversized_grants_size || (services_only && !entry.is_service())) continue;
     auto tasks = grantable_tasks(id, entry, quota_.usage(), now);
-    // All tasks of a gang are granted together. A gang is granted again only after all tasks of its previous
-    // attempt have been released.
+    // All tasks of a gang are granted together. A gang of which only some tasks are pending is queued, too:
+    // its other tasks have to be revoked and released before it is granted again, see GrantBuilder.
     if (tasks == 0 || (entry.is_gang() && tasks < entry.pending.count())) continue;
     waiting.push_back(make_queued_job(id, entry, tasks, starts, wall));
   }
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -56,8 +56,8 @@
   EXPECT_NE(more->request, request->request);
 }
 
-// In a simulated day of growing load, a separate request for each job took 60 s until all instances were
-// rented.
+// In a simulated day of growing load, with a separate request for each job, it took 60 s until all instances
+// were rented.
 TEST(Autoscaler, RentsForAllWaitingJobsInOneRequest) {
   auto autoscaler = autoscaler_with_catalogue();
   auto waiting = demand(10);
@@ -98,7 +98,7 @@
   }
 }
 
-TEST(Autoscaler, DeletesInstancesOnceThatFailedOrDidNotBoot) {
+TEST(Autoscaler, DeletesInstancesThatFailedOrDidNotBootOnlyOnce) {
   auto autoscaler = autoscaler_with_catalogue();
   autoscaler.on_instance_list({listed("slow", State::kBooting, 60), listed("never", State::kBooting, 500),
                                listed("failed", State::kFailed, 9), listed("up", State::kRunning, 900)},
--- a/tests/concurrent_faults_scheduler_test.cpp
+++ b/tests/concurrent_faults_scheduler_test.cpp
@@ -130,8 +130,8 @@
   }
 }
 
-// The keys of a cancelled job may be deleted only under the same condition: a successor of the shard leader
-// that hasn't read the cancellation yet may start the tasks that the keys grant.
+// The keys of a cancelled job may be deleted only while the shard leader that reported the release can't have
+// a successor: a successor that hasn't read the cancellation yet may start the tasks that the keys grant.
 TEST(QuotaExhausted, JobKeysAreCollectableOnlyUnderTheTermThatReportedTheRelease) {
   FaultsFixture fixture;
   fixture.job("run-1", 4);
@@ -211,8 +211,8 @@
   }
 }
 
-// Jobs that are bound to one zone, also arrays, lose machines. Only the zone of the remaining tasks may
-// restrict where the lost tasks are granted again.
+// A job whose tasks must all be in one zone, here an array, loses machines. Only the zone of the remaining
+// tasks may restrict where the lost tasks are granted again.
 TEST(OneZone, LostTasksAreGrantedInTheZoneOfTheRemainingTasks) {
   struct Case {
     const char* what;
--- a/tests/estimation_round_test.cpp
+++ b/tests/estimation_round_test.cpp
@@ -21,7 +21,7 @@
       {"from a shard of the round", response(7, 0, 2), true},
       {"for another round", response(6, 0, 2), false},
       {"from a shard that the round doesn't wait for", response(7, 2, 2), false},
-      {"with another number of requests", response(7, 0, 1), false},
+      {"with the wrong number of capacities", response(7, 0, 1), false},
   };
   for (const auto& test_case : cases) {
     EstimationRound round(7, at(0), {ShardId(0), ShardId(1)}, selection);
--- a/tests/failover_scheduler_test.cpp
+++ b/tests/failover_scheduler_test.cpp
@@ -140,8 +140,8 @@
   EXPECT_TRUE(fixture.scheduler.collectable().empty());
 }
 
-// The transaction with a round's grants has no answer yet. Until its result is known or it can't be committed
-// any more, no other round begins.
+// While the transaction with a round's grants is in progress, no other round begins, however long that takes.
+// The next round begins once the transaction has ended, even if its result is unknown.
 TEST(SchedulerFailover, NoRoundBeginsWhileGrantsAreBeingWritten) {
   SchedulerFixture fixture;
   fixture.job("run-1", 10);
--- a/tests/grant_builder_test.cpp
+++ b/tests/grant_builder_test.cpp
@@ -20,7 +20,7 @@
   return {{Zone(zone), free, 0, 0, 0}};
 }
 
-// A round for which both shards were asked about all candidates. Each candidate has its own resource request.
+// A round in which both shards were asked about all candidates. Each candidate has its own resource request.
 struct GrantBuilderFixture : JobTableFixture {
   using JobTableFixture::JobTableFixture;
 
@@ -249,7 +249,7 @@
 TEST(GrantBuilder, RevokesAGangWithReleasedTasksOnceAfterTwoHeartbeatPeriods) {
   struct Case {
     const char* what;
-    double time_s;  // some tasks are pending since 0; the heartbeat period is 1 s
+    double time_s;  // some tasks have been pending since 0 s; the heartbeat period is 1 s
     bool already_revoked;
     bool revokes;
   };
@@ -281,7 +281,7 @@
     const char* what;
     bool arrays_yield;
     void (*change_spec)(protocol::JobSpec&);
-    double time_s;  // both jobs wait since 0
+    double time_s;  // both jobs have been waiting since 0 s
     bool granted;
   };
   const Case cases[] = {
--- a/tests/offered_capacity_test.cpp
+++ b/tests/offered_capacity_test.cpp
@@ -70,7 +70,7 @@
        0,
        {{0, 1}},
        {}},
-      {"a service that doesn't fit there as a whole doesn't preempt either",
+      {"a service doesn't preempt if only some of its tasks could use a cached image",
        JobKind::kService,
        2,
        zone("a", 9),
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -106,7 +106,7 @@
 
 // ---- The whole scheduler
 
-// In a simulated day, nine of ten changes in the state store were progress, and the store's rate limit
+// In a simulated day, nine of ten changes in the state store recorded progress, and the store's rate limit
 // delayed all other writes. Reports of shard leaders therefore take effect before they are recorded. Each
 // step checks which effects are safe.
 TEST(Quota, ReportsTakeEffectBeforeTheyAreRecordedWhereSafe) {
@@ -129,9 +129,9 @@
   fixture.publish("run-1", 3);
   ASSERT_EQ(demand_at(3).size(), 1u);
   EXPECT_EQ(demand_at(3)[0].resource_request.wanted, 5u);
-  // Five tasks are granted again although all ten are still charged, because these five are among them. The
-  // write is conditional on the shard leader's term, and retains the tasks that the shard leader has yet to
-  // record as done.
+  // Five tasks are granted again although eight of the ten are still charged (all but the two done ones),
+  // because these five are among the eight. The write is conditional on the shard leader's term, and retains
+  // the tasks that the shard leader has yet to record as done.
   auto grants = fixture.run_round(4, {{0, {}}, {1, capacity(10)}});
   ASSERT_EQ(grants.size(), 1u);
   EXPECT_EQ(grants[0].depends_on_shards, std::set<ShardId>{ShardId(0)});
@@ -150,7 +150,7 @@
   fixture.scheduler.on_progress_report(report(2, Ranges::span(2, 10), {}), at(2));
   fixture.publish("run-1", 10);
   EXPECT_EQ(fixture.scheduler.completed(), std::vector<JobId>{JobId("run-1")});
-  // Tasks of a job in a terminal state are never started again, so that its quota is free.
+  // Tasks of a job in a terminal state are never started again, so they don't use quota any more.
   fixture.publish("run-1", 11, TerminalState::kDone);
   EXPECT_EQ(fixture.scheduler.collectable(), std::vector<JobId>{JobId("run-1")});
   ASSERT_EQ(demand_at(12).size(), 1u);
@@ -175,7 +175,7 @@
   EXPECT_EQ(fixture.scheduler.demand(at(3))[0].resource_request.wanted, 3u);
 }
 
-// Found by the simulation, seed 1366: 8 tasks are charged, 3 of them are released, and the limit is 6.
+// Found by the simulation, seed 1366: 8 tasks are charged, 3 are reported as released, and the limit is 6.
 TEST(Quota, ReleasedTasksBeyondTheLimitAreNotAllGrantedAgain) {
   SchedulerFixture fixture(6);
   fixture.scheduler.on_terms({{ShardId(0), Term(1)}, {ShardId(1), Term(1)}});
@@ -250,7 +250,8 @@
   auto indeterminate = fixture.run_round(1, {{0, capacity(100)}, {1, capacity(100)}});
   ASSERT_EQ(indeterminate.size(), 1u);
   fixture.scheduler.on_granted(indeterminate, std::nullopt, at(2));
-  fixture.publish("run-1", 3, TerminalState::kCancelled);  // The transaction is conditional on this state.
+  // The transaction is conditional on the job not being in a terminal state.
+  fixture.publish("run-1", 3, TerminalState::kCancelled);
   fixture.job("run-2", 4);
   auto next = fixture.run_round(4, {{0, capacity(100)}, {1, capacity(100)}});
   ASSERT_EQ(next.size(), 1u);
