--- a/src/shard/cancellation_barrier.cpp
+++ b/src/shard/cancellation_barrier.cpp
@@ -83,7 +83,8 @@
   peer.last_received_sequence = heartbeat.sequence;
   if (sync) apply_sync(peer, *sync);
   bool should_answer = sync && !sync->cancelled.empty();
-  // A heartbeat that echoes none of those sent by this process may be minutes old, so it proves nothing more.
+  // A heartbeat that echoes none of those sent by this process may be minutes old, so nothing but its own
+  // cancellation sync is used.
   if (const auto* echoed = find_echoed(peer, heartbeat)) {
     // Versions without the cancellation barrier send no sync, and echo heartbeats whose cancellations they
     // have not read.
--- a/src/shard/cancellation_barrier.h
+++ b/src/shard/cancellation_barrier.h
@@ -97,8 +97,8 @@
     std::uint64_t last_received_sequence = 0;
     std::optional<Instant> last_echoed_sent_at;
     bool ready = false;  // as stated by its newest heartbeat
-    // Cancellation records are never removed, and a restarted peer becomes ready only after it has read all
-    // of them. So once the peer's current process is ready, it has all that any earlier process of it had.
+    // `read_until` and `acknowledged` remain valid when the peer restarts: cancellation records are never
+    // removed, and the restarted peer becomes ready only after it has read all of them.
     Revision read_until;
     std::set<protocol::CancelledJob> acknowledged;  // those with a revision above read_until
     // Expiry of the read lease that this controller has granted to the peer.
--- a/src/shard/command_delivery.cpp
+++ b/src/shard/command_delivery.cpp
@@ -8,7 +8,7 @@
 using Op = protocol::Command::Op;
 using Start = MachineTask::Start;
 
-// Delay before the next probe after one that did not confirm the machine.
+// Delay before the next probe, after one that neither confirmed the machine nor ended its fencing.
 constexpr Duration kReprobeDelay = std::chrono::seconds(1);
 
 }  // namespace
@@ -148,8 +148,8 @@
 HeartbeatResponse CommandDelivery::heartbeat_response(Machine& machine) {
   machine.last_answered = now_;
   HeartbeatResponse response{machine.token, {}};
-  // The deletion of a machine may fail, and the machine then continues to run. Until the deletion is
-  // answered, heartbeat responses stop cancelled tasks, since such a machine is sent no command batches.
+  // A machine that is being fenced or deleted is sent no command batches, so the stops of its tasks are
+  // listed in the response. The deletion may fail, and the machine then continues to run.
   if (machine.channel != Machine::Channel::kFencing && !machine.deleting) return response;
   for (const auto& [key, task] : machine.tasks)
     if (is_live(task) && task.stop_grace && response.commands.size() < kMaxCommands)
--- a/src/shard/command_delivery.h
+++ b/src/shard/command_delivery.h
@@ -38,7 +38,7 @@
   // Applies the result of a batch that take_batches returned. The caller then reconciles the heartbeat
   // contained in the answer, and after that calls schedule_next_probe if the batch was a probe.
   void on_result(Machine& machine, const CommandBatch& batch, CommandResult result);
-  // Schedules another probe, unless the machine's heartbeat has confirmed it.
+  // Schedules another probe, unless the machine is confirmed and not being fenced.
   void schedule_next_probe(Machine& machine, const CommandBatch& probe);
   HeartbeatResponse heartbeat_response(Machine& machine);
 
--- a/src/shard/estimator.cpp
+++ b/src/shard/estimator.cpp
@@ -9,8 +9,8 @@
 // CPUs.
 constexpr double kRoundingTolerance = 1e-6;
 // Maximum number of images that one machine fetches at the same time. A single fetch is the fastest. But with
-// a limit of one, the shards would offer capacity to several jobs that the first job's fetch then denies to
-// the others.
+// a limit of one, the shards would offer the same capacity to several jobs, and the fetch for the first of
+// them would exclude the others.
 constexpr std::size_t kMaxFetches = 2;
 
 protocol::CapacityByZone without_empty(const std::map<Zone, protocol::ZoneCapacity>& zones) {
--- a/src/shard/estimator.h
+++ b/src/shard/estimator.h
@@ -42,7 +42,8 @@
                                   const protocol::ResourceRequest& request, const PackingRules& rules,
                                   Instant now);
 
-// Returns the same from a summary, which contains only free capacity (no preemptible capacity and no images).
+// Returns the same from a summary, which contains only free capacity: no preemptible capacity, no images and
+// no numbers of tasks. Does not apply `rules.reserve`.
 protocol::CapacityByZone estimate(const protocol::Summary& summary, const protocol::ResourceRequest& request,
                                   const PackingRules& rules);
 
--- a/src/shard/failure_attribution.cpp
+++ b/src/shard/failure_attribution.cpp
@@ -12,7 +12,7 @@
 // If this many jobs fail on one machine, none of which fails everywhere, the machine is faulty: it is
 // unlikely that each of them was submitted with a mistake.
 constexpr std::size_t kFaultyAfterUnexplainedJobs = 5;
-// If this many such jobs fail on one machine, other machines are preferred for kSuspicionPeriod.
+// If this many such jobs fail on one machine, it gets no tasks for kSuspicionPeriod after the last failure.
 constexpr std::size_t kSuspectedAfterJobs = 2;
 constexpr Duration kSuspicionPeriod = std::chrono::seconds(10);
 // If a job fails on this many machines and works on none, the failure is attributed to the job.
--- a/src/shard/failure_detector.cpp
+++ b/src/shard/failure_detector.cpp
@@ -7,7 +7,7 @@
 namespace beaconsill::shard {
 namespace {
 
-// A machine is suspected if its next heartbeat takes longer than this many heartbeat periods.
+// A machine is suspected to have failed if its next heartbeat takes longer than this many heartbeat periods.
 constexpr double kSuspicionPeriods = 1.6;
 // A machine without contact for this many heartbeat periods gets no new tasks.
 constexpr int kContactTimeoutPeriods = 3;
@@ -74,7 +74,7 @@
     std::size_t all = 0;
     std::size_t suspected = 0;
     bool probing = false;
-    // Of the machines that are not late and can be probed, the one with the latest contact.
+    // The machine with the most recent contact among those that are not late and can be probed.
     Machine* reference = nullptr;
   };
   std::map<Zone, ZoneCount> zones;
@@ -115,8 +115,9 @@
   return it->second;
 }
 
-// A machine is hung if it has been without contact for longer than a late heartbeat and a worker's timeout
-// for an answer explain, and answered neither commands nor probes while other machines of its zone did.
+// A machine is hung if it has been without contact for longer than the suspicion timeout plus a worker's
+// timeout for an answer to its heartbeat, and has answered neither commands nor probes while other machines
+// of its zone did.
 bool FailureDetector::is_hung(const Machine& machine, Instant now) const {
   if (!machine.confirmed || !machine.unanswered_since || machine.unanswered < kHungAfterUnanswered)
     return false;
@@ -177,8 +178,9 @@
   if (machine.draining && empty) return DeletionReason::kReleased;
   if (is_hung(machine, now)) return DeletionReason::kHung;
   auto timeout = machine.confirmed ? params_.grace : params_.grace + kFailoverGracePeriod;
-  // Unconfirmed machines delay the reconciliation, so they can't be exempt forever. An earlier leader that is
-  // partitioned together with them keeps their tasks running until its knowledge of cancellations is too old.
+  // Unconfirmed machines delay the reconciliation, so they can't be exempt from deletion forever. An earlier
+  // leader that is partitioned together with them keeps their tasks running until its knowledge of
+  // cancellations is too old.
   if (partitioned) timeout = std::max(timeout, params_.cancel_limit);
   // After a partition or a pause of this controller, time without contact counts from its end. Otherwise,
   // once half of the machines have sent a heartbeat, the zone no longer counts as partitioned and the other
@@ -197,8 +199,8 @@
   if (auto since = machine.unconfirmed_since(); since && exceeded(*since, timeout))
     return DeletionReason::kReceivesNothing;
   if (exceeded(machine.last_contact, timeout)) return DeletionReason::kNoContact;
-  // A machine that answers probes is alive, and its tasks run until its lease expires, which answers to
-  // commands don't renew. After that the machine is useless unless it sends heartbeats.
+  // A machine that answers probes is alive. Its tasks run until its lease expires, which its answers to
+  // probes don't renew. After that the machine is useless unless it sends heartbeats.
   if (exceeded(machine.last_unsolicited_heartbeat, std::max(timeout, params_.lease)))
     return DeletionReason::kAnswersWithoutHeartbeat;
   return std::nullopt;
--- a/src/shard/failure_detector.h
+++ b/src/shard/failure_detector.h
@@ -13,19 +13,19 @@
 namespace beaconsill::shard {
 
 enum class DeletionReason {
-  kQuarantined,      // tasks failed on the machine, and it is empty now
-  kReleased,         // the cluster no longer needs the machine
-  kHung,             // neither heartbeats nor answers, while other machines of its zone answer
-  kReceivesNothing,  // sends heartbeats, but without the token that would prove that it receives messages
-  kNoContact,        // no heartbeat and no answer
+  kQuarantined,             // tasks failed on the machine, and it is empty now
+  kReleased,                // the cluster no longer needs the machine
+  kHung,                    // neither heartbeats nor answers, while other machines of its zone answer
+  kReceivesNothing,         // no heartbeat with the token that would prove that it receives messages
+  kNoContact,               // no heartbeat and no answer
   kAnswersWithoutHeartbeat  // answers probes, but sends no unsolicited heartbeats
 };
 // Returns the reason in snake_case, as it is logged.
 const char* to_string(DeletionReason reason);
 
-// Stores the times that apply to a zone; those of a single machine are in Machine. All times are those of
-// this controller's steady clock. This class only makes decisions: the caller sends probes and deletes
-// machines.
+// Stores when each zone last answered and when it was last partitioned; the state of a single machine is in
+// Machine. All times are those of this controller's steady clock. This class only makes decisions: the caller
+// sends probes and deletes machines.
 class FailureDetector {
  public:
   using Machines = std::map<MachineName, Machine>;
@@ -34,7 +34,7 @@
 
   // Time without a heartbeat after which a machine is suspected to have failed.
   Duration suspicion_timeout() const;
-  // Sets the times after which a machine gets no new tasks.
+  // Sets the machine's contact_timeout and unsolicited_heartbeat_timeout.
   void set_timeouts(Machine& machine) const;
 
   // To be called after a pause of this process, in which it received nothing. Time without contact counts
@@ -43,14 +43,14 @@
   // Records that a machine of the zone answered commands or a probe.
   void on_commands_answered(const Zone& zone, Instant now) { commands_answered_[zone] = now; }
 
-  // Returns the suspected machines, and for each zone that has any, one machine that is not suspected: a
-  // missing answer is evidence against a machine only while other machines of its zone answer. While a large
-  // share of a zone is suspected, none of its machines is probed, and their unanswered commands are
-  // disregarded.
+  // Returns the machines that are late with a heartbeat, and for each zone that has any, one machine that is
+  // not late: a missing answer is evidence against a machine only while other machines of its zone answer.
+  // While a large share of a zone is suspected to have failed, returns none of its machines and disregards
+  // the unanswered commands of the late ones.
   std::vector<Machine*> machines_to_probe(Machines& machines, Instant now) const;
 
-  // Whether for longer than `timeout` the machine has sent no heartbeat, or has not been known to receive
-  // anything. A machine that has not yet sent a heartbeat under this leader's term is not known to.
+  // Returns whether for longer than `timeout` the machine has sent no unsolicited heartbeat, or it has been
+  // unconfirmed that it receives messages from this leader (see Machine::unconfirmed_since).
   static bool is_unreachable(const Machine& machine, Duration timeout, Instant now);
   // Returns the zones in which more machines are unreachable than independent failures of machines explain,
   // and records them for reason_to_delete.
@@ -65,8 +65,8 @@
   std::optional<DeletionReason> reason_if_no_contact(const Machine& machine, Duration timeout,
                                                      std::optional<Instant> observing_since,
                                                      Instant now) const;
-  // Since when this controller has been able to receive heartbeats from the zone; std::nullopt if it always
-  // was.
+  // Returns since when this controller has been able to receive heartbeats from the zone, or std::nullopt if
+  // it always has been.
   std::optional<Instant> reachable_since(const Zone& zone) const;
   std::optional<Instant> commands_answered(const Zone& zone) const;
 
--- a/src/shard/gang_scheduling.h
+++ b/src/shard/gang_scheduling.h
@@ -12,8 +12,8 @@
 void place_gang(ShardState& state, const JobId& id, ShardJob& job,
                 const std::vector<Machine*>& machines_with_capacity, Instant now);
 
-// Stops tasks that do not run yet of each gang that has lost a task in this shard: the gang starts again only
-// under its next attempt. The gang's tasks in other shards detect the loss themselves.
+// For each gang that has lost a task in this shard, stops its tasks that are not running yet: the gang starts
+// again only under its next attempt. The gang's tasks in other shards detect the loss themselves.
 void stop_broken_gangs(ShardState& state);
 
 }  // namespace beaconsill::shard
--- a/src/shard/granted_jobs.h
+++ b/src/shard/granted_jobs.h
@@ -52,7 +52,7 @@
   bool revoked = false;
   std::set<Generation> generations;  // of the chunks granted to this shard
   std::map<std::uint32_t, GrantedTask> granted_tasks;
-  bool works = false;       // whether a task of the job has completed, or has run well
+  bool works = false;       // whether a task has completed, or has run long enough to show that the job works
   bool unwritten = false;   // whether its progress may differ from what is recorded
   bool unreported = false;  // whether its progress or health has changed since the last report
   protocol::JobHealth unreported_health = protocol::JobHealth::kNone;
@@ -65,7 +65,7 @@
   bool has_waiting_task() const;
 };
 
-// The jobs of which tasks are granted to the shard. Independent of the state of machines.
+// The jobs that have tasks granted to the shard. Independent of the state of machines.
 class GrantedJobs {
  public:
   GrantedJobs(ShardId shard, Term term) : shard_(shard), term_(term) {}
--- a/src/shard/heartbeat_reconciler.cpp
+++ b/src/shard/heartbeat_reconciler.cpp
@@ -82,7 +82,7 @@
   if (origin == HeartbeatOrigin::kUnsolicited) machine.last_unsolicited_heartbeat = now_;
   machine.reset_unanswered();
   machine.token = std::max(machine.token, heartbeat.token);
-  // The machine sends heartbeats, but may not receive anything.
+  // The machine sends heartbeats, but possibly receives nothing.
   if (machine.confirmed && origin == HeartbeatOrigin::kUnsolicited && (lease_expired || missed_answer))
     begin_fencing(machine, state_.dispatch_queue, now_);
   if (!machine.confirmed && heartbeat.token >= FencingToken::first_of(state_.term)) {
@@ -117,7 +117,8 @@
     task.last_listed = state_.heartbeat_count;
     update_task(machine, key, task, status);
   }
-  // A start in flight may still be executed, so the absence of its task from a heartbeat proves nothing.
+  // A start that is queued or in flight may still be executed, so the absence of its task from a heartbeat
+  // proves nothing.
   state_.drop_tasks_if(
       machine,
       [&](const TaskKey&, const MachineTask& task) {
@@ -179,8 +180,9 @@
 }
 
 // Whether the recorded placement of a granted task is based on an old heartbeat. A new leader can't tell an
-// old heartbeat from a new one until the machine sends one under the new term. Otherwise a copy that arrived
-// late, for example from a terminated machine, would cause the running task to be stopped as a duplicate.
+// old heartbeat from a new one until the machine sends one under the new term. Without this check, a copy
+// that arrived late, for example from a terminated machine, would cause the running task to be stopped as a
+// duplicate.
 bool HeartbeatReconciler::is_outdated(const GrantedTask& granted_task, const TaskId& id,
                                       const Machine& machine, const MachineTask& task) {
   const auto* placed_on = state_.find_machine(granted_task.machine);
--- a/src/shard/heartbeat_reconciler.h
+++ b/src/shard/heartbeat_reconciler.h
@@ -24,9 +24,9 @@
 
   HeartbeatResult reconcile(const protocol::WorkerHeartbeat& heartbeat, HeartbeatOrigin origin);
 
-  // Records the machine as the place of the granted task, given a live task that it lists, if the granted
-  // task is on no machine yet or was placed by an outdated heartbeat only. Stops the listed task if the
-  // granted task runs on another machine.
+  // Processes a live task that the machine lists. Records the granted task as placed on this machine if it is
+  // not placed yet, or if its recorded placement is based on an outdated heartbeat. Otherwise, if the
+  // machine is confirmed, stops the listed task if it is another attempt or on another machine.
   void adopt(Machine& machine, const TaskKey& key, MachineTask& task);
 
  private:
--- a/src/shard/machine.h
+++ b/src/shard/machine.h
@@ -122,7 +122,7 @@
   enum class Channel {
     kIdle,
     kBusy,    // a batch is in flight
-    kFencing  // the worker may be unable to receive; commands in flight are resolved by a higher token
+    kFencing  // the worker may be unable to receive; see begin_fencing and resolve_in_flight
   };
   Channel channel = Channel::kIdle;
   FencingToken token;               // the highest one issued; heartbeats are answered with it
@@ -150,8 +150,8 @@
     unanswered_since.reset();
     unanswered = 0;
   }
-  // Whether a probe would yield new information: false while a batch, a probe or a deletion that would show
-  // the same is in progress.
+  // Whether the machine is confirmed and a probe would yield new information: false while a batch, a probe or
+  // a deletion that would show the same is in progress.
   bool can_be_probed() const {
     return confirmed && !deleting && !address.empty() && channel == Channel::kIdle && !probe_at &&
            !probe_in_flight;
@@ -162,7 +162,7 @@
   // ---- Lifecycle
   bool registered = false;   // recorded in the state store, so that the next leader waits for this machine
   bool draining = false;     // gets no more tasks and will be deleted
-  bool quarantined = false;  // gets no more tasks, because tasks failed here whose jobs work elsewhere
+  bool quarantined = false;  // gets no more tasks, because FailureAttribution found it faulty
   bool deleting = false;
   std::optional<Instant> retry_deletion_at;  // set after a failed deletion
   Instant idle_since{};
--- a/src/shard/partitioning.cpp
+++ b/src/shard/partitioning.cpp
@@ -18,7 +18,7 @@
 }
 
 void Partitioning::assign_other_zones(const std::vector<Zone>& zones) {
-  // Load of each shard in zones. The shards of a zone's controllers share its machines.
+  // Load of each shard, as a number of zones. The shards of a zone's controllers share its machines.
   std::vector<double> load(shard_count());
   for (const auto& [zone, zone_shards] : by_zone_)
     for (auto shard : zone_shards) load[shard.value()] = 1.0 / static_cast<double>(zone_shards.size());
--- a/src/shard/periodic_checks.cpp
+++ b/src/shard/periodic_checks.cpp
@@ -53,11 +53,11 @@
 void expire_leases(ShardState& state, Instant up_to_date_at, Instant now) {
   state.visited_count += state.machines.size();
   for (auto& [name, machine] : state.machines) {
-    // Only a confirmed worker has seen this leader's term and obeys no earlier leader, which could have
-    // renewed its lease.
+    // A worker that is not confirmed may still obey an earlier leader, which can have renewed the worker's
+    // lease.
     if (!machine.confirmed || machine.tasks.empty()) continue;
-    // The worker sent every heartbeat that was answered before the newest one arrived, so the lease can't be
-    // counted from later than that. Answers to late copies of older heartbeats don't extend it.
+    // Each heartbeat that was answered had been sent before the newest one arrived here, so the lease can't
+    // be counted from a later time. Answers to late copies of older heartbeats don't extend it.
     auto expiry = machine.last_contact +
                   std::chrono::duration_cast<Duration>(state.params.lease * kClockDriftFactor) + kLeaseMargin;
     if (now <= expiry || up_to_date_at <= expiry || state.superseded) continue;
--- a/src/shard/shard_manager.cpp
+++ b/src/shard/shard_manager.cpp
@@ -81,8 +81,9 @@
 // one. If such a worker is redirected here, it waits in vain for an answer and then contacts the next
 // controller, and its lease may have expired by then. On a recorded day of operation whole shards lost
 // their tasks that way in a controller's second partition: since each machine had been redirected in the
-// first partition, it wasn't answered at once in the second one. Therefore a worker is redirected only if it
-// has answered commands of this controller recently; otherwise it is answered and probed.
+// first partition, it was redirected at once in the second one instead of being answered. Therefore a worker
+// is redirected only if it has answered commands of this controller recently; otherwise it is answered and
+// probed.
 bool ShardManager::should_redirect_here(const protocol::WorkerHeartbeat& heartbeat, Instant now) {
   auto* machine = state_.find_machine(heartbeat.machine);
   bool has_live_tasks = std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
--- a/src/shard/shard_manager.h
+++ b/src/shard/shard_manager.h
@@ -1,7 +1,7 @@
 // Manages one shard of the cluster's machines on the controller that leads the shard. ShardManager is a state
 // machine without sockets and clock: its inputs are heartbeats, grants and the time, and it returns the
-// commands to send and the records to write, which the controller does. Times are those of the controller's
-// steady clock.
+// commands and records that the controller then sends and writes. Times are those of the controller's steady
+// clock.
 #pragma once
 
 #include <map>
@@ -66,7 +66,7 @@
               std::optional<state_store::TerminalState> terminal_state, Instant now);
   // Runs the checks that depend on the time and places tasks. `cancellations_known_until`: all cancellations
   // visible to users before this time are known here. `up_to_date_at`: the local copy of the state store,
-  // including the shard's role, is current as of this time.
+  // including the record of the shard's leader, is current as of this time.
   void tick(Instant now, Instant cancellations_known_until, Instant up_to_date_at);
 
   // ---- Commands
--- a/src/shard/shard_state.h
+++ b/src/shard/shard_state.h
@@ -47,7 +47,8 @@
   // Assigns the granted task to the machine, to be started with the next commands.
   void place(Machine& machine, const TaskId& id, const ShardJob& job, GrantedTask& granted_task, Instant now);
 
-  // Has the next orphan check visit all machines with tasks of the job, whose grants or state have changed.
+  // To be called when the job's grants or state changed: the next orphan check visits all machines of its
+  // tasks.
   void mark_possible_orphans(const JobId& id);
   void erase_job(const JobId& id);
 
--- a/tests/cancellation_barrier_model.cpp
+++ b/tests/cancellation_barrier_model.cpp
@@ -233,7 +233,7 @@
   ++request.acknowledgements;
   Acknowledgement acknowledgement{static_cast<std::size_t>(request.job.revision.value()), now_};
   if (!options_.only_state_store_faults && random_bool(0.01)) {
-    // The process pauses between the check and sending the answer.
+    // The process pauses after the check and before it sends the answer.
     controller.paused_until = now_ + random_between(500, 2 * kReadLease);
     acknowledgement.at = controller.paused_until;
     delayed_acknowledgements_.emplace_back(index, acknowledgement);
--- a/tests/cancellation_barrier_model.h
+++ b/tests/cancellation_barrier_model.h
@@ -48,8 +48,8 @@
   int restarts = 0;
   // The highest age of any controller's knowledge of cancellations after the first 5 s.
   Ms max_knowledge_age = 0;
-  // The longest time from when any controller knew of a cancellation until its first acknowledgement to a
-  // user.
+  // The longest time from when the first controller knew of a cancellation until its first acknowledgement to
+  // a user.
   Ms max_acknowledgement_delay = 0;
 };
 
--- a/tests/cancellation_barrier_test.cpp
+++ b/tests/cancellation_barrier_test.cpp
@@ -222,7 +222,7 @@
 
 // Versions without the barrier acknowledge cancellations to users without consulting peers, and echo
 // heartbeats without reading their cancellations.
-TEST(CancellationBarrierTest, PeerWithoutTheBarrierIsCompleteUpToItsAcknowledgedRevision) {
+TEST(CancellationBarrierTest, KnownUntilForAPeerWithoutTheBarrierEndsAtAnEchoedHeartbeat) {
   Fixture fixture;
   fixture.jobs = {cancelled(101)};
   fixture.send(20s);
@@ -232,7 +232,8 @@
   // The peer has acknowledged a cancellation to users that is not known here.
   fixture.receive(22s, 2, std::nullopt, Revision(101));
   EXPECT_EQ(fixture.known_until(23s), 20s);
-  // The peer has no read lease, and concludes nothing about the time after the echoed heartbeat.
+  // The peer has no read lease, so it doesn't rely on this controller to withhold cancellations after the
+  // echoed heartbeat.
   EXPECT_TRUE(fixture.may_reveal(101, 23s));
   // After a downgrade of the peer the read lease from the newer version no longer counts.
   fixture.receive(22s, 2, sync_of(true, true));
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -10,7 +10,7 @@
 using protocol::EndCause;
 using protocol::TaskState;
 
-// In seconds.
+// Times in seconds.
 constexpr double kHeartbeatPeriod = 3, kLease = 17.5, kGrace = 12, kStep = 0.1, kTimeout = 2;
 // A heartbeat is late after 1.6 periods, a late machine has 3.9 s to answer, and the probes need some steps.
 constexpr double kHungDeletedBy = 1.6 * kHeartbeatPeriod + 3.9 + 0.6;
--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -42,7 +42,7 @@
   EXPECT_TRUE(machine.tasks.empty());
   EXPECT_EQ(machine.used().cpus, 0);
   EXPECT_FALSE(state.locations.is_live_anywhere({JobId("run-1"), 0}));
-  // All of it may be placed later under the same attempt.
+  // The whole gang may be placed later under the same attempt.
   auto& larger = add_machine("m2");
   place_gang_on({&machine, &larger});
   EXPECT_EQ(placed_tasks(), 5u);
--- a/tests/heartbeat_reconciler_test.cpp
+++ b/tests/heartbeat_reconciler_test.cpp
@@ -118,7 +118,7 @@
   reconcile(heartbeat);
   EXPECT_TRUE(machine.tasks.empty());
   EXPECT_EQ(granted_task("run-1").status, Status::kWaiting);
-  // The worker's lease expired although its heartbeats were answered, so it may not receive anything.
+  // The worker's lease expired although its heartbeats were answered, so it possibly receives nothing.
   EXPECT_EQ(machine.channel, Machine::Channel::kFencing);
 }
 
@@ -227,7 +227,7 @@
   EXPECT_EQ(granted_task("run-1").attempt, Attempt(7));
 }
 
-TEST_F(HeartbeatReconcilerTest, ADuplicateExecutionIsStoppedUnlessTheFirstIsKnownFromAnOldHeartbeatOnly) {
+TEST_F(HeartbeatReconcilerTest, ADuplicateExecutionIsStoppedUnlessTheFirstIsKnownOnlyFromAnOldHeartbeat) {
   struct Case {
     const char* what;
     bool first_confirmed;
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -28,7 +28,7 @@
 
 // Heartbeats of a machine can arrive while answers and commands don't reach it: a heartbeat doesn't prove
 // that the machine receives anything.
-TEST(Reachability, AMachineThatMayNotReceiveAnythingIsNotUsable) {
+TEST(Reachability, AMachineThatPossiblyReceivesNothingIsNotUsable) {
   struct Case {
     const char* what;
     double pause;               // seconds before the next heartbeat
@@ -119,7 +119,7 @@
     known.register_all(5);
     known.shard.on_worker_heartbeat(early, at(5 + late));
     EXPECT_FALSE(known.shard.is_reconciled()) << late;
-    // A copy doesn't add a machine again that was terminated.
+    // A copy doesn't add a terminated machine again.
     known.shard.on_machine_terminated(MachineName("m1"), at(6 + late));
     EXPECT_EQ(known.shard.on_worker_heartbeat(old.worker("m1"), at(7 + late)), HeartbeatResult::kDropped)
         << late;
@@ -179,7 +179,7 @@
 
 // Guards against a failure found on recorded days of both operators' deployments: in a controller's
 // second partition from its workers, all machines that had been redirected in the first one were redirected
-// at once, and their leases expired.
+// again at once, and their leases expired.
 TEST(RelayedHeartbeat, WorkersAreAnsweredAtOnceInASecondPartitionAsWell) {
   ShardFixture fixture;
   fixture.add_ready_workers({"m1"});
@@ -228,7 +228,8 @@
   fixture.add_ready_workers({"m1", "m2", "m3", "m4"});
   for (const char* name : {"m2", "m3", "m4"}) fixture.heartbeat(name, 5.5);
   EXPECT_EQ(fixture.shard.take_machines_to_delete(at(6)), std::vector{MachineName("m1")});
-  // Without contact to any machine, this controller is partitioned rather than four machines failed.
+  // Without contact to any machine, it is more likely that this controller is partitioned than that four
+  // machines failed.
   EXPECT_TRUE(fixture.shard.take_machines_to_delete(at(30)).empty());
 }
 
@@ -293,7 +294,7 @@
   }
 }
 
-TEST(ContactLoss, TasksAreDroppedOnlyIfTheRoleWasReadAfterTheLeaseExpired) {
+TEST(ContactLoss, TasksAreDroppedOnlyIfTheStateStoreWasReadAfterTheLeaseExpired) {
   struct Case {
     double now, up_to_date_at;
     bool expired;
--- a/tests/shard_failover_test.cpp
+++ b/tests/shard_failover_test.cpp
@@ -5,8 +5,8 @@
 namespace beaconsill::shard {
 namespace {
 
-// A controller that is partitioned from the state store and its peers still answers its workers, so they
-// would never contact its successor. Therefore the successor probes them.
+// A controller that is partitioned from the state store and its peers still answers its workers, so these
+// workers would never contact its successor. Therefore the successor probes them.
 TEST(Failover, RegisteredMachinesAreProbedByANewLeader) {
   ShardFixture fixture;
   auto& worker = fixture.worker("m1");
