--- a/src/api/api.h
+++ b/src/api/api.h
@@ -16,8 +16,8 @@
 namespace beaconsill::api {
 
 // Routes requests to the endpoints. Every request for a job gets a response within a fixed time, even if the
-// state store is slow or unreachable. Used only on the thread of the io_context; it must outlive all
-// requests.
+// state store is slow or unreachable. Used only on the thread of the io_context. The Api must outlive
+// all requests.
 class Api {
  public:
   using Hooks = api::Hooks;
--- a/src/api/context.h
+++ b/src/api/context.h
@@ -19,8 +19,8 @@
   std::function<const protocol::Catalogue*()> catalogue;
   // Called with the revision of each change that was committed, so that other controllers read it soon.
   std::function<void(Revision)> on_commit;
-  // Returns whether a user may learn now that the job, which is known here to be cancelled, is cancelled. The
-  // caller must send its response within the same event-loop callback.
+  // Returns whether a response may report to a user that the job is cancelled. The job must be cancelled in
+  // the view. If the result is true, the caller must respond within the same event-loop callback.
   std::function<bool(const JobId&)> may_reveal_cancellation;
   // Returns the number of tasks of the job that are running.
   std::function<std::uint32_t(const JobId&)> running_tasks;
@@ -46,7 +46,7 @@
   // state store could not be read; it does so at once while the state store is known not to respond to this
   // controller.
   void sync_view(std::function<void(bool synced)> done) const;
-  // Sends a transaction on behalf of a user, or refuses it if the rate limits would delay it too long.
+  // Sends a transaction on behalf of a user. It fails if the rate limits allow it to be sent only too late.
   void commit(const protocol::Txn& txn, std::function<void(state_store::TxnResult)> done) const;
 };
 
--- a/src/api/submission.cpp
+++ b/src/api/submission.cpp
@@ -38,7 +38,7 @@
 }
 
 // Another controller may have accepted the job before, for example with an older catalogue of machine types.
-// Only an up-to-date view tells.
+// Only an up-to-date view shows whether one has.
 void Submission::refuse_after_sync(const JobId& id, const AdmissionResult& refusal,
                                    const Reply& reply) const {
   context_.sync_view([this, id, refusal, reply](bool synced) {
@@ -50,7 +50,7 @@
   });
 }
 
-// Another controller may just have accepted the job's dependencies. Only an up-to-date view tells.
+// Another controller may just have accepted the job's dependencies. Only an up-to-date view contains them.
 void Submission::accept_after_sync(const protocol::JobSpec& spec, const Reply& reply) const {
   context_.sync_view([this, spec, reply](bool synced) {
     if (!synced) return reply(retry_later(kStateStoreUnreachable));
@@ -137,8 +137,8 @@
   const auto& id = values.record.spec->id;
   protocol::Txn txn;
   txn.conditions = {{state_store::job_key(id), Revision()}, {state_store::terminal_key(id), Revision()}};
-  // Dependency keys are deleted in ascending order. The condition on the first one makes this transaction
-  // fail if their deletion has begun.
+  // The garbage collector deletes the dependency keys of a job in ascending order. The condition on the first
+  // one makes this transaction fail if the deletion has begun.
   if (!values.depends_on.empty())
     txn.conditions.push_back(
         {state_store::dependency_key(id, 0), context_.view().dependency_keys(id).at(0).revision});
--- a/src/api/submission.h
+++ b/src/api/submission.h
@@ -19,10 +19,10 @@
  private:
   using Reply = net::HttpServer::Reply;
 
-  // Responds to a repeated submission: the view already contains the job, in this state.
+  // Responds to a repeated submission of a job that is already in the view, with this state.
   void handle_existing(const JobId& id, protocol::JobState state, const Reply& reply) const;
-  // Responds to a job that admission control did not accept, unless another controller has accepted it
-  // before.
+  // Refuses a job that admission control did not accept. If another controller has accepted it before,
+  // responds with its state instead.
   void refuse_after_sync(const JobId& id, const AdmissionResult& refusal, const Reply& reply) const;
   // Brings the view up to date because it lacks a dependency of the job, then accepts the job if all
   // dependencies exist.
--- a/src/controller/autoscaler_service.h
+++ b/src/controller/autoscaler_service.h
@@ -1,5 +1,5 @@
-// Scales the fleet out and in: performs the Autoscaler's decisions by requests to the cloud and the shard
-// leaders.
+// Adds machines to the cluster and removes them: carries out the Autoscaler's decisions through requests to
+// the cloud and to the shard leaders.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace beaconsill::controller {
 
-// Part of the SchedulerService. Rents machines for queued jobs, deletes failed instances, requests the shard
+// Part of the SchedulerService. Rents machines for queued jobs, deletes failed instances, asks the shard
 // leaders to release idle instances, and lists the cloud's machines. A request to the cloud that fails is
 // repeated at the next tick. Doesn't throw; runs on the event loop's single thread.
 class AutoscalerService {
@@ -29,7 +29,7 @@
   void begin_term(Term term);
   void end_term() { autoscaler_.reset(); }
   void on_catalogue();
-  // Requests the list of the cloud's machines, unless the previous request is in progress or too recent.
+  // Requests the list of machines from the cloud, unless a request is pending or the last one is too recent.
   void list_machines();
 
  private:
--- a/src/controller/cancellation_visibility.cpp
+++ b/src/controller/cancellation_visibility.cpp
@@ -56,7 +56,7 @@
 Revision CancellationVisibility::acknowledged_until() {
   if (!ctx_.watch_cache->ready()) return Revision(UINT64_MAX);
   if (!acknowledged_until_) {
-    // An earlier process of this controller may have acknowledged any of the cancellations in the view.
+    // An earlier process of this controller may have reported any of the cancellations in the view to users.
     const auto& cancelled = ctx_.view().cancelled();
     acknowledged_until_ = cancelled.empty() ? Revision() : cancelled.rbegin()->revision;
   }
@@ -65,7 +65,7 @@
 
 CancellationVisibility::NextHeartbeat CancellationVisibility::on_heartbeat(
     const ControllerName& peer, const protocol::Heartbeat& heartbeat) {
-  // The cancellations are applied before anything is sent that acknowledges them.
+  // The cancellations are applied before any heartbeat is sent that acknowledges them to the peer.
   if (heartbeat.cancellation_sync) ctx_.watch_cache->apply_cancelled(heartbeat.cancellation_sync->cancelled);
   return barrier_.on_heartbeat(peer, heartbeat, local_view(), ctx_.now());
 }
--- a/src/controller/cancellation_visibility.h
+++ b/src/controller/cancellation_visibility.h
@@ -11,31 +11,31 @@
 
 namespace beaconsill::controller {
 
-// Connects shard::CancellationBarrier to the watch cache and to the heartbeats of the peers. Every peer
-// passed to a method must be one of the peers in the settings. Methods don't throw. Single-threaded.
+// Connects shard::CancellationBarrier, which defines read leases, to the watch cache and to the heartbeats of
+// the peers. Peers that are passed to methods must be in the settings. Methods don't throw. Single-threaded.
 class CancellationVisibility {
  public:
-  // A peer that has echoed no heartbeat for `contact_timeout` is granted no read lease.
+  // Only a peer that has echoed a heartbeat sent within `contact_timeout` is granted a read lease.
   CancellationVisibility(ControllerContext& ctx, Duration contact_timeout);
 
-  // Returns whether a user may be notified that the job is cancelled. The job's terminal state must be in the
-  // view. If the result is true, the caller must notify the user in the same callback. If it is false, the
-  // peers are being asked to acknowledge the cancellation, and a later retry of the request succeeds.
+  // Returns whether the job may be reported to a user as cancelled. The job's terminal state must be in the
+  // view. If the result is true, the caller must respond to the user in the same callback. If it is false, a
+  // later retry succeeds once the peers have acknowledged the cancellation, which they are asked to do.
   bool may_reveal(const JobId& id);
-  // Returns the time before which this controller knows every cancellation that any controller has reported
-  // to a user, either because it was read from the state store or because every peer has sent those it
-  // reported.
+  // Returns a time such that this controller knows every cancellation that any controller reported to a user
+  // before it, either from the state store or because every peer has sent the cancellations that it reported.
+  // Returns std::nullopt if there is no such time.
   std::optional<Instant> known_until() const;
 
   // Returns whether any of the changed jobs is cancelled.
   bool contains_cancellation(const state_store::StateView::ChangeSet& changes) const;
-  // Returns whether the peer is ready but is not known to have all cancellations that this controller has.
+  // Returns whether the peer has completed its initial read but may lack cancellations that are known here.
   bool lacks_cancellations(const ControllerName& peer) const {
     return barrier_.lacks_cancellations(peer, local_view());
   }
 
-  // Returns the highest revision of a cancellation that this controller may have acknowledged to a user. Only
-  // peers that run earlier versions use it.
+  // Returns the highest revision of a cancellation that this controller may have reported to a user, or the
+  // maximum value before the initial read of the state store. Only peers that run earlier versions use it.
   Revision acknowledged_until();
   // Returns the cancellations and the read lease that the heartbeat with this sequence number must carry to
   // the peer. The heartbeat counts as sent, and the read lease as granted, from this call on.
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -57,9 +57,9 @@
   auto client = connections_.acquire(batch.machine, batch.address, *endpoint, ctx_.now()).client;
   auto body = protocol::render_commands(batch.token, batch.incarnation, batch.commands);
   auto done = [this, id, term = shard.manager->term(), batch = std::move(batch),
-               sender = std::weak_ptr(client)](const net::Result& result) {
+               weak_client = std::weak_ptr(client)](const net::Result& result) {
     if (stopped_) return;
-    connections_.release(batch.machine, sender.lock());
+    connections_.release(batch.machine, weak_client.lock());
     on_result(id, term, batch, result);
   };
   client->request("POST", "/do", body, kCommandTimeout, std::move(done));
--- a/src/controller/command_sender.h
+++ b/src/controller/command_sender.h
@@ -13,8 +13,8 @@
 // shard's term has ended. Doesn't retry a batch that got no response. Methods don't throw. Single-threaded.
 class CommandSender {
  public:
-  // `on_batch_done` is called after the shard manager was notified of a batch's result, including a missing
-  // response.
+  // `on_batch_done` is called after the shard manager was notified of the result of a batch that was sent. A
+  // missing response is a result, too.
   CommandSender(ControllerContext& ctx, LedShards& shards, std::function<void()> on_batch_done);
   // Closes all connections. Responses that arrive later are ignored.
   void stop();
--- a/src/controller/garbage_collector.cpp
+++ b/src/controller/garbage_collector.cpp
@@ -50,8 +50,8 @@
 
 DraftState GarbageCollector::delete_job_keys(const JobId& id, state_store::TxnDraft& draft) {
   const auto* job = ctx_.view().job(id);
-  // A job without a terminal record of its own was cancelled because another job was. Its keys must remain,
-  // since its state follows from the jobs through which it was cancelled.
+  // A terminated job without a terminal record of its own was cancelled because a job that it depends on was.
+  // Its keys must remain until it has a record, since its state is derived from its dependencies until then.
   if (!job || !ctx_.view().terminal_record(id).exists()) return DraftState::kOpen;
   // The job's record comes last: if one transaction can't delete all keys, the remaining ones can still be
   // identified as those of a terminated job.
@@ -64,7 +64,7 @@
   std::vector<protocol::Write> deletions;
   deletions.reserve(keys.size());
   for (const auto& condition : keys) deletions.push_back({condition.key, std::nullopt, std::nullopt});
-  // A job is skipped if its keys exceed the limit of an empty draft.
+  // If the deletions don't fit even into an empty draft, the job is skipped. Otherwise the draft is full.
   if (add_changes(draft, keys, deletions) == DraftState::kFull)
     return draft.empty() ? DraftState::kOpen : DraftState::kFull;
   jobs_being_deleted_.insert(id);
@@ -72,8 +72,8 @@
 }
 
 // Deletes a job's dependency keys if the job's record was deleted, or if it was never written and the
-// submission was abandoned. The first key is deleted first, because the transaction that writes the record is
-// conditional on it.
+// submission was abandoned. The first key is deleted first, because a submission writes the job's record on
+// the condition that this key exists unchanged.
 DraftState GarbageCollector::delete_dependency_keys(const JobId& id,
                                                     const state_store::StateView::DependencyKeys& keys,
                                                     state_store::TxnDraft& draft) const {
@@ -83,8 +83,8 @@
   const auto age =
       std::chrono::milliseconds(ctx_.clock.wall().value() - keys.begin()->second.value.written.value());
   if (!view.terminal_record(id).exists() && age < kAbandonedSubmissionAge) return DraftState::kOpen;
-  for (const auto& [piece, value] : keys) {
-    auto key = state_store::dependency_key(id, piece);
+  for (const auto& [index, value] : keys) {
+    auto key = state_store::dependency_key(id, index);
     auto state = add_changes(draft, {{key, value.revision}, {state_store::job_key(id), Revision()}},
                              {{key, std::nullopt, std::nullopt}});
     if (state == DraftState::kFull) return state;
--- a/src/controller/grant_writer.cpp
+++ b/src/controller/grant_writer.cpp
@@ -54,7 +54,9 @@
   on_written_();
 }
 
-// The state store rejects the whole transaction if one of its values exceeds the limit for values.
+// Trims or drops grants because the state store rejects the whole transaction if it exceeds a size limit. A
+// superseding write is one that writes a job's recorded grants again, without new ones, so that an in-flight
+// transaction with the same expected revision fails.
 void GrantWriter::drop_grants_over_limits(Grants& grants) const {
   auto max_bytes = static_cast<std::size_t>(static_cast<double>(ctx_.store->size_limits().value_bytes()) *
                                             kMaxFractionOfValueLimit);
@@ -68,8 +70,8 @@
     leadership_.scheduler().on_oversized(grant.job);
     return true;
   });
-  // A superseding write has to be in the same transaction as the new grants. Otherwise the in-flight
-  // transaction that it supersedes could still be applied in addition to the new grants.
+  // All superseding writes have to be in the same transaction as the new grants. Otherwise the in-flight
+  // transaction that they supersede could still be applied in addition to the new grants.
   if (superseding_dropped) {
     grants.clear();
     return;
@@ -78,7 +80,7 @@
 }
 
 // Trims new grants to `max_bytes` and returns whether the value is within that limit. Grants that are revoked
-// or only written again can't be trimmed.
+// and superseding writes can't be trimmed.
 bool GrantWriter::trim_to_value_limit(scheduler::Scheduler::Grant& grant, Generation recorded,
                                       std::size_t max_bytes) const {
   if (grant.grants.revoke || grant.grants.last <= recorded)
@@ -87,7 +89,7 @@
 }
 
 // Drops grants beyond the size limit of a transaction; the next round decides on them again. Superseding
-// writes are placed first, and the transaction contains only superseding writes if not all of them fit.
+// writes are placed first: if not all of them fit, the transaction contains no new grants.
 void GrantWriter::trim_to_txn_limit(Grants& grants) const {
   auto supersedes = [&](const auto& grant) {
     const auto* job = ctx_.view().job(grant.job);
--- a/src/controller/heartbeat_endpoint.cpp
+++ b/src/controller/heartbeat_endpoint.cpp
@@ -63,8 +63,9 @@
 net::Response HeartbeatEndpoint::make_response(LedShard& shard, ShardId id,
                                                const protocol::WorkerHeartbeat& heartbeat) {
   auto& manager = *shard.manager;
-  // If this controller hasn't known all cancellations for longer than this, some of the machine's tasks may
-  // be cancelled. Leases are not renewed then, so that they expire before the time limit for cancelled tasks.
+  // If known_until() is longer ago than this, some of the machine's tasks may have been cancelled without
+  // this controller knowing. The lease is not renewed then, so that it expires before the time limit by which
+  // cancelled tasks must have ended.
   auto max_age = from_seconds(ctx_.settings.cancel_s - ctx_.settings.lease_s - kCancelMarginSeconds);
   auto known_until = cancellations_.known_until();
   if (!known_until || ctx_.now() - *known_until > max_age)
@@ -74,8 +75,8 @@
     ctx_.watch_cache->sync([](bool) {});
     return {net::status::kMisdirectedRequest, protocol::render_redirect(relay_.shard_leader(id))};
   }
-  // A stale heartbeat is answered as well: its worker is alive, and newer commands may have reached the
-  // worker before this heartbeat arrived.
+  // A stale heartbeat is answered as well: its worker is alive. A heartbeat is stale, for example, if newer
+  // commands have reached the worker and its response to them has arrived before this heartbeat.
   if (!manager.find_machine(heartbeat.machine))
     return unavailable("machine " + heartbeat.machine.value() + " was terminated");
   auto response = manager.heartbeat_response(heartbeat.machine, ctx_.now());
--- a/src/controller/heartbeat_relay.h
+++ b/src/controller/heartbeat_relay.h
@@ -1,4 +1,4 @@
-// Relays heartbeats of workers whose shard another controller leads to that controller.
+// Relays a worker's heartbeat to the leader of the worker's shard if that is another controller.
 #pragma once
 
 #include <cstdint>
@@ -29,9 +29,9 @@
   void on_relayed_reply(const protocol::RelayedReply& relayed);
   // Redirects the workers whose heartbeats got no reply in time.
   void redirect_expired();
-  // Returns the shard's leader under the highest known term, which is either the role in the state store (if
-  // its holder is alive) or the term that a peer advertises (if that peer is reachable). Returns std::nullopt
-  // if there is none or if it is this controller.
+  // Returns the shard's leader: a reachable peer that advertises a higher term than the role in the state
+  // store has, or else the holder of that role if it is alive. Returns std::nullopt if there is no leader or
+  // if it is this controller.
   std::optional<ControllerName> shard_leader(ShardId shard) const;
 
  private:
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -7,11 +7,11 @@
 namespace beaconsill::controller {
 namespace {
 constexpr Duration kCheckPeriod = std::chrono::milliseconds(200);
-// Each candidate waits this much longer than the candidate of the next lower rank, so that one acquires the
+// Each candidate waits this much longer than the candidate that is ranked before it, so that one acquires the
 // role and the others see that in time.
 constexpr Duration kCandidateDelay = std::chrono::milliseconds(1200);
-// A shard with an unreachable machine doesn't fail back, since the new shard leader would have to wait for
-// that machine. The delay is extended in this way to at most this multiple of the usual delay.
+// A shard that isn't stable (see Hooks::is_stable) fails back later, since the new shard leader would have to
+// wait for unreachable machines. The total delay is at most this multiple of the usual delay.
 constexpr int kMaxFailBackDelayFactor = 4;
 }  // namespace
 
@@ -179,8 +179,8 @@
 
 void LeaderElection::fail_back(RoleState& state, const RoleRecord& role, ShardId shard) {
   const auto& preferred = ctx_.partitioning.preferred_controller(shard);
-  // If the preferred controller runs an earlier version, it can't read the role's record, and the shard would
-  // have no leader.
+  // If the preferred controller's version is too old to read the role's record, the shard would have no
+  // leader after the fail-back.
   if (ctx_.view().advertised_version(preferred).value_or(0) < role.value.min_reader_version) return;
   spdlog::info("shard_fail_back shard={} controller={}", shard.value(), preferred.value());
   // Like every controller that is replaced, this one remains the shard leader until it sees that the change
--- a/src/controller/leader_election.h
+++ b/src/controller/leader_election.h
@@ -23,13 +23,13 @@
     std::function<void(ShardId)> release_shard;
     std::function<void(Term)> become_leader;
     std::function<void()> step_down;
-    // Whether no machine of the shard is currently suspected or lost.
+    // Whether the shard is reconciled and all of its machines are reachable.
     std::function<bool(ShardId)> is_stable;
   };
   LeaderElection(ControllerContext& ctx, Hooks hooks);
   void start();
   void stop();
-  // Called when roles or the liveness of controllers changed in the view.
+  // Called when roles or the liveness of controllers changed in the view, and by the timer.
   void on_roles_changed();
 
  private:
--- a/src/controller/leadership.h
+++ b/src/controller/leadership.h
@@ -12,8 +12,8 @@
 
 // Owned by the SchedulerService and shared by its components. Before the leader may write anything, it has to
 // read everything that earlier leaders wrote. The grants that were written last may not be in the view yet,
-// and without them the ledger would allow a team more than its quota. Doesn't throw; runs on the event loop's
-// single thread.
+// and without them the ledger of the teams' usage would allow a team more than its quota. Doesn't throw; runs
+// on the event loop's single thread.
 class Leadership {
  public:
   explicit Leadership(ControllerContext& ctx) : ctx_(ctx) {}
@@ -31,7 +31,8 @@
   // Must be called only while is_leader() is true.
   scheduler::Scheduler& scheduler() const { return *scheduler_; }
 
-  // Reads the ledger unless it has been read or a read is pending. Calls `on_read` after a successful read.
+  // Completes the ledger by reading everything that earlier leaders wrote, unless that was done in this term
+  // or is pending. Calls `on_read` after a successful read.
   void read_ledger(std::function<void()> on_read);
   // Returns the condition that each transaction of the leader must contain, so that it is applied only while
   // this controller is the leader. Returns std::nullopt if this controller isn't the leader according to the
--- a/src/controller/led_shards.h
+++ b/src/controller/led_shards.h
@@ -23,7 +23,7 @@
   // State of the ProgressWriter
   bool progress_write_pending = false;
   std::optional<Instant> next_progress_check;
-  std::map<JobId, Instant> unwritten_since;  // by job: since when it has had unwritten progress
+  std::map<JobId, Instant> unwritten_since;  // since when each job has had unwritten progress
 
   // State of the LeaderNotifier
   std::optional<Instant> next_full_notification;
--- a/src/controller/peer_heartbeats.cpp
+++ b/src/controller/peer_heartbeats.cpp
@@ -8,8 +8,8 @@
 constexpr Duration kHeartbeatPeriod = std::chrono::milliseconds(500);
 // A connection on which no heartbeat has been echoed for this long is closed and opened again.
 constexpr Duration kResetTimeout = std::chrono::seconds(4);
-// Minimum time between immediate heartbeats, which are sent outside the period. It lets one heartbeat carry
-// dozens of cancellations.
+// Minimum time between immediate heartbeats, which don't wait for the end of the period. It lets one
+// heartbeat carry dozens of cancellations.
 constexpr Duration kMinImmediateHeartbeatGap = std::chrono::milliseconds(20);
 // This controller reports that it reaches the state store if its last read is no older than this.
 constexpr Duration kMaxStateStoreReadAge = std::chrono::milliseconds(1200);
--- a/src/controller/peer_heartbeats.h
+++ b/src/controller/peer_heartbeats.h
@@ -17,8 +17,8 @@
 namespace beaconsill::controller {
 
 // Sends a heartbeat to each peer periodically, and an immediate one to a peer that needs cancellations.
-// Stores the reachability, shard leaders and state store access that the heartbeats of the peers report.
-// Methods don't throw. Single-threaded.
+// Tracks which peers are reachable, and which shards they lead and whether they reach the state store
+// according to their heartbeats. Methods don't throw. Single-threaded.
 class PeerHeartbeats : public PeerStatus {
  public:
   using LedTerms = std::function<std::vector<protocol::ShardTerm>()>;
@@ -34,7 +34,7 @@
   bool any_peer_reaches_state_store() const override;
   std::optional<AdvertisedLeader> shard_leader(ShardId shard) const override;
 
-  // Records which shards the peer leads, as its heartbeat says. Must be called before on_heartbeat().
+  // Records which shards the peer leads according to its heartbeat. Must be called before on_heartbeat().
   void record_shard_leaders(const ControllerName& from, const protocol::Heartbeat& heartbeat);
   // Processes the rest of the peer's heartbeat.
   void on_heartbeat(const ControllerName& from, const protocol::Heartbeat& heartbeat);
--- a/src/controller/peer_links.cpp
+++ b/src/controller/peer_links.cpp
@@ -8,7 +8,8 @@
 namespace beaconsill::controller {
 namespace {
 // Share of the controller's memory that messages queued for all peers together may take if the peers stall.
-// It is a share because summaries grow with the number of machines, and a controller's memory has to as well.
+// It is relative to the memory because both the size of summaries and the memory that a controller needs grow
+// with the number of machines.
 constexpr double kQueueShareOfMemory = 1.0 / 16;
 constexpr double kBytesPerMegabyte = 1024 * 1024;
 
--- a/src/controller/peer_status.h
+++ b/src/controller/peer_status.h
@@ -8,7 +8,7 @@
 
 namespace beaconsill::controller {
 
-// A peer counts as reachable until this long after the sending of the newest heartbeat that it has echoed.
+// A peer counts as reachable if it has echoed a heartbeat that was sent to it within this time.
 constexpr Duration kReachableTimeout = std::chrono::milliseconds(1700);
 
 // A controller that advertises in its heartbeats that it leads a shard, with the shard's term.
--- a/src/controller/progress_writer.cpp
+++ b/src/controller/progress_writer.cpp
@@ -69,8 +69,8 @@
       found == record->progress.end() ? state_store::Versioned<state_store::Progress>{} : found->second;
   auto value = state_store::truncate_progress(recorded.value, progress, max_bytes);
   auto json = state_store::to_json(value);
-  // A value that exceeds the limit was first written under a higher limit. It gets shorter as the job's other
-  // tasks end, and is written then.
+  // Even the truncated value can exceed the limit if the recorded progress was written under a higher limit.
+  // It gets shorter as the job's other tasks end, and is written then.
   if (value == recorded.value || state_store::value_bytes(json) > max_bytes) return DraftState::kOpen;
   auto key = state_store::progress_key(id, job);
   return add_changes(draft, {{key, recorded.revision}}, {{key, std::move(json), std::nullopt}});
--- a/src/controller/rate_limit_apportioner.h
+++ b/src/controller/rate_limit_apportioner.h
@@ -8,8 +8,8 @@
 
 namespace beaconsill::controller {
 
-// Recalculates the shares periodically from which controllers are alive and which is the leader. Doesn't
-// throw; runs on the event loop's single thread.
+// Recalculates the shares periodically, according to which controllers are alive and which one is the leader.
+// Doesn't throw; runs on the event loop's single thread.
 class RateLimitApportioner {
  public:
   RateLimitApportioner(ControllerContext& ctx, const SchedulerService& scheduler);
--- a/src/controller/round_driver.cpp
+++ b/src/controller/round_driver.cpp
@@ -11,8 +11,8 @@
   if (!leader) return;
   begin_round();
   auto& scheduler = leadership_.scheduler();
-  // Grants of services are written immediately. Grants of arrays are limited to the spare part of the write
-  // rate, because the next service would have to wait for writes that arrays use up now.
+  // If the round contains services, its grants are written as urgently as users' requests. Other grants are
+  // limited to the spare part of the write rate, so that a service that arrives next needn't wait for them.
   bool services = scheduler.has_services();
   auto max_jobs =
       services ? leadership_.max_changes_per_txn() : std::max<std::size_t>(1, ctx_.store->spare_writes());
--- a/src/controller/round_driver.h
+++ b/src/controller/round_driver.h
@@ -1,5 +1,5 @@
-// Runs the scheduling rounds: requests estimates from the shard leaders, has the scheduler decide, and passes
-// the grants to the GrantWriter.
+// Runs the scheduling rounds: requests estimates of free capacity from the shard leaders, has the scheduler
+// decide which tasks are granted, and passes the grants to the GrantWriter.
 #pragma once
 
 #include "controller/grant_writer.h"
@@ -23,8 +23,8 @@
         leadership_(leadership),
         grant_writer_(grant_writer) {}
 
-  // Begins a round if one is due. Ends the open round if all shards have responded or the time limit for
-  // responses has passed.
+  // Begins a round if one is due. Ends the open round if all reachable shards have responded or the time
+  // limit for responses has passed.
   void run();
 
  private:
--- a/src/controller/scheduler_service.cpp
+++ b/src/controller/scheduler_service.cpp
@@ -68,7 +68,8 @@
   // A job that is cancelled because a job it depends on was cancelled has never had tasks, so there is
   // nothing to schedule.
   if (view.dependencies().unrecorded_cancellations().contains(id)) job = nullptr;
-  // Versions without pipelines don't record when a job ended. For such a dependency the current time is used.
+  // The job became ready when its last dependency was done. Versions that don't support dependencies don't
+  // record when a job ended. If no dependency has such a time recorded, the current time is used.
   auto ready_since = view.dependencies().ready_since(id, ctx_.clock.wall());
   leadership_.scheduler().on_job(id, job, view.terminal_state(id), ctx_.now(), ready_since);
 }
--- a/src/controller/scheduler_service.h
+++ b/src/controller/scheduler_service.h
@@ -19,7 +19,7 @@
 namespace beaconsill::controller {
 
 // Owns the leader's components; the context, the PeerService and the ShardService belong to the Controller.
-// While another controller is the leader, only summaries of shards are recorded and all other events are
+// While another controller is the leader, summaries of shards are stored and all other events are
 // ignored. Requests that fail are logged and repeated at the next tick. Doesn't throw; runs on the event
 // loop's single thread.
 class SchedulerService {
--- a/src/controller/shard_service.cpp
+++ b/src/controller/shard_service.cpp
@@ -144,7 +144,7 @@
   }
 }
 
-// Does the same, and then the work that can be delayed until the next tick.
+// Calls run(), and then does the work that can wait for the timer's next period.
 void ShardService::run_periodic() {
   notify_of_process_pause();
   run();
--- a/src/controller/shard_service.h
+++ b/src/controller/shard_service.h
@@ -38,7 +38,7 @@
   // The shards that this controller leads, except those for which it knows of a higher term.
   std::vector<protocol::ShardTerm> led_terms() const;
   bool leads(ShardId id) const { return shards_.contains(id); }
-  // Whether no machine of the shard is currently suspected or lost.
+  // Whether the shard is reconciled and all of its machines are reachable.
   bool is_stable(ShardId id) const;
 
   // Handles heartbeats from workers, both direct and relayed by other controllers.
@@ -52,7 +52,7 @@
   void on_machines_terminated(const std::vector<MachineName>& machines);
   // Called when the leader no longer needs these machines.
   void on_release_machines(const std::vector<MachineName>& machines);
-  // Returns the summaries that the led shards report to the leader.
+  // Returns the summaries of the led shards, which are sent to all controllers.
   std::vector<protocol::Summary> summaries() const;
   // Returns the number of the job's tasks that are running on machines of led shards.
   std::uint32_t count_running_tasks(const JobId& id) const;
--- a/src/controller/socket_limits.h
+++ b/src/controller/socket_limits.h
@@ -13,8 +13,8 @@
   std::size_t infrastructure = 0;  // connections to the state store, the cloud and the peers
   std::size_t commands = 0;        // connections to workers; at the limit the longest idle one is closed
   std::size_t accepted = 0;        // connections from workers, users and health checks
-  // Maximum number of `accepted` that users may have. At least as many remain for workers when users open too
-  // many connections.
+  // The part of `accepted` that users may occupy. At least as many connections remain for workers when users
+  // open too many.
   std::size_t accepted_from_users = 0;
 };
 
--- a/src/controller/summary_exchange.h
+++ b/src/controller/summary_exchange.h
@@ -23,8 +23,8 @@
   void stop();
   // Processes one page of a peer's summary. The pages of a summary arrive in order.
   void on_page(const ControllerName& from, const protocol::Summary& page);
-  // Returns the number of running tasks of the job in the led shards and in all shards that peers have
-  // reported.
+  // Returns the number of running tasks of the job in the shards that this controller leads and in all shards
+  // whose summaries its peers have sent.
   std::uint32_t running(const JobId& id) const;
 
  private:
--- a/src/controller/terminal_record_writer.h
+++ b/src/controller/terminal_record_writer.h
@@ -11,9 +11,9 @@
 
 namespace beaconsill::controller {
 
-// Part of the SchedulerService, which calls the write functions on its timer. A job whose record could not be
-// written stays in the list of the scheduler or the view, and is tried again after a delay. Doesn't throw;
-// runs on the event loop's single thread.
+// Part of the SchedulerService, which calls the write functions on its timer. The scheduler lists the
+// completed jobs and the view lists the cancelled dependents. A job stays listed until its record is written,
+// so a failed write is repeated after a delay. Doesn't throw; runs on the event loop's single thread.
 class TerminalRecordWriter {
  public:
   TerminalRecordWriter(ControllerContext& ctx, PeerMessenger& messenger, Leadership& leadership)
@@ -21,8 +21,8 @@
 
   // Writes the records of jobs whose tasks are all done.
   void write_completed();
-  // Writes the records of jobs that are cancelled because a job they depend on was cancelled. Each gets a
-  // record of its own, so that the records of its dependencies can be garbage-collected in time.
+  // Writes the records of jobs that are cancelled because a job they depend on was cancelled. Without a
+  // record of its own, a job's other keys can't be garbage-collected.
   void write_cancelled_dependents();
   // Called when this controller is no longer the leader.
   void reset() { in_progress_.clear(); }
--- a/src/controller/version_recorder.cpp
+++ b/src/controller/version_recorder.cpp
@@ -48,8 +48,8 @@
 
 void VersionRecorder::write(const protocol::Txn& txn, std::uint32_t common_version) {
   write_pending_ = true;
-  // The write is as urgent as users' requests, since submissions of pipelines are refused until it is
-  // applied.
+  // The write is as urgent as users' requests, since submissions of jobs with dependencies are refused until
+  // it is applied.
   auto done = [this, txn, common_version](state_store::TxnResult result) {
     if (result) {
       write_pending_ = false;
--- a/src/controller/version_recorder.h
+++ b/src/controller/version_recorder.h
@@ -5,11 +5,11 @@
 
 namespace beaconsill::controller {
 
-// Part of the SchedulerService, which calls run() on its timer. Until every controller has advertised this
-// version, nothing is written that an earlier version would misread. As soon as all have, the leader's role
-// is written in a form that an earlier version can't acquire, because an earlier version would start jobs
-// before the jobs they depend on have ended. Failed writes are repeated. Doesn't throw; runs on the event
-// loop's single thread.
+// Part of the SchedulerService, which calls run() on its timer. Until every controller has advertised a
+// version (or a higher one), nothing is written that an earlier version would misread. As soon as all have,
+// the leader's role is written in a form that an earlier version can't acquire, because an earlier version
+// would start jobs before the jobs they depend on have ended. Failed writes are repeated. Doesn't throw; runs
+// on the event loop's single thread.
 class VersionRecorder {
  public:
   VersionRecorder(ControllerContext& ctx, Leadership& leadership) : ctx_(ctx), leadership_(leadership) {}
--- a/src/protocol/field_names.h
+++ b/src/protocol/field_names.h
@@ -1,6 +1,6 @@
-// The JSON field names of the protocols with users, agents, the cloud and the state store. Code outside
-// src/protocol refers to these fields by their constants, which are named in the usual terms of cluster
-// scheduling.
+// The JSON field names of the protocols with users, workers, the cloud and the state store. The names are
+// fixed by the protocols. The constants are named in the usual terms of cluster scheduling, so that other
+// code needn't use the names of the protocols.
 #pragma once
 
 namespace beaconsill::protocol::field {
@@ -41,7 +41,7 @@
 inline constexpr char kSpread[] = "scatter";
 inline constexpr char kTeam[] = "crew";
 
-// Agents: heartbeats and commands.
+// Workers: heartbeats and commands.
 inline constexpr char kAttempt[] = "launch";
 inline constexpr char kCause[] = "cause";
 inline constexpr char kCommand[] = "signal";
@@ -76,7 +76,7 @@
 inline constexpr char kRevision[] = "logline";  // the revision of the whole store
 inline constexpr char kTtlMs[] = "ttlMs";
 inline constexpr char kValue[] = "v";
-inline constexpr char kVersion[] = "entry";  // the revision that last wrote the key
+inline constexpr char kVersion[] = "entry";  // the revision at which the key was last written
 inline constexpr char kWrites[] = "writes";
 
 }  // namespace beaconsill::protocol::field
--- a/src/protocol/peer.capnp
+++ b/src/protocol/peer.capnp
@@ -4,7 +4,7 @@
 $Cxx.namespace("beaconsill::peer");
 
 # A message between two controllers. Messages only reduce latency: losing or repeating any of them is
-# harmless, because the state store and the agents are the source of truth.
+# harmless, because the state store and the workers are the source of truth.
 #
 # Ordinals and types never change, because controllers of several versions run at the same time. Names are not
 # part of the encoding.
@@ -31,7 +31,8 @@
   # has read the state store at least up to this revision. The revision therefore also covers the earlier
   # processes of the sender, and such a receiver needs no read lease.
   acknowledgedRevision @0 :UInt64;
-  # For each listed shard, the sender does not accept machines under a term lower than the given one.
+  # The shards that the sender leads, each with its term. This supersedes a receiver that leads one of these
+  # shards under a lower term.
   terms @1 :List(ShardTerm);
   # The number of this heartbeat, and the number of the last heartbeat that the sender received from the
   # receiver (`echo`). The echo proves that this heartbeat was sent after the echoed one. Without it, a
@@ -96,13 +97,13 @@
   wanted @9 :UInt32;
 }
 
-# Asks a shard for how many tasks of each resource request it has capacity.
+# Asks the shards led by the receiver how many tasks of each resource request they have capacity for.
 struct EstimateRequest {
   round @0 :UInt64;
   resourceRequests @1 :List(ResourceRequest);
 }
 
-# The capacity of a zone, in tasks.
+# The capacity of one zone of a shard for a resource request, in tasks.
 struct ZoneCapacity {
   zone @0 :Text;
   free @1 :UInt32;
@@ -132,6 +133,7 @@
 struct Summary {
   shard @0 :UInt32;
   term @1 :UInt64;
+  # The summary includes all grants up to this revision.
   seenRevision @2 :UInt64;
   machines @3 :List(MachineCapacity);
   running @4 :List(JobCount);
@@ -151,7 +153,9 @@
   cpus @4 :Float64;
   gpus @5 :Float64;
   memoryGb @6 :Float64;
+  # Seconds since the machine had tasks; 0 while it has any.
   idleS @7 :Float64;
+  # Whether tasks may be started on the machine.
   usable @8 :Bool;
 }
 
@@ -161,14 +165,14 @@
   running @1 :UInt32;
 }
 
-# An agent's heartbeat, forwarded unchanged to the leader of the agent's shard, because the agent may be
+# A worker's heartbeat, forwarded unchanged to the leader of the worker's shard, because the worker may be
 # unable to reach that leader itself.
 struct RelayedHeartbeat {
   id @0 :UInt64;
   heartbeat @1 :Text;
 }
 
-# The shard leader's response to a relayed heartbeat, to be forwarded to the agent unchanged.
+# The shard leader's response to a relayed heartbeat, to be forwarded to the worker unchanged.
 struct RelayedReply {
   id @0 :UInt64;
   # The HTTP status code.
--- a/src/protocol/peer.h
+++ b/src/protocol/peer.h
@@ -61,13 +61,13 @@
   bool operator==(const ResourceRequest&) const = default;
 };
 
-// Asks a shard for how many tasks of each resource request it has capacity. Sent by the leader to all shards.
+// Sent by the leader to ask all shards how many tasks of each resource request they have capacity for.
 struct EstimateRequest {
   std::uint64_t round = 0;
   std::vector<ResourceRequest> resource_requests;
 };
 
-// The capacity of one zone of a shard, in tasks.
+// The capacity of one zone of a shard for a resource request, in tasks.
 struct ZoneCapacity {
   Zone zone;
   std::uint32_t free = 0;
@@ -76,7 +76,7 @@
   std::uint32_t image_cached_preemptible = 0;  // part of `preemptible`: on machines that cache the image
   bool operator==(const ZoneCapacity&) const = default;
 };
-// The zones of a shard that have capacity.
+// The zones of a shard that have capacity for a resource request.
 using CapacityByZone = std::vector<ZoneCapacity>;
 
 // The response of a shard to an EstimateRequest.
@@ -95,8 +95,8 @@
   Zone zone;
   bool spot = false;
   Resources free;
-  double idle_s = 0;  // seconds since the machine had tasks; 0 while it has any
-  bool usable = true;
+  double idle_s = 0;   // seconds since the machine had tasks; 0 while it has any
+  bool usable = true;  // tasks may be started on the machine
 };
 
 // The number of tasks of a job that run in a shard.
@@ -105,11 +105,11 @@
   std::uint32_t running = 0;
 };
 
-// The machines and running tasks of a shard. Sent periodically to the leader.
+// The machines and running tasks of a shard. Sent periodically to all peers.
 struct Summary {
   ShardId shard;
   Term term;
-  Revision seen;
+  Revision seen;  // the summary includes all grants up to this revision
   std::vector<MachineCapacity> machines;
   std::vector<JobCount> running;
   std::uint32_t page = 0;  // number of this page, from 0; see protocol/paging.h
@@ -126,7 +126,7 @@
   std::vector<MachineName> machines;
 };
 
-// An agent's heartbeat, forwarded by the controller that received it to the leader of the agent's shard.
+// A worker's heartbeat, forwarded by the controller that received it to the leader of the worker's shard.
 struct RelayedHeartbeat {
   std::uint64_t id = 0;
   std::string heartbeat;
--- a/src/protocol/state_store.h
+++ b/src/protocol/state_store.h
@@ -13,7 +13,7 @@
 
 namespace beaconsill::protocol {
 
-// A key with its value and the revision that last wrote it.
+// A key with its value and the revision at which it was last written.
 struct Item {
   std::string key;
   Json value;
@@ -34,13 +34,13 @@
   Revision revision;
 };
 
-// All changes up to a revision, in no particular order.
+// All changes from the requested revision up to `revision`, in no particular order.
 struct Changes {
   std::vector<Change> changes;
   Revision revision;
 };
 
-// A condition of a transaction: the key was last written by this revision.
+// A condition of a transaction: the key was last written at this revision.
 struct Condition {
   std::string key;
   Revision revision;  // 0: the key does not exist
@@ -75,8 +75,8 @@
 // Returns the HTTP request target of a page of at most `limit` keys with this prefix: the page that follows
 // the key `after`, or the first page if `after` is empty.
 std::string page_target(std::string_view prefix, std::string_view after, std::uint32_t limit);
-// Returns the HTTP request target of the changes, after a revision, of keys with this prefix. If there are
-// none, the state store delays its response until a change occurs, for at most `wait_ms` milliseconds.
+// Returns the HTTP request target of the changes of keys with this prefix since the revision `after`. Without
+// changes, the state store delays its response until one occurs, for at most `wait_ms` milliseconds.
 std::string watch_target(std::string_view prefix, Revision after, std::uint32_t wait_ms);
 // Returns the HTTP request target at which leases are granted.
 std::string leases_target();
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -1,5 +1,5 @@
-// Messages between controllers and agents. One agent runs on each machine; it reports the machine's tasks in
-// heartbeats and executes commands.
+// Messages between controllers and workers. A worker is the process that runs on each machine; it reports the
+// machine's tasks in heartbeats and executes commands.
 #pragma once
 
 #include <optional>
@@ -13,10 +13,10 @@
 
 // The phase of a task on its machine.
 enum class TaskState { kFetching, kWaiting, kRunning, kSaving, kEnded };
-// Why a task ended, as reported by the agent. kError also represents causes that this version does not know.
+// Why a task ended, as reported by the worker. kError also represents causes that this version does not know.
 enum class EndCause { kDone, kStopped, kPeersGone, kAlone, kError, kNoCapacityLeft, kBusy, kUnknown };
 
-// The status of a task on a machine, as reported by the agent.
+// The status of a task on a machine, as reported by the worker.
 struct TaskStatus {
   TaskId task;
   Attempt attempt;
@@ -25,16 +25,16 @@
   bool saved = false;                // the task has saved a checkpoint
 };
 
-// The state of a machine and its tasks, as reported by the agent.
+// The state of a machine and its tasks, as reported by the worker.
 struct WorkerHeartbeat {
   MachineName machine;
-  std::string address;  // of the agent: "HOST:PORT"
+  std::string address;  // of the worker: "HOST:PORT"
   MachineType type;
   Zone zone;
   bool spot = false;
   Incarnation incarnation;
   Sequence sequence;   // number of the heartbeat within the incarnation
-  FencingToken token;  // the highest fencing token that the agent has seen
+  FencingToken token;  // the highest fencing token that the worker has seen
   // Seconds until the cloud terminates the machine. Only set for a spot machine that has received a notice.
   std::optional<double> termination_notice_s;
   std::vector<TaskStatus> tasks;
@@ -45,11 +45,11 @@
   }
 };
 
-// Parses the body of a heartbeat or of an agent's response to commands, which have the same form. Throws
+// Parses the body of a heartbeat or of a worker's response to commands, which have the same form. Throws
 // ProtocolError if a field is missing or invalid.
 WorkerHeartbeat parse_worker_heartbeat(const Json& json);
 
-// A command to an agent to start, stop or forget a task.
+// A command to a worker to start, stop or forget a task.
 struct Command {
   enum class Op { kStart, kStop, kForget };
   Op op = Op::kStart;
@@ -60,7 +60,7 @@
 
 // Renders the body of the response to a heartbeat.
 std::string render_heartbeat_response(FencingToken token, const std::vector<Command>& commands);
-// Renders the body of a request by which a controller sends commands to an agent between heartbeats.
+// Renders the body of a request by which a controller sends commands to a worker between heartbeats.
 std::string render_commands(FencingToken token, Incarnation incarnation,
                             const std::vector<Command>& commands);
 // Renders the body of the response to a heartbeat from a controller that does not lead the machine's shard.
--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -186,7 +186,7 @@
 }
 
 // Guards against thousands of requests waiting in vain at controllers that are up but cannot reach the state
-// store. This was found on the test day "gap".
+// store. This was found with the faults of tests/fault_scenarios/gap.toml.
 TEST(Api, RefusesRequestsQuicklyWhileTheStateStoreIsUnavailable) {
   struct Case {
     const char* description;
--- a/tests/controller_component_fixture.h
+++ b/tests/controller_component_fixture.h
@@ -47,7 +47,8 @@
   return settings;
 }
 
-// The state store client sends no requests. Components only read its size and rate limits.
+// The context of a component, with fakes of the other components. The state store client sends no requests:
+// components only read its size and rate limits.
 struct ComponentFixture : testing::Test {
   explicit ComponentFixture(config::Settings settings = component_settings())
       : context(io, clock, settings, config::load_policy("", settings)) {
--- a/tests/controller_end_to_end_test.cpp
+++ b/tests/controller_end_to_end_test.cpp
@@ -64,7 +64,8 @@
       for (int n = 0; n < 500 && call(i, "GET", "/up").status != 200; ++n)
         io.run_for(std::chrono::milliseconds(10));
   }
-  // Waits until it is recorded that all controllers support pipelines, which are refused before that.
+  // Waits until it is recorded that all controllers support pipelines (jobs with dependencies). Submissions
+  // of such jobs are refused before that.
   void wait_until_pipelines_accepted() {
     auto versions_recorded = [this] {
       auto it = state.keys.find("beaconsill/versions");
@@ -315,7 +316,7 @@
   EXPECT_EQ(cluster.call(0, "POST", "/v1/jobs", TwoControllers::job("run-3", "batch", 1)).status, 201);
 }
 
-// A list of thousands of machines takes longer than the period of the requests for lists.
+// Fetching a list of thousands of machines takes longer than the period at which lists are requested.
 TEST(EndToEnd, MachineListIsNotRequestedWhileAnotherRequestIsPending) {
   TwoControllers cluster;
   cluster.wait_until_healthy();
--- a/tests/encoding_samples_test.cpp
+++ b/tests/encoding_samples_test.cpp
@@ -1,4 +1,4 @@
-// Guards the JSON encodings of the protocols with users, agents, the cloud and the state store against
+// Guards the JSON encodings of the protocols with users, workers, the cloud and the state store against
 // unintended changes: rendered messages are compared byte by byte with samples. The samples of stored records
 // are in encoding_samples_records_test.cpp, those of messages between controllers in
 // encoding_samples_peer_test.cpp.
--- a/tests/heartbeat_relay_test.cpp
+++ b/tests/heartbeat_relay_test.cpp
@@ -1,4 +1,4 @@
-// Tests how a controller relays heartbeats of workers whose shard another controller leads.
+// Tests how a controller relays the heartbeat of a worker to the leader of the worker's shard.
 #include "controller/heartbeat_relay.h"
 
 #include "controller/socket_limits.h"
--- a/tests/registry_sync_test.cpp
+++ b/tests/registry_sync_test.cpp
@@ -1,4 +1,4 @@
-// Tests that the RegistrySync read_callbacks a shard's machine registry when a term begins, and registers new
+// Tests that the RegistrySync reads a shard's machine registry when a term begins, and registers new
 // machines.
 #include "controller/registry_sync.h"
 
