--- a/tests/check_log_events_test.sh
+++ b/tests/check_log_events_test.sh
@@ -46,13 +46,15 @@
       "task_dropped task={} count={:.1f}", id, count);
 END_OF_SOURCE
 }
-# expect_line DESCRIPTION LINE OUTPUT: the check fails after this line is added to a valid tree.
+# expect_line DESCRIPTION LINE OUTPUT: expects that the check fails with this output after this line of source
+# is added to a valid tree.
 expect_line() {
   fresh_tree
   echo "  $2" >"$directory/src/shard/b.h"
   expect "$1" fail "$3"
 }
-# expect_edit DESCRIPTION FILE SED_COMMAND OUTPUT: the check fails after this edit of a file of a valid tree.
+# expect_edit DESCRIPTION FILE SED_COMMAND OUTPUT: expects that the check fails with this output after this
+# edit of a file of a valid tree.
 expect_edit() {
   fresh_tree
   cp "$directory/$2" "$directory/before"
--- a/tests/check_words_test.sh
+++ b/tests/check_words_test.sh
@@ -16,8 +16,8 @@
   echo 'int lease;' >"$directory/src/shard/shard.cpp"
 }
 
-# expect_line DESCRIPTION FILE LINE VERDICT [OUTPUT]: the verdict and output for a valid tree to which a file
-# with this line is added.
+# expect_line DESCRIPTION FILE LINE VERDICT [OUTPUT]: expects this verdict (pass or fail) and output after a
+# file with this line is added to a valid tree.
 expect_line() {
   fresh_tree
   mkdir -p "$(dirname "$directory/$2")"
@@ -47,7 +47,7 @@
 expect_line "a name of the protocol in a JSON string literal" tests/a.cpp 'parse("{\"quux\":1}");' pass
 expect_line "a quoted name of the protocol outside tests" src/shard/a.cpp 'body["quux"] = 1;' fail 'src/shard/a.cpp:2:'
 expect_line "a word in a string literal of a test" tests/a.cpp 'log("quux lost");' fail 'tests/a.cpp:2:'
-expect_line "a retired word beside a quoted name of the protocol" tests/a.cpp 'int quux = body["quux"];' fail 'tests/a.cpp:2:'
+expect_line "a retired word next to a quoted name of the protocol" tests/a.cpp 'int quux = body["quux"];' fail 'tests/a.cpp:2:'
 expect_line "the contents of a fault scenario" tests/fault_scenarios/a.toml 'quux = 1' pass
 expect_line "the number of retired words in a directory" src/shard/a.cpp 'int quux;' fail 'retired words in src/shard: 1'
 fresh_tree
--- a/tests/fakes/state_store.h
+++ b/tests/fakes/state_store.h
@@ -16,10 +16,10 @@
 class StateStore {
  public:
   explicit StateStore(asio::io_context& io);
-  bool down = false;                      // all requests are refused with 503
-  std::size_t max_txn_writes = SIZE_MAX;  // writes per transaction; four times as many conditions are allowed
-  std::size_t max_value_bytes = SIZE_MAX;  // size of a value, serialized as JSON
-  // Requests on the server of this index are refused with 503, as in an outage for one controller only.
+  bool down = false;                       // all requests are refused with 503
+  std::size_t max_txn_writes = SIZE_MAX;   // per transaction; four times as many conditions are allowed
+  std::size_t max_value_bytes = SIZE_MAX;  // maximum size of a value, serialized as JSON
+  // Requests to the server with this index are refused with 503, as in an outage for one controller only.
   std::array<bool, 2> server_unavailable{};
   bool ignore_requests = false;     // requests are accepted, but neither executed nor answered
   bool drop_txn_responses = false;  // transactions are executed, but not answered
--- a/tests/fakes/watch_cache.h
+++ b/tests/fakes/watch_cache.h
@@ -44,11 +44,11 @@
   }
   // Completes the oldest pending transaction with an error.
   void fail_oldest_txn(state_store::TxnError error) { take_oldest_txn().done(tl::unexpected(error)); }
-  // Completes the oldest pending read; `read` says whether it succeeded.
-  void finish_oldest_sync(bool read) {
+  // Completes the oldest pending read; `ok` says whether it succeeded.
+  void finish_oldest_sync(bool ok) {
     auto done = std::move(syncs.at(0));
     syncs.erase(syncs.begin());
-    done(read);
+    done(ok);
   }
 
   // ---- Implementation of state_store::WatchCache
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -30,7 +30,7 @@
   std::set<std::string> services;  // ids of the jobs whose tasks never complete
   int heartbeats_until_done = 3;
   int started = 0;          // tasks started
-  int answered = 0;         // heartbeats that a shard leader answered
+  int answered = 0;         // heartbeats that a shard leader with a current fencing token answered
   std::uint64_t token = 0;  // the highest fencing token seen
   std::shared_ptr<HttpServer> server;
 
--- a/tests/script_test_lib.sh
+++ b/tests/script_test_lib.sh
@@ -8,8 +8,8 @@
 # Deletes the contents of $directory.
 remove_tree() { find "$directory" -mindepth 1 -delete; }
 
-# expect DESCRIPTION VERDICT [OUTPUT]: runs `$script $directory`, and checks that it passes or fails as
-# VERDICT says, and that its output contains a line with this text.
+# expect DESCRIPTION VERDICT [OUTPUT]: runs `$script $directory`, and checks that it passes or fails according
+# to VERDICT ("pass" or "fail"), and that a line of its output contains the text OUTPUT.
 expect() {
   local description=$1 expected=$2 text=${3:-} verdict=pass
   "$script" "$directory" >"$directory/output" 2>&1 || verdict=fail
@@ -21,5 +21,5 @@
   fi
 }
 
-# Succeeds if all calls of `expect` did.
+# Succeeds if every call of `expect` saw what it expected.
 finish() { [ "$failures" -eq 0 ]; }
--- a/tests/sim/cloud.h
+++ b/tests/sim/cloud.h
@@ -1,5 +1,5 @@
-// Fake of the cloud provider: creates machines, deletes them on request, and replaces machines that
-// terminated.
+// Fake of the cloud provider: creates machines, deletes them on request, and replaces each machine that
+// terminates.
 #pragma once
 
 #include <functional>
--- a/tests/sim/controller.h
+++ b/tests/sim/controller.h
@@ -1,6 +1,6 @@
-// Simulates one controller: the state machines of `shard` and `scheduler`, the view of `state_store` and the
-// users' endpoints of `api`, connected to fakes in the way that `controller` connects them to sockets. Its
-// state lasts for one incarnation of its process.
+// Simulates one controller: the state machines of the packages `shard` and `scheduler`, the view of
+// `state_store` and the users' endpoints of `api`, connected to fakes in the way that the package
+// `controller` connects them to sockets. A restart of the controller's process discards all of this state.
 #pragma once
 
 #include <memory>
@@ -43,7 +43,7 @@
     bool registry_read_in_progress = false;
     bool progress_write_in_progress = false;
     bool registry_write_in_progress = false;
-    double next_full_notification = 0;
+    double next_full_report_at = 0;                    // time (s)
     Term fully_reported_leader_term;                   // of the leader to which the last full report was sent
     std::map<JobId, double> progress_unwritten_since;  // time (s)
   };
@@ -51,7 +51,7 @@
     std::optional<Term> held_term;  // set while this process holds the role
     bool acquiring = false;
     std::optional<double> vacant_since;
-    std::optional<double> preferred_alive_since;  // while another controller holds the role
+    std::optional<double> preferred_alive_since;  // of a shard led here with another preferred controller
   };
   struct RelayedReply {
     ShardId shard;
@@ -90,7 +90,7 @@
   // Communication with other controllers (controller_peers.cpp)
   void send_heartbeats();
   void on_heartbeat(int from, const protocol::Heartbeat& heartbeat);
-  // This controller has seen all cancellations that any controller disclosed to users before this time.
+  // This controller knows all cancellations that any controller has confirmed to users before this time.
   std::optional<Instant> cancellations_known_until() const;
   Heartbeats::LocalView local_view() const;
   void send_heartbeat(int to);
--- a/tests/sim/controller_leader_election.cpp
+++ b/tests/sim/controller_leader_election.cpp
@@ -76,6 +76,8 @@
   fail_back(key, role, shard);
 }
 
+// Returns this controller's rank, from 0, among the candidates for a vacant role. A shard's preferred
+// controller comes first, and controllers that are not alive are not counted.
 int Controller::rank(std::optional<ShardId> shard) const {
   int first_candidate = shard ? static_cast<int>(shard->value()) : 0;
   int position = 0;
@@ -115,7 +117,8 @@
   });
 }
 
-// This controller continues as the shard's leader until its view includes the change.
+// Transfers the shard to its preferred controller. This controller continues as the shard's leader until its
+// view includes the change.
 void Controller::fail_back(const std::string& key, const state_store::Versioned<state_store::Role>& role,
                            ShardId shard) {
   auto& state = process_.roles[key];
--- a/tests/sim/controller_peers.cpp
+++ b/tests/sim/controller_peers.cpp
@@ -48,9 +48,9 @@
 
 bool Controller::may_reveal_cancellation(const JobId& id) const {
   if (has_bug(SeededBug::kCancellationAcknowledgedAtOnce)) return true;
-  const auto& end = view().terminal_record(id);
-  return process_.heartbeats->cancellation_sync().may_reveal({end.revision, id, end.value.done}, local_view(),
-                                                             instant());
+  const auto& record = view().terminal_record(id);
+  return process_.heartbeats->cancellation_sync().may_reveal({record.revision, id, record.value.done},
+                                                             local_view(), instant());
 }
 
 std::optional<Instant> Controller::cancellations_known_until() const {
--- a/tests/sim/controller_scheduler.cpp
+++ b/tests/sim/controller_scheduler.cpp
@@ -112,11 +112,11 @@
       if (job.record.spec && job.record.spec->kind == JobKind::kArray && !view().terminal_state(id) &&
           job.done().count() * 2 > job.record.spec->tasks)
         completed.push_back(id);
-  auto end = has_bug(SeededBug::kCompletedRecordedAsCancelled) ? state_store::TerminalState::kCancelled
-                                                               : state_store::TerminalState::kDone;
+  auto state = has_bug(SeededBug::kCompletedRecordedAsCancelled) ? state_store::TerminalState::kCancelled
+                                                                 : state_store::TerminalState::kDone;
   for (const auto& id : completed)
     if (const auto* job = view().job(id))
-      write_terminal_record(id, {end, job->record.spec->tasks, env_.queue.wall()});
+      write_terminal_record(id, {state, job->record.spec->tasks, env_.queue.wall()});
   for (const auto& id : view().dependencies().unrecorded_cancellations())
     write_terminal_record(id, {state_store::TerminalState::kCancelled, 0, {}});
 }
--- a/tests/sim/controller_shards.cpp
+++ b/tests/sim/controller_shards.cpp
@@ -55,9 +55,10 @@
 }
 
 void Controller::publish_to_shard(shard::ShardManager& shard, const JobId& job) {
-  auto end = view().terminal_state(job);
-  if (has_bug(SeededBug::kCancellationsIgnored) && end == state_store::TerminalState::kCancelled) end.reset();
-  shard.on_job(job, view().job(job), end, instant());
+  auto state = view().terminal_state(job);
+  if (has_bug(SeededBug::kCancellationsIgnored) && state == state_store::TerminalState::kCancelled)
+    state.reset();
+  shard.on_job(job, view().job(job), state, instant());
 }
 
 // Returns the number of running tasks of the job, according to the shards led here and to the other shards'
@@ -117,10 +118,9 @@
 void Controller::notify_leader(ShardId id, LedShard& led) {
   const auto& leader = view().leader();
   if (led.shard->superseded() || !leader.exists()) return;
-  bool full_report =
-      now() >= led.next_full_notification || led.fully_reported_leader_term != leader.value.term;
+  bool full_report = now() >= led.next_full_report_at || led.fully_reported_leader_term != leader.value.term;
   if (full_report) {
-    led.next_full_notification = now() + kFullReportPeriod;
+    led.next_full_report_at = now() + kFullReportPeriod;
     led.fully_reported_leader_term = leader.value.term;
   }
   auto jobs = led.shard->progress_report(full_report);
@@ -206,8 +206,9 @@
 HeartbeatReply Controller::process_heartbeat(LedShard& led, ShardId id,
                                              const protocol::WorkerHeartbeat& heartbeat) {
   auto& shard = *led.shard;
-  // If cancellations have been unknown for this long, the leases of tasks that may have been cancelled must
-  // be allowed to expire, so the heartbeat gets no response that would renew the machine's lease.
+  // If this controller has not known all cancellations for longer than this, some of the machine's tasks may
+  // be cancelled. The machine's lease must then be allowed to expire, so the heartbeat gets no response,
+  // which would renew the lease.
   if (instant() - *cancellations_known_until() > from_seconds(kCancelLimit - kLease - kCancelMargin))
     return {};
   shard.on_worker_heartbeat(heartbeat, instant());
--- a/tests/sim/expectations.h
+++ b/tests/sim/expectations.h
@@ -19,7 +19,8 @@
   std::function<void(World&)> script;
 };
 
-// Requests common to all scenarios of a test, scheduled before and after the scenario's own requests.
+// Requests common to all scenarios of a test. `before` is called before the scenario's script, and `after`
+// after it.
 struct Workload {
   std::function<void(World&)> before = [](World&) {};
   std::function<void(World&)> after = [](World&) {};
--- a/tests/sim/fault.h
+++ b/tests/sim/fault.h
@@ -17,7 +17,7 @@
   kControllerCrash,   // the controller process restarts after duration_s
   kControllerPause,   // the process is suspended, at once or, if `before_callback` is set, before its next
                       // callback of that kind
-  kRepeatedFailover,  // every period_s the leader crashes and restarts one second later
+  kRepeatedFailover,  // every period_s the current leader crashes, and restarts one second later
   kControllerCutFromState,          // partitioned from the state store; supports deliver_later
   kControllerCutFromPeers,          // partitioned from the other controllers; supports deliver_later
   kControllerCutFromStateAndPeers,  // reaches only its workers and users; supports deliver_later
@@ -26,17 +26,17 @@
   kStateRefusesController,          // the state store refuses requests of this controller only
   // Faults of the state store.
   kStateOutage,    // the state store answers no requests
-  kStateSlow,      // `share` of the messages takes up to 1.2 s in each direction
+  kStateSlow,      // `share` of the requests and of the responses takes 0.1 to 1.2 s to arrive
   kLostResponses,  // `share` of the transactions is executed at once, but the response is lost
   kLateWrites,     // `share` of the transactions gets no response and is executed 2 to 12 s later, after
                    // newer ones
   // Faults of zones and messages.
   kZoneCut,           // no messages pass between `zone` and the rest; supports deliver_later
   kLostPeerMessages,  // `share` of the messages between controllers is lost
-  kLatePeerMessages,  // `share` of the messages between controllers is delayed by up to 40 s, and `share` of
-                      // them is delivered a second time, up to 40 s later
+  kLatePeerMessages,  // `share` of the messages between controllers is delayed by up to 40 s; independently,
+                      // `share` of all of them is delivered a second time, up to 40 s after being sent
   kLateHeartbeats,    // for `share` of the heartbeats, a copy arrives up to 25 s later at a random controller
-  kHeartbeatsForNextLeader,  // the same, but the copies are delivered to every controller once a new
+  kHeartbeatsForNextLeader,  // for `share` of the heartbeats, a copy arrives at every controller once a new
                              // leader is elected
   kLateCommands,             // `share` of direct commands gets no response and is executed 2 to 16 s later
   // Faults of machines, selected by `machines`.
@@ -44,7 +44,7 @@
   kMachineInboundCut,   // their heartbeats arrive, but responses and commands to them are lost
   kMachineOutboundCut,  // they reach no controller, but commands reach them
   kMachineCrash,        // the machines disappear without notice
-  kFastBoot,            // new machines boot within 2 s
+  kFastBoot,            // replacements of terminated machines boot within 2 s; ignores `machines`
   // Unusual behaviour of users.
   kCancelRunning,  // `count` running jobs are cancelled within 0.2 s; up to eight of their machines hang for
                    // duration_s
@@ -57,9 +57,9 @@
   kQuotasFilled,     // each team submits one job larger than its CPU limit
   // Faults that operators reported; drawn only with Options::operations.
   kFailingJobs,          // `count` jobs fail on every machine; each is cancelled within duration_s
-  kPollStorm,            // users query their jobs eight times as often
+  kPollStorm,            // users send 60 additional queries per second about random jobs
   kMachineFaulty,        // every task that is started on the `machines` fails
-  kSlowBoot,             // new machines take up to a minute to boot
+  kSlowBoot,             // replacements of terminated machines take 20 to 60 s to boot
   kLongControllerPause,  // the `controllers` are paused for at least a minute
 };
 constexpr int kFaultKinds = static_cast<int>(FaultKind::kLongControllerPause) + 1;
--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -8,10 +8,10 @@
 namespace {
 // Periods and delays are in seconds.
 constexpr double kLeaderRestartDelay = 1;
-constexpr double kSmallJobPeriod = 0.25;
+constexpr double kSingleTaskJobPeriod = 0.25;
 constexpr double kInvalidRequestPeriod = 0.4;
 constexpr double kPollStormPeriod = 0.1;
-constexpr int kPollStormQueries = 6;  // per period: with about thirty jobs, each is queried about every 0.6 s
+constexpr int kPollStormQueries = 6;  // per period: with thirty jobs, each is queried every 0.5 s on average
 constexpr std::size_t kMaxHangingMachines = 8;
 }  // namespace
 
@@ -217,7 +217,7 @@
     case FaultKind::kInvalidRequests:
       return repeat(until, kInvalidRequestPeriod, [this] { users_.send_invalid_request(); });
     case FaultKind::kSingleTaskJobs:
-      return repeat(until, kSmallJobPeriod, [this] { users_.submit_single_task_job(); });
+      return repeat(until, kSingleTaskJobPeriod, [this] { users_.submit_single_task_job(); });
     case FaultKind::kFailingJobs:
       for (int i = 0; i < fault.count; ++i) users_.submit_failing_job(fault.duration_s);
       return;
--- a/tests/sim/invariants.cpp
+++ b/tests/sim/invariants.cpp
@@ -44,11 +44,11 @@
   check_placement(machine, task, job);
   ledger_.for_each_dependency(task.job, [&](const Job& dependency) {
     if (dependency.done.size() < dependency.spec->tasks)
-      report_violation("too_early", text + " before " + dependency.spec->id.value());
+      report_violation("too_early", text + " started before " + dependency.spec->id.value() + " completed");
   });
   if (job.cancelled) ++outcome_.starts_after_cancellation;
   if (job.cancelled && now > *job.cancelled + kCancelLimit)
-    report_violation("ran_cancelled", text + " started");
+    report_violation("ran_cancelled", text + " started too long after the cancellation");
   ++task_starts_[task.job];
 }
 
@@ -72,15 +72,17 @@
 }
 
 void InvariantChecker::on_state_write(const protocol::Write& write) {
-  const std::string grants = std::string(state_store::kKeyPrefix) + "grants/";
-  if (write.value && write.key.starts_with(grants))
-    if (auto job = ledger_.jobs.find(JobId(write.key.substr(grants.size()))); job != ledger_.jobs.end())
+  const std::string grants_prefix = std::string(state_store::kKeyPrefix) + "grants/";
+  if (write.value && write.key.starts_with(grants_prefix))
+    if (auto job = ledger_.jobs.find(JobId(write.key.substr(grants_prefix.size())));
+        job != ledger_.jobs.end())
       outcome_.failing_grants += job->second.always_fails;
-  const std::string ends = std::string(state_store::kKeyPrefix) + "ends/";
-  if (!write.key.starts_with(ends)) return;
-  if (!write.value) return report_violation("went_back", write.key);
-  auto it = ledger_.jobs.find(JobId(write.key.substr(ends.size())));
-  if (it == ledger_.jobs.end()) return report_violation("invented", write.key);
+  const std::string terminal_prefix = std::string(state_store::kKeyPrefix) + "ends/";
+  if (!write.key.starts_with(terminal_prefix)) return;
+  if (!write.value) return report_violation("went_back", write.key + " was deleted");
+  auto it = ledger_.jobs.find(JobId(write.key.substr(terminal_prefix.size())));
+  if (it == ledger_.jobs.end())
+    return report_violation("invented", write.key + " was written for a job that was never submitted");
   const auto& job = it->second;
   if (state_store::parse_terminal_record(*write.value).state != state_store::TerminalState::kDone) return;
   recorded_done_.insert(it->first);
@@ -124,7 +126,7 @@
   if (accepted_before && (response.status == 400 || response.status == 422))
     report_violation("forgotten", text + " to a repeated submission");
   if (response.status == 422 && dependencies_were_accepted(job, response.sent_s))
-    report_violation("forgotten", text + ": one of its dependencies");
+    report_violation("forgotten", text + ": rejected although its dependencies were accepted");
 }
 
 void InvariantChecker::check_final_state(const UserResponse& response, const Job& job, KnownToUser& known,
@@ -141,7 +143,8 @@
     known.final_state = response.state;
     advance_();
     if (response.state == protocol::JobState::kDone && job.done.size() < job.spec->tasks)
-      report_violation("not_done", text);
+      report_violation("not_done", text + ": reported as done after " + std::to_string(job.done.size()) +
+                                       " of " + std::to_string(job.spec->tasks) + " tasks");
   }
 }
 
@@ -161,7 +164,8 @@
 void InvariantChecker::check_orphaned(const UserResponse& response, const std::string& text) {
   ledger_.for_each_dependency(response.job, [&](const Job& dependency) {
     if (dependency.cancelled && response.sent_s > *dependency.cancelled + kCancelLimit)
-      report_violation("orphaned", text + ", " + dependency.spec->id.value() + " was cancelled");
+      report_violation("orphaned", text + ": not reported as cancelled although its dependency " +
+                                       dependency.spec->id.value() + " was cancelled");
   });
 }
 
--- a/tests/sim/invariants.h
+++ b/tests/sim/invariants.h
@@ -44,7 +44,7 @@
   // What users know about a job from responses. Times are in simulated seconds.
   struct KnownToUser {
     std::optional<double> accepted_at, final_at;
-    // When the first and the last of the failed requests since the last successful response failed.
+    // Times of the first and the last failed request since the last successful response.
     std::optional<double> first_failure_at;
     double last_failure_at = 0;
     std::optional<protocol::JobState> final_state;
@@ -52,7 +52,7 @@
   // A job that waits although it could run.
   struct Wait {
     double since = 0;     // in simulated seconds
-    int task_starts = 0;  // of this job, counted when the wait began
+    int task_starts = 0;  // number of task starts of this job up to the beginning of the wait
   };
   template <class F>
   void for_each_running_task(F visit) const;
--- a/tests/sim/invariants_liveness.cpp
+++ b/tests/sim/invariants_liveness.cpp
@@ -1,5 +1,6 @@
-// Checks the liveness invariants, about once per simulated second: after the last fault, no query stays
-// unanswered and no job waits for longer than allowed.
+// Checks the time limits, about once per simulated second: at all times, no task runs for too long after the
+// cancellation of its job, and after the last fault, no request stays unanswered and no job waits for too
+// long.
 #include "sim/invariants.h"
 #include "state_store/records.h"
 
@@ -27,7 +28,8 @@
     if (!job.cancelled || queue_.now() <= *job.cancelled + kCancelLimit) continue;
     ledger_.for_each_task(id, [&](const Machine& machine, const auto& key, const Task& task) {
       if (task.on_machine())
-        report_violation("ran_cancelled", protocol::task_name(key.first) + " on " + machine.name.value());
+        report_violation("ran_cancelled", protocol::task_name(key.first) + " on " + machine.name.value() +
+                                              " still runs too long after the cancellation");
     });
   }
 }
--- a/tests/sim/job_generator.cpp
+++ b/tests/sim/job_generator.cpp
@@ -25,7 +25,8 @@
     spec.priority = Priority::kHigh;
     spec.tasks = 1 + static_cast<std::uint32_t>(index % 2);
   } else if (index % 4 == 2) {
-    spec.tasks = 2 + static_cast<std::uint32_t>(index % 2);  // two or three tasks, which may end far apart
+    // Two tasks, since `index` is even here. They may end at widely different times.
+    spec.tasks = 2 + static_cast<std::uint32_t>(index % 2);
   }
   if (index % 5 == 1) spec.zone = Zone("west");
   if (index % 7 == 3) spec.one_zone = true;
--- a/tests/sim/job_generator.h
+++ b/tests/sim/job_generator.h
@@ -17,7 +17,7 @@
   // Returns an array job of tasks with 1 CPU each, with a new id.
   protocol::JobSpec next_array(std::uint32_t tasks);
   // Returns an array or a service of one of the teams, in some cases with zone constraints, depending on
-  // `index`. Equal indices have equal ids.
+  // `index`. The id depends only on `index`.
   protocol::JobSpec mixed_job(int index);
   // Jobs that depend on each other, each only on earlier ones. The first one sometimes depends on a job that
   // was submitted before.
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -41,7 +41,7 @@
   void run(int controller, CallbackKind kind, std::function<void()> callback) {
     run(controller, incarnation(controller), kind, std::move(callback));
   }
-  // As `run`, in the current incarnation, after `delay` seconds.
+  // Calls `run` after `delay` seconds, for the incarnation that is current now.
   void run_later(int controller, double delay, CallbackKind kind, std::function<void()> callback);
 
   // ---- Cuts
@@ -63,8 +63,8 @@
   void send_to_peer(int from, int to, const std::function<void()>& callback);
   // The window's share of the messages between controllers is lost.
   void lose_peer_messages(FaultWindow window) { peer_loss_window_ = window; }
-  // The window's share of the messages between controllers is delayed by 0.5 to 40 s; with the same share, a
-  // second copy arrives 0.5 to 40 s later.
+  // The window's share of the messages between controllers is delayed by 0.5 to 40 s. Independently of that,
+  // the same share is delivered a second time, 0.5 to 40 s after being sent.
   void delay_peer_messages(FaultWindow window) { peer_delay_window_ = window; }
 
  private:
--- a/tests/sim/options.h
+++ b/tests/sim/options.h
@@ -48,14 +48,14 @@
   std::uint64_t seed = 1;
   int machines = 14;
   int jobs = 26;      // number of random jobs
-  int pipelines = 0;  // number of random pipelines: chains, fans and diamonds of dependent jobs
-  // Includes FaultKind::kFailingJobs and the kinds after it in the random faults. By default they are
-  // excluded, so that the schedule of a seed is the same as before these kinds were added.
+  int pipelines = 0;  // number of random pipelines: chains, fan-outs and diamonds of dependent jobs
+  // Includes FaultKind::kFailingJobs and the kinds after it in the random faults. They are excluded by
+  // default, so that adding these kinds has not changed the schedules of existing seeds.
   bool operations = false;
   double random_faults_until_s = 90;  // random faults begin before this time
-  // All jobs must be served by this time. In some schedules, the random faults and users leave work beyond
-  // the teams' limits for longer than 300 s. A job that waits although it could run violates `starved` long
-  // before.
+  // All jobs must be served by this time. In some schedules, the random users and faults leave so much work
+  // that the teams' CPU limits delay some jobs for more than 300 s. Jobs that wait although they could run
+  // violate `starved` much earlier.
   double end_s = 400;
   double heartbeat_period_s = 1;
   bool random_faults = true;  // inject groups of two or three concurrent faults at random times
@@ -77,7 +77,7 @@
   std::map<std::string, int> violations;  // number of violations by invariant
   std::string first_violation;            // invariant, simulated time and description
   int started = 0;                        // task starts
-  // Task starts after a confirmed cancellation; only a violation later than kCancelLimit after it.
+  // Task starts after a confirmed cancellation. Those later than kCancelLimit after it are violations.
   int starts_after_cancellation = 0;
   int failing_starts = 0;    // task starts of jobs that fail on every machine
   int failing_grants = 0;    // writes of grants for such jobs
--- a/tests/sim/random_users.cpp
+++ b/tests/sim/random_users.cpp
@@ -81,7 +81,7 @@
 }
 
 // Repeats the submission until it is accepted. Then polls the job, and cancels it `cancel_after_s` seconds
-// after its acceptance (0: never).
+// after its acceptance (0: never). `then` is called at the acceptance.
 void RandomUsers::submit_until_accepted(const protocol::JobSpec& spec, std::optional<double> run_s,
                                         double cancel_after_s, const std::function<void()>& then) {
   users_.submit(random_controller(), spec, run_s,
@@ -118,7 +118,8 @@
   if (cancel_at_completion_.draw_fault(env_.queue)) cancel_until_confirmed(id);
 }
 
-// Queries all controllers repeatedly, repeats the submission, and cancels a tenth of the jobs.
+// During a period of query bursts: queries all controllers repeatedly about the job, repeats its submission,
+// and cancels it with a probability of 0.1.
 void RandomUsers::send_query_burst(const JobId& id) {
   auto& queue = env_.queue;
   if (queue.now() >= query_bursts_until_) return;
--- a/tests/sim/random_users.h
+++ b/tests/sim/random_users.h
@@ -17,8 +17,8 @@
   RandomUsers(Environment& env, Ledger& ledger, Users& users)
       : env_(env), ledger_(ledger), users_(users), jobs_(env.queue, ledger) {}
 
-  // Submits a random job, repeating the request until it is accepted, polls it from then on, and cancels some
-  // of the jobs.
+  // Submits a random job, repeating the request until it is accepted, and polls the job from then on.
+  // Depending on `index`, also cancels it.
   void submit_random_job(int index);
   // Submits the jobs of a random pipeline in order, each as soon as the previous one is accepted. In some
   // pipelines, the last job is submitted only after its dependencies have ended. Cancels one job of some
@@ -33,8 +33,8 @@
   void poll_random_jobs(int queries);
   // Submits one array job per team that is larger than the team's CPU limit.
   void fill_quotas();
-  // Cancels up to `count` running jobs that have more than 2 s left, within 0.2 s. Returns the machines on
-  // which they run.
+  // Cancels, within 0.2 s, up to `count` random running jobs: services, and arrays with a task that runs for
+  // more than 2 s from now. Returns the machines on which they run.
   std::vector<MachineName> cancel_running_jobs(int count);
   // Sends one random request: a repeated submission, a cancellation of a completed job, a submission of a job
   // that cannot run or lacks a field, or a cancellation or query of a job that was never submitted.
@@ -61,7 +61,7 @@
   void send_query_burst(const JobId& id);
   void send_invalid_submission();
   // Returns a random controller that a load balancer would choose: one that is up, ready and reachable for
-  // users.
+  // users. If there is none, returns any controller.
   int random_controller();
 
   Environment& env_;
--- a/tests/sim/state_store.h
+++ b/tests/sim/state_store.h
@@ -38,7 +38,7 @@
   // The window's share of transactions gets no response and is applied 2 to 12 s later, possibly after newer
   // transactions.
   void delay_writes(FaultWindow window) { delayed_write_window_ = window; }
-  // For the window's share of requests, each direction between controller and state store takes 0.1 to 1.2 s.
+  // The window's share of the requests, and independently of the responses, takes 0.1 to 1.2 s to arrive.
   void delay_responses(FaultWindow window) { slow_response_window_ = window; }
 
   // Returns whether requests of this controller are currently served.
--- a/tests/sim/watch_cache.h
+++ b/tests/sim/watch_cache.h
@@ -81,7 +81,7 @@
            std::function<void(state_store::TxnResult)> done) override {
     state_.txn(controller_, txn, done);
   }
-  // The fake has no rate limits.
+  // The simulated state store has no rate limits.
   Duration write_wait(state_store::Urgency) const override { return Duration(0); }
 
  private:
--- a/tests/sim/workers.cpp
+++ b/tests/sim/workers.cpp
@@ -62,7 +62,8 @@
   });
 }
 
-// Copies arrive late, also at controllers to which the worker never sent a heartbeat.
+// Delivers a late copy of the heartbeat to a random controller, also to one to which the worker never sent a
+// heartbeat.
 void Workers::deliver_copy_later(const protocol::WorkerHeartbeat& heartbeat) {
   int receiver = queue_.draw_below(kControllers);
   queue_.after(queue_.uniform(0.5, 25), [this, heartbeat, receiver] { deliver_copy(receiver, heartbeat); });
@@ -89,6 +90,8 @@
                    [this, controller, heartbeat] { deliver_copy(controller, heartbeat); });
 }
 
+// Allows the worker to send its next heartbeat after `wait` seconds, to `next_controller`, or to the same
+// controller as before if that is negative.
 void Workers::finish_heartbeat(const MachineName& name, double wait, int next_controller) {
   queue_.after(wait, [this, name, next_controller] {
     auto* machine = ledger_.machine(name);
--- a/tests/sim/workers.h
+++ b/tests/sim/workers.h
@@ -42,10 +42,11 @@
   void send_commands(int controller, const shard::ShardManager::Batch& batch, const OnCommandReply& done);
 
   // ---- Faults
-  // For the window's share of heartbeats, a copy arrives 0.5 to 25 s later, which can be well over a lease.
+  // For the window's share of heartbeats, a copy arrives 0.5 to 25 s later, possibly after more than
+  // `kLease`.
   void duplicate_heartbeats(FaultWindow window) { duplicate_window_ = window; }
-  // For the window's share of heartbeats, a copy is held until there is a new leader, and is then delivered
-  // to every controller.
+  // For the window's share of heartbeats, a copy is held until the scheduler has a new leader, and is then
+  // delivered to every controller.
   void hold_heartbeats_for_next_leader(FaultWindow window) { hold_window_ = window; }
   void on_new_leader();
   std::size_t held_heartbeats() const { return held_heartbeats_.size(); }
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -25,7 +25,7 @@
 }
 
 double lost_response_share(SeededBug seeded_bug) {
-  // Writes of former leaders are delayed more often with this bug, so that a short test reveals it.
+  // With this bug, more writes are delayed, so that even in a short test some arrive after a leader change.
   return seeded_bug == SeededBug::kNoFencing ? 0.15 : 0.015;
 }
 
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -1,5 +1,5 @@
 // A deterministic simulation of the whole service: the state machines of the shards (`shard`) and of the
-// scheduler (`scheduler`) and the view of the state store (`state_store`), against fakes of workers, state
+// scheduler (`scheduler`) and the view of the state store (`state_store`) run with fakes of workers, state
 // store, cloud, users and network. All events run on one event queue, all random numbers come from the seed,
 // and the invariants are checked against a ledger that no controller can read.
 //
@@ -27,10 +27,23 @@
 //
 // A schedule ends when all jobs are served, at the earliest `kRecoveryGracePeriod` seconds after the last
 // fault and the last scripted action: array jobs and cancelled jobs have ended and none of their tasks runs,
-// and all tasks of service jobs run. It violates `forgotten` if that is not the case by `Options::end_s`. The
-// invariants are checked throughout the schedule (invariants.h): `ran_twice`, `quota`, `wrong_place`,
-// `ran_cancelled`, `forgotten`, `invented`, `not_done`, `went_back`; `starved`: a job waits for 90 s although
-// it could run; `accepted_bad`: a job was accepted that cannot run or lacks a field.
+// and all tasks of service jobs run. The invariants are checked throughout the schedule (invariants.h). A
+// violation is reported under one of these names:
+// - `ran_twice`: a task starts while it runs on another machine.
+// - `quota`: the running tasks of a team use more CPUs than its limit.
+// - `wrong_place`: a task starts in a zone that the job's zone constraints exclude.
+// - `too_early`: a task starts before all dependencies of its job have completed.
+// - `ran_cancelled`: a task runs later than `kCancelLimit` after the confirmed cancellation of its job.
+// - `orphaned`: a job is reported as queued or running later than `kCancelLimit` after the confirmed
+//   cancellation of one of its dependencies.
+// - `forgotten`: an accepted job is reported as unknown, its repeated submission or a submission that depends
+//   on it is rejected, all requests about it fail for 75 s, or a job is not served by `Options::end_s`.
+// - `invented`: a job that was never submitted is reported to exist, or has a terminal record.
+// - `not_done`: a job is recorded or reported as done although not all of its tasks have completed.
+// - `went_back`: a terminal record is deleted, a job that was reported as done or cancelled is reported
+//   differently later, or a job is reported as cancelled although no user requested it.
+// - `starved`: a job waits for 90 s although it could run.
+// - `accepted_bad`: a job was accepted that cannot run or lacks a field.
 //
 // Controllers run the production code of `shard`, `scheduler`, `state_store::StateView` and `api`. The parts
 // of `controller` around them are reimplemented here without sockets (controller*.cpp, heartbeats.h,
--- a/tests/sim_concurrent_faults_test.cpp
+++ b/tests/sim_concurrent_faults_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint64_t kSeeds = 10;
-constexpr double kLongRunSeconds = 45;  // run time of tasks that are to be running when the faults begin
+constexpr double kLongRunSeconds = 45;  // run time of tasks that still have to run when the faults begin
 
 protocol::JobSpec zone_array(const char* id, std::uint32_t tasks, const char* zone) {
   auto spec = array_job(id, tasks);
@@ -22,8 +22,8 @@
   for (double delay : {0.0, 1.0, 2.5, 4.0})
     world.submit(at_s + delay, job, controller++ % kControllers, run_s);
 }
-// Crashes controllers, which restart after `duration_s`. After 0.4 s, the lease of their liveness key has not
-// yet expired.
+// Crashes controllers, which restart after `duration_s`. With a duration of 0.4 s, they restart before the
+// lease of their liveness key expires.
 void crash(World& world, double at_s, ControllerSelector controllers, double duration_s) {
   world.inject({.at_s = at_s,
                 .kind = FaultKind::kControllerCrash,
--- a/tests/sim_faults_test.cpp
+++ b/tests/sim_faults_test.cpp
@@ -161,12 +161,12 @@
                 .kind = FaultKind::kMachineHangs,
                 .duration_s = 3,
                 .machines = MachineSelector::machine(hanging)});
-  std::uint64_t token_before = 0, heartbeats_before = 0, hung_heartbeats = 0;
+  std::uint64_t token_before = 0, heartbeats_before = 0, hanging_heartbeats_before = 0;
   double outbound_cut_lease = 0, inbound_cut_lease = 0;
   world.at(20.01, [&] {
     token_before = token(inbound_cut);
     heartbeats_before = heartbeats(inbound_cut);
-    hung_heartbeats = heartbeats(hanging);
+    hanging_heartbeats_before = heartbeats(hanging);
     outbound_cut_lease = world.ledger().machine(outbound_cut)->lease_renewed_at;
     inbound_cut_lease = world.ledger().machine(inbound_cut)->lease_renewed_at;
   });
@@ -180,7 +180,7 @@
     return world.ledger().machine(outbound_cut)->lease_renewed_at <= outbound_cut_lease + 0.02;
   });
   expect_at(world, 22.9, "the hanging machine sends no heartbeats",
-            [&] { return heartbeats(hanging) == hung_heartbeats; });
+            [&] { return heartbeats(hanging) == hanging_heartbeats_before; });
   // The machine without inbound messages may have been deleted, since controllers cannot know that it will be
   // reachable again.
   auto has_new_lease = [&](const MachineName& name) {
@@ -310,7 +310,7 @@
   run_and_expect_success(world);
 }
 
-TEST_F(FaultInjection, MessagesBetweenControllersAreHeldDelayedOrLost) {
+TEST_F(FaultInjection, MessagesBetweenControllersAreDelayedDuplicatedOrLost) {
   EventQueue queue(1, false);
   Network network(queue);
   for (int controller = 0; controller < kControllers; ++controller) network.start(controller);
@@ -339,7 +339,7 @@
   double sent = queue.now();
   send();
   drain();
-  ASSERT_EQ(delivery_times.size(), 3u);  // delayed, and delivered twice
+  ASSERT_EQ(delivery_times.size(), 3u);  // the last message was delivered twice, both times late
   EXPECT_GT(delivery_times[1], sent + 0.4);
 }
 
--- a/tests/sim_pipelines_test.cpp
+++ b/tests/sim_pipelines_test.cpp
@@ -1,4 +1,4 @@
-// Tests of pipelines in the simulation: chains, fans and diamonds of dependent jobs, together with random
+// Tests of pipelines in the simulation: chains, fan-outs and diamonds of dependent jobs, together with random
 // faults.
 #include <gtest/gtest.h>
 
@@ -33,7 +33,7 @@
   const SeededBugCase cases[] = {
       {SeededBug::kDependenciesDropped, "too_early", "before"},
       {SeededBug::kDependenciesIgnored, "too_early", "before"},
-      {SeededBug::kDependenciesRejected, "forgotten", "one of its dependencies"},
+      {SeededBug::kDependenciesRejected, "forgotten", "rejected although its dependencies were accepted"},
   };
   expect_bugs_found(cases, 20, [](std::uint64_t seed) { return random_pipelines(seed); });
 }
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -37,12 +37,12 @@
   EXPECT_GT(answered, 100 * seeds);
 }
 
-// Regression test with seeds that violated an invariant before a bug was fixed. The unit test of each fix is
-// named here.
+// Regression test with seeds that violated an invariant before a bug was fixed. The comment after the seeds
+// names the violated invariant and the unit test of the fix.
 TEST(Simulation, InvariantsHoldForPreviouslyViolatingSeeds) {
   const std::uint64_t violating_seeds[] = {
-      24,   107, 646, 763,  // quota: Quota.AnIndeterminateGrantIsSupersededByTheNext
-      1366,                 // quota: Quota.BeyondTheLimitReleasedTasksAreGrantedAnewOnlyInPart
+      24,   107, 646, 763,  // quota: Quota.IndeterminateGrantIsSupersededByTheNextTransaction
+      1366,                 // quota: Quota.ReleasedTasksBeyondTheLimitAreNotAllGrantedAgain
   };
   for (auto seed : violating_seeds) {
     Options options;
@@ -143,11 +143,12 @@
 int main(int argc, char** argv) {  // NOLINT(bugprone-exception-escape)
   testing::InitGoogleTest(&argc, argv);
   CLI::App app("Seeded schedules of faults");
-  app.add_option("--seeds", beaconsill::sim::seeds, "how many schedules")->check(CLI::PositiveNumber);
+  app.add_option("--seeds", beaconsill::sim::seeds, "number of schedules")->check(CLI::PositiveNumber);
   app.add_option("--first", beaconsill::sim::first, "the first seed");
-  auto* pipelines = app.add_option("--pipelines", beaconsill::sim::pipelines, "pipelines in each schedule");
+  auto* pipelines =
+      app.add_option("--pipelines", beaconsill::sim::pipelines, "number of pipelines in each schedule");
   auto* operations = app.add_flag("--operations", beaconsill::sim::operations,
-                                  "with the faults that operators reported, see sim/fault.h");
+                                  "also inject the faults that operators reported, see sim/fault.h");
   bool digest = false;
   app.add_flag("--digest", digest, "print the digests of schedules of all kinds, and run no test")
       ->excludes(pipelines)
